--- /dev/null
+++ b/tests/ledger/golden_test.cpp
@@ -0,0 +1,304 @@
+// The journal's frames and its file against bytes that an earlier commit wrote: tests/golden/README.md.
+#include "golden.h"
+
+#include <gtest/gtest.h>
+
+#include <limits>
+#include <map>
+#include <vector>
+
+#include "ledger/book.h"
+#include "ledger/frame.h"
+
+namespace {
+
+using namespace martenford::ledger;
+
+std::string path_of(const std::string& name) {
+    return std::string(GOLDEN_DIR) + "/ledger/" + name;
+}
+
+std::string message_in(const std::string& frame) {
+    FrameReader reader;
+    reader.feed(frame);
+    const auto message = reader.next();
+    if (!message) throw FrameError("not whole");
+    std::string inside(*message);
+    EXPECT_TRUE(reader.empty());
+    return inside;
+}
+
+/// The fixture's message, after it was seen that both `now` and what was read are written as it is.
+ToWriter read_to(const std::string& file, const ToWriter& now) {
+    const std::string bytes = golden::kept(path_of(file), frame_of(now));
+    EXPECT_EQ(frame_of(now), bytes) << file;
+    const ToWriter read = read_to_writer(message_in(bytes));
+    EXPECT_EQ(frame_of(read), bytes) << file;
+    return read;
+}
+FromWriter read_from(const std::string& file, const FromWriter& now) {
+    const std::string bytes = golden::kept(path_of(file), frame_of(now));
+    EXPECT_EQ(frame_of(now), bytes) << file;
+    const FromWriter read = read_from_writer(message_in(bytes));
+    EXPECT_EQ(frame_of(read), bytes) << file;
+    return read;
+}
+
+template <class What>
+What read_record(const std::string& file, const What& what) {
+    const ToWriter read = read_to(file, Record{101, 102, 1'700'000'000'103, 104, true, what});
+    const Record& record = std::get<Record>(read);
+    EXPECT_EQ(record.sequence, 101u);
+    EXPECT_EQ(record.serial, 102u);
+    EXPECT_EQ(record.wall_ms, 1'700'000'000'103);
+    EXPECT_EQ(record.mono_ns, 104);
+    EXPECT_TRUE(record.urgent);
+    return std::get<What>(record.what);
+}
+
+Record record(std::uint64_t sequence, std::uint64_t serial, decltype(Record::what) what) {
+    const auto at = static_cast<std::int64_t>(sequence);
+    return Record{sequence, serial, 1'700'000'000'000 + at * 1000, at * 1'000'000, false, std::move(what)};
+}
+Intent intent(std::uint64_t serial, std::uint32_t attempt = 0) {
+    const std::string number = std::to_string(serial);
+    return {
+        attempt,         "request-" + number,       "debit", "key-" + number, std::string("digest\0\xff", 8),
+        "uid-" + number, "10.3.0." + number + ":80"};
+}
+
+const Hello kBefore{kLinkVersion, 0xfedcba9876543210, "sidecar-a", 1'700'000'000'000};
+const Hello kNow{kLinkVersion, 0x123456789abcdef, "sidecar-b", 1'700'000'900'000};
+
+/// What the client was told, by how the attempt ended.
+constexpr Final kAnswers[kEndings] = {Final::None,    Final::Served, Final::Failed,  Final::Failed,
+                                      Final::Left,    Final::Left,   Final::Refused, Final::Refused,
+                                      Final::Refused, Final::Refused};
+
+/// Of a boot that has ended: a request for each ending of an attempt, and for each answer.
+std::vector<Record> records_before() {
+    std::vector<Record> records;
+    std::uint64_t sequence = 0;
+    for (int ending = 0; ending < kEndings; ++ending) {
+        const auto serial = static_cast<std::uint64_t>(ending) + 1;
+        records.push_back(record(++sequence, serial, intent(serial)));
+        if (ending == 0) continue;
+        records.push_back(record(++sequence, serial, Written{0}));
+        records.push_back(record(++sequence, serial, Ended{0, static_cast<Ending>(ending)}));
+        records.push_back(record(++sequence, serial, Answered{kAnswers[ending]}));
+    }
+    // Sent twice: turned away, then served.
+    records.push_back(record(++sequence, 11, intent(11)));
+    records.push_back(record(++sequence, 11, Ended{0, Ending::Full}));
+    records.push_back(record(++sequence, 11, intent(11, 1)));
+    records.push_back(record(++sequence, 11, Written{1}));
+    records.push_back(record(++sequence, 11, Ended{1, Ending::Served}));
+    records.push_back(record(++sequence, 11, Answered{Final::Served}));
+    records.push_back(record(++sequence, 0, Gap{1'700'000'001'000, 7, "the disk was full"}));
+    return records;
+}
+/// Of a boot that may still run: one under way, one served.
+std::vector<Record> records_now() {
+    return {record(901, 1, intent(1)), record(902, 2, intent(2)), record(903, 2, Written{0}),
+            record(904, 2, Ended{0, Ending::Served}), record(905, 2, Answered{Final::Served})};
+}
+
+TEST(GoldenLedgerFrames, Hello) {
+    const auto read = std::get<Hello>(read_to("hello.bin", Hello{201, 202, "sidecar-a", 203}));
+    EXPECT_EQ(read.version, 201u);
+    EXPECT_EQ(read.boot, 202u);
+    EXPECT_EQ(read.name, "sidecar-a");
+    EXPECT_EQ(read.started_ms, 203);
+}
+
+TEST(GoldenLedgerFrames, Intent) {
+    const auto read = read_record(
+        "record-intent.bin",
+        Intent{3, "request-1", "debit", "key-1", std::string("digest\0\xff", 8), "uid-1", "10.3.0.1:80"});
+    EXPECT_EQ(read.attempt, 3u);
+    EXPECT_EQ(read.id, "request-1");
+    EXPECT_EQ(read.klass, "debit");
+    EXPECT_EQ(read.key, "key-1");
+    EXPECT_EQ(read.digest, std::string("digest\0\xff", 8));
+    EXPECT_EQ(read.uid, "uid-1");
+    EXPECT_EQ(read.address, "10.3.0.1:80");
+}
+
+TEST(GoldenLedgerFrames, Written) {
+    EXPECT_EQ(read_record("record-written.bin", Written{4}).attempt, 4u);
+}
+
+TEST(GoldenLedgerFrames, EndedEveryWayWithItsNumber) {
+    for (int number = 1; number < kEndings; ++number) {
+        const auto ending = static_cast<Ending>(number);
+        const auto read = read_record("record-ended-" + std::to_string(number) + ".bin", Ended{5, ending});
+        EXPECT_EQ(read.attempt, 5u);
+        EXPECT_EQ(static_cast<int>(read.ending), number);
+    }
+    EXPECT_EQ(static_cast<int>(Ending::Open), 0);
+    EXPECT_EQ(static_cast<int>(Ending::Served), 1);
+    EXPECT_EQ(static_cast<int>(Ending::Error), 2);
+    EXPECT_EQ(static_cast<int>(Ending::Timeout), 3);
+    EXPECT_EQ(static_cast<int>(Ending::Reset), 4);
+    EXPECT_EQ(static_cast<int>(Ending::Cancelled), 5);
+    EXPECT_EQ(static_cast<int>(Ending::Full), 6);
+    EXPECT_EQ(static_cast<int>(Ending::ConnectFailed), 7);
+    EXPECT_EQ(static_cast<int>(Ending::Moot), 8);
+    EXPECT_EQ(static_cast<int>(Ending::Withheld), 9);
+}
+
+TEST(GoldenLedgerFrames, AnsweredEveryWayWithItsNumber) {
+    for (int number = 1; number < kFinals; ++number) {
+        const auto read = read_record("record-answered-" + std::to_string(number) + ".bin",
+                                      Answered{static_cast<Final>(number)});
+        EXPECT_EQ(static_cast<int>(read.answer), number);
+    }
+    EXPECT_EQ(static_cast<int>(Final::None), 0);
+    EXPECT_EQ(static_cast<int>(Final::Refused), 1);
+    EXPECT_EQ(static_cast<int>(Final::Failed), 2);
+    EXPECT_EQ(static_cast<int>(Final::Served), 3);
+    EXPECT_EQ(static_cast<int>(Final::Left), 4);
+}
+
+TEST(GoldenLedgerFrames, Gap) {
+    const auto read = read_record("record-gap.bin", Gap{1'700'000'000'301, 302, "the disk was full"});
+    EXPECT_EQ(read.from_ms, 1'700'000'000'301);
+    EXPECT_EQ(read.requests, 302u);
+    EXPECT_EQ(read.reason, "the disk was full");
+}
+
+TEST(GoldenLedgerFrames, WhatTheWriterSays) {
+    EXPECT_EQ(std::get<Ready>(read_from("ready.bin", Ready{401})).version, 401u);
+    EXPECT_EQ(std::get<Ack>(read_from("ack.bin", Ack{402})).up_to, 402u);
+    EXPECT_EQ(std::get<Trouble>(read_from("trouble.bin", Trouble{"no room"})).what, "no room");
+}
+
+/// Of requests in the file, by boot and serial.
+std::map<std::pair<std::int64_t, std::uint64_t>, Entry> entries_in(Book& book) {
+    std::map<std::pair<std::int64_t, std::uint64_t>, Entry> found;
+    book.by_time(0, std::numeric_limits<std::int64_t>::max(), [&](const Entry& entry) {
+        found.emplace(std::pair{entry.boot, entry.serial}, entry);
+        return true;
+    });
+    return found;
+}
+
+TEST(GoldenLedgerFile, EveryRequestIsReadAsItWasWritten) {
+    if (golden::writes()) {
+        golden::Folder made;
+        {
+            Book book(made.at, true);
+            const auto before = book.open_boot(kBefore);
+            book.write(before, records_before());
+            const auto now = book.open_boot(kNow);
+            while (!book.conclude_before(now, 1'700'000'901'000, 100)) {
+            }
+            book.write(now, records_now());
+        }
+        golden::put_directory(made.at, path_of("journal"));
+    }
+    golden::Folder copy(path_of("journal"));
+    Book book(copy.at, true);
+    EXPECT_EQ(book.version(), 2);
+    EXPECT_EQ(book.verify(), std::vector<std::string>{});
+
+    const auto boots = book.boots();
+    ASSERT_EQ(boots.size(), 2u);
+    const bool first_first = boots[0].number == 1;
+    const BootInfo& before = boots[first_first ? 0 : 1];
+    const BootInfo& now = boots[first_first ? 1 : 0];
+    EXPECT_EQ(before.number, 1);
+    EXPECT_EQ(before.id, 0xfedcba9876543210u);
+    EXPECT_EQ(before.name, "sidecar-a");
+    EXPECT_EQ(before.started_ms, 1'700'000'000'000);
+    EXPECT_EQ(before.concluded_ms, 1'700'000'901'000);
+    EXPECT_EQ(now.number, 2);
+    EXPECT_EQ(now.id, 0x123456789abcdefu);
+    EXPECT_EQ(now.name, "sidecar-b");
+    EXPECT_EQ(now.started_ms, 1'700'000'900'000);
+    EXPECT_EQ(now.concluded_ms, 0);
+
+    const auto found = entries_in(book);
+    ASSERT_EQ(found.size(), 13u);
+    // What the records say; the sums of it are the file's own.
+    std::map<std::pair<std::int64_t, std::uint64_t>, Life> lives;
+    for (const Record& each : records_before()) {
+        if (each.serial != 0) lives[{1, each.serial}].join(each);
+    }
+    for (const Record& each : records_now()) lives[{2, each.serial}].join(each);
+    for (const auto& [name, entry] : found) {
+        SCOPED_TRACE(std::to_string(name.first) + "." + std::to_string(name.second));
+        ASSERT_TRUE(lives.contains(name));
+        EXPECT_EQ(entry.life, lives.at(name));
+        EXPECT_EQ(entry.sidecar, name.first == 1 ? "sidecar-a" : "sidecar-b");
+    }
+    // And by figures that stand here alone.
+    for (int ending = 0; ending < kEndings; ++ending) {
+        const auto serial = static_cast<std::uint64_t>(ending) + 1;
+        const std::string number = std::to_string(serial);
+        SCOPED_TRACE(number);
+        const Entry& entry = found.at({1, serial});
+        const Life& life = entry.life;
+        const std::int64_t taken = ending == 0 ? 1 : 4 * ending - 2;  // the sequence of its intent
+        EXPECT_EQ(life.id(), "request-" + number);
+        EXPECT_EQ(life.klass(), "debit");
+        EXPECT_EQ(life.key(), "key-" + number);
+        EXPECT_EQ(life.digest(), std::string("digest\0\xff", 8));
+        EXPECT_EQ(life.taken_ms(), 1'700'000'000'000 + taken * 1000);
+        EXPECT_EQ(life.taken_mono_ns(), taken * 1'000'000);
+        EXPECT_EQ(life.answer(), kAnswers[ending]);
+        ASSERT_EQ(life.attempts().size(), 1u);
+        const AttemptLife& attempt = life.attempts().at(0);
+        EXPECT_EQ(attempt.uid, "uid-" + number);
+        EXPECT_EQ(attempt.address, "10.3.0." + number + ":80");
+        EXPECT_EQ(attempt.intent_ms, 1'700'000'000'000 + taken * 1000);
+        EXPECT_EQ(static_cast<int>(attempt.ending), ending);
+        ASSERT_TRUE(entry.concluded.has_value());
+        EXPECT_EQ(*entry.concluded, life.effect());
+        if (ending == 0) continue;
+        EXPECT_EQ(attempt.written_ms, 1'700'000'000'000 + (taken + 1) * 1000);
+        EXPECT_EQ(attempt.ended_ms, 1'700'000'000'000 + (taken + 2) * 1000);
+    }
+    EXPECT_EQ(*found.at({1, 1}).concluded, Effect::MayHaveRun);  // open when its boot ended
+    EXPECT_EQ(*found.at({1, 2}).concluded, Effect::Ran);         // served
+    EXPECT_EQ(*found.at({1, 5}).concluded, Effect::MayHaveRun);  // reset
+    EXPECT_EQ(*found.at({1, 7}).concluded, Effect::NeverRan);    // turned away
+    const Life& twice = found.at({1, 11}).life;
+    ASSERT_EQ(twice.attempts().size(), 2u);
+    EXPECT_EQ(twice.attempts().at(0).ending, Ending::Full);
+    EXPECT_EQ(twice.attempts().at(1).ending, Ending::Served);
+    EXPECT_EQ(twice.answer(), Final::Served);
+    EXPECT_FALSE(found.at({2, 1}).concluded.has_value());  // under way
+    EXPECT_EQ(found.at({2, 2}).life.effect(), Effect::Ran);
+
+    const auto gaps = book.gaps(0, std::numeric_limits<std::int64_t>::max());
+    ASSERT_EQ(gaps.size(), 1u);
+    EXPECT_EQ(gaps[0].boot, 1);
+    EXPECT_EQ(gaps[0].from_ms, 1'700'000'001'000);
+    EXPECT_EQ(gaps[0].to_ms, 1'700'000'044'000);
+    EXPECT_EQ(gaps[0].requests, 7u);
+    EXPECT_EQ(gaps[0].reason, "the disk was full");
+}
+
+TEST(GoldenLedgerFile, ItIsFoundByIdAndKeyAndGoesOn) {
+    golden::Folder copy(path_of("journal"));
+    Book book(copy.at, true);
+    std::vector<std::uint64_t> serials;
+    const auto each = [&](const Entry& entry) {
+        serials.push_back(entry.serial);
+        return true;
+    };
+    book.by_id("request-11", each);
+    book.by_key("key-3", each);
+    EXPECT_EQ(serials, (std::vector<std::uint64_t>{11, 3}));
+    // The same boot is known again; what it had open goes on, and what was written changes nothing.
+    const auto boot = book.open_boot(kNow);
+    EXPECT_EQ(boot, 2);
+    book.write(boot, records_now());
+    EXPECT_EQ(entries_in(book).size(), 13u);
+    book.write(boot, {record(906, 1, Ended{0, Ending::Served}), record(907, 1, Answered{Final::Served})});
+    EXPECT_TRUE(entries_in(book).at({2, 1}).life.over());
+    EXPECT_EQ(book.verify(), std::vector<std::string>{});
+}
+
+}  // namespace
