--- a/tests/ledger/golden_test.cpp
+++ b/tests/ledger/golden_test.cpp
@@ -7,8 +7,10 @@
 #include <map>
 #include <vector>
 
+#include "ledger/archive.h"
 #include "ledger/book.h"
 #include "ledger/frame.h"
+#include "ledger/story.pb.h"
 
 namespace {
 
@@ -75,6 +77,12 @@
                                       Final::Left,    Final::Left,   Final::Refused, Final::Refused,
                                       Final::Refused, Final::Refused};
 
+/// The words that stand in archives and exports, by their numbers.
+const std::vector<std::string> kEndingWords{"open",      "served", "error",          "timeout", "reset",
+                                            "cancelled", "full",   "connect-failed", "moot",    "withheld"};
+const std::vector<std::string> kAnswerWords{"none", "refused", "failed", "served", "left"};
+const std::vector<std::string> kEffectWords{"never ran", "possibly ran", "ran"};
+
 /// Of a boot that has ended: a request for each ending of an attempt, and for each answer.
 std::vector<Record> records_before() {
     std::vector<Record> records;
@@ -301,4 +309,88 @@
     EXPECT_EQ(book.verify(), std::vector<std::string>{});
 }
 
+TEST(GoldenLedgerArchive, TheWordsInItStay) {
+    ASSERT_EQ(kEndingWords.size(), static_cast<std::size_t>(kEndings));
+    ASSERT_EQ(kAnswerWords.size(), static_cast<std::size_t>(kFinals));
+    for (std::size_t at = 0; at < kEndingWords.size(); ++at)
+        EXPECT_EQ(name_of(static_cast<Ending>(at)), kEndingWords[at]);
+    for (std::size_t at = 0; at < kAnswerWords.size(); ++at)
+        EXPECT_EQ(name_of(static_cast<Final>(at)), kAnswerWords[at]);
+    for (std::size_t at = 0; at < kEffectWords.size(); ++at)
+        EXPECT_EQ(name_of(static_cast<Effect>(at)), kEffectWords[at]);
+}
+
+TEST(GoldenLedgerArchive, ItsFilesAreMadeAlikeFromTheSameJournal) {
+    golden::Folder made(path_of("journal"));
+    {
+        Book book(made.at, true);
+        EXPECT_EQ(Archives(made.at).move_settled(book, 1'700'000'900'000, 1), 6u);
+    }
+    std::filesystem::remove(made.at + "/ledger.db");
+    if (golden::writes()) golden::put_directory(made.at, path_of("archives"));
+    std::map<std::string, std::string> kept, now;
+    for (const auto& file : std::filesystem::directory_iterator(path_of("archives")))
+        kept[file.path().filename()] = golden::kept(file.path());
+    for (const auto& file : std::filesystem::directory_iterator(made.at))
+        now[file.path().filename()] = golden::kept(file.path());
+    EXPECT_EQ(kept.size(), 3u);  // the manifest, an archive, its filter
+    EXPECT_EQ(now, kept);
+}
+
+TEST(GoldenLedgerArchive, EveryRequestIsReadAsItWasWritten) {
+    golden::Folder copy(path_of("archives"));
+    Archives archives(copy.at);
+    EXPECT_EQ(archives.verify(), std::vector<std::string>{});
+    const auto totals = archives.totals();
+    EXPECT_EQ(totals.archives, 1u);
+    EXPECT_EQ(totals.requests, 6u);
+    std::vector<story::Story> found;
+    archives.by_time(0, std::numeric_limits<std::int64_t>::max(), [&](const story::Story& each) {
+        found.push_back(each);
+        return true;
+    });
+    ASSERT_EQ(found.size(), 6u);  // what may have run stays in the journal
+    const std::vector<std::uint64_t> moved{2, 7, 8, 9, 10, 11};
+    for (std::size_t i = 0; i < found.size(); ++i) {
+        const story::Story& story = found[i];
+        const std::size_t at = moved[i] - 1;  // the number of its ending
+        const std::string number = std::to_string(at + 1);
+        SCOPED_TRACE(number);
+        const std::int64_t taken = 4 * static_cast<std::int64_t>(at) - 2;
+        EXPECT_EQ(story.sidecar(), "sidecar-a");
+        EXPECT_EQ(story.boot(), 1u);
+        EXPECT_EQ(story.serial(), at + 1);
+        EXPECT_EQ(story.id(), "request-" + number);
+        EXPECT_EQ(story.klass(), "debit");
+        EXPECT_EQ(story.key(), "key-" + number);
+        EXPECT_EQ(story.digest(), std::string("digest\0\xff", 8));
+        EXPECT_EQ(story.taken_ms(), 1'700'000'000'000 + taken * 1000);
+        EXPECT_EQ(story.taken_mono_ns(), taken * 1'000'000);
+        EXPECT_FALSE(story.reason().empty());
+        EXPECT_FALSE(story.under_way());
+        if (at >= kEndingWords.size()) continue;  // the one that was sent twice
+        EXPECT_EQ(story.answer(), kAnswerWords.at(static_cast<std::size_t>(kAnswers[at])));
+        EXPECT_EQ(story.answered_ms(), 1'700'000'000'000 + (taken + 3) * 1000);
+        EXPECT_EQ(story.effect(), at == 1 ? "ran" : "never ran");
+        ASSERT_EQ(story.attempts_size(), 1);
+        EXPECT_EQ(story.attempts(0).number(), 0u);
+        EXPECT_EQ(story.attempts(0).uid(), "uid-" + number);
+        EXPECT_EQ(story.attempts(0).address(), "10.3.0." + number + ":80");
+        EXPECT_EQ(story.attempts(0).intent_ms(), 1'700'000'000'000 + taken * 1000);
+        EXPECT_EQ(story.attempts(0).ending(), kEndingWords[at]);
+        EXPECT_EQ(story.attempts(0).written_ms(), 1'700'000'000'000 + (taken + 1) * 1000);
+        EXPECT_EQ(story.attempts(0).ended_ms(), 1'700'000'000'000 + (taken + 2) * 1000);
+    }
+    ASSERT_EQ(found[5].attempts_size(), 2);
+    EXPECT_EQ(found[5].attempts(1).number(), 1u);
+    EXPECT_EQ(found[5].attempts(1).ending(), "served");
+    std::vector<std::uint64_t> serials;
+    archives.by_name("key-9", true, [&](const story::Story& each) {
+        serials.push_back(each.serial());
+        return true;
+    });
+    EXPECT_EQ(serials, std::vector<std::uint64_t>{9});
+    EXPECT_EQ(archives.troubles(), std::vector<std::string>{});
+}
+
 }  // namespace
--- a/tests/mesh/golden_test.cpp
+++ b/tests/mesh/golden_test.cpp
@@ -402,6 +402,22 @@
     CHECK(static_cast<int>(rolls::State::Draining) == 2);
 }
 
+TEST_CASE("golden rpc: each flag of news by itself, and a registry's state of absence") {
+    passage::News whole, in_touch;
+    whole.rolls.whole = true;
+    whole.rolls.places = {kReady};
+    whole.rolls.places.front().state = rolls::State::Absent;
+    in_touch.in_touch = true;
+    const auto first = read_rpc("rpc-news-flag-1.bin", whole);
+    CHECK(first.rolls.whole);
+    CHECK_FALSE(first.in_touch);
+    REQUIRE(first.rolls.places.size() == 1);
+    CHECK(first.rolls.places[0].state == rolls::State::Absent);
+    const auto second = read_rpc("rpc-news-flag-2.bin", in_touch);
+    CHECK_FALSE(second.rolls.whole);
+    CHECK(second.in_touch);
+}
+
 TEST_CASE("golden rpc: a whole frame, as it goes over a connection") {
     const passage::Message message{news()};
     const std::string bytes = golden::kept(path_of("rpc-frame.bin"), *passage::Channel::frame(message));
--- a/tests/replica/golden_test.cpp
+++ b/tests/replica/golden_test.cpp
@@ -216,6 +216,21 @@
     }
 }
 
+TEST(GoldenStateMessages, TheirTwoFlagsByThemselves) {
+    Message end, busy;
+    end.kind = busy.kind = Message::Kind::Page;
+    end.end = true;
+    busy.busy = true;
+    const std::string ends = golden::kept(path_of("message-flag-end.bin"), bytes_of(end));
+    const std::string is_busy = golden::kept(path_of("message-flag-busy.bin"), bytes_of(busy));
+    EXPECT_EQ(bytes_of(end), ends);
+    EXPECT_EQ(bytes_of(busy), is_busy);
+    EXPECT_TRUE(read_message(ends).end);
+    EXPECT_FALSE(read_message(ends).busy);
+    EXPECT_FALSE(read_message(is_busy).end);
+    EXPECT_TRUE(read_message(is_busy).busy);
+}
+
 Named read_entry(const std::string& file, const Named& now) {
     const std::string bytes = golden::kept(path_of(file), bytes_of(now));
     EXPECT_EQ(bytes_of(now), bytes);
@@ -231,6 +246,34 @@
     expect_drain(read_entry("entry-drain.bin", drain()));
 }
 
+TEST(GoldenStateEntries, ValuesInAnOperatorsWords) {
+    const auto read = [](const char* file, const char* table, const char* words, std::uint64_t rank) {
+        SCOPED_TRACE(file);
+        std::string error;
+        const auto now = read_value(table, words, error);
+        ASSERT_TRUE(now.has_value()) << error;
+        const std::string bytes = golden::kept(path_of(file), now->bytes);
+        EXPECT_EQ(now->bytes, bytes);
+        EXPECT_EQ(now->rank, rank);
+        EXPECT_EQ(text_of(table, bytes), words);
+    };
+    read("value-exclude.bin", "overrides", "exclude", 101);
+    read("value-weight.bin", "overrides", "weight=40", 60);
+    read("value-setting.bin", "settings", "a=1", 0);
+    read("value-fence.bin", "fences", "epoch=7 holder-a", 7);
+}
+
+TEST(GoldenStateEntries, TheTablesKeepTheirNamesAndRules) {
+    const std::vector<std::pair<std::string, int>> kept{
+        {"overrides", 1}, {"verdicts", 0}, {"drains", 0}, {"settings", 0}, {"fences", 2}};
+    ASSERT_EQ(kTables.size(), kept.size());
+    for (const auto& [name, rule] : kept) {
+        const Table* table = table_named(name);
+        ASSERT_NE(table, nullptr) << name;
+        EXPECT_EQ(static_cast<int>(table->rule), rule) << name;
+    }
+}
+
 TEST(GoldenStateEntries, TheirHashesAndPlacesStay) {
     // Two copies of different builds compare these.
     const std::string now =
