--- a/benchmarks/register_report.cpp
+++ b/benchmarks/register_report.cpp
@@ -111,17 +111,17 @@
     passage::Word word{1, configuration(1), {}};
     for (std::size_t i = 0; i < kHistory; ++i)
         word.history.push_back({static_cast<std::uint32_t>(i * 3), charter::digest("x", i)});
-    moot::Disk disk;
-    disk.self = 1;
+    raft::PersistentState disk;
+    disk.self_id = 1;
     for (std::uint64_t i = 1; i <= 5; ++i)
-        disk.newest.voters.push_back({i, "10.128.0." + std::to_string(i) + ":7000"});
-    disk.newest.value = passage::encode(word);
-    disk.committed = disk.newest;
-    moot::Message message;
+        disk.last_entry.voters.push_back({i, "10.128.0." + std::to_string(i) + ":7000"});
+    disk.last_entry.value = passage::encode(word);
+    disk.committed_entry = disk.last_entry;
+    raft::Message message;
     const auto heartbeat = passage::encode(passage::Message{message}).size();
-    message.entry = disk.newest;
+    message.entry = disk.last_entry;
     std::printf("document %zu bytes, of the history %zu digests, word %zu bytes\n", word.document.size(),
-                word.history.size(), disk.newest.value.size());
+                word.history.size(), disk.last_entry.value.size());
     std::printf("on the wire: an entry %zu bytes, a heartbeat without one %zu\n",
                 passage::encode(passage::Message{message}).size(), heartbeat);
 
@@ -140,10 +140,10 @@
         std::string value;
         encoded.add([&] { value = passage::encode(word); });
         decoded.add([&] { passage::decode_word(value); });
-        disk.newest.stamp.index++;
-        disk.newest.value = std::move(value);
+        disk.last_entry.position.index++;
+        disk.last_entry.value = std::move(value);
         proposed.add(save);
-        disk.committed = disk.newest;
+        disk.committed_entry = disk.last_entry;
         committed.add(save);
         disk.term++;
         disk.voted_for = 1;
--- a/src/bell/bell.cpp
+++ b/src/bell/bell.cpp
@@ -32,7 +32,7 @@
          "At its end this guildhall has given its place and its copy to others."},
         {Event::PlaceKept, "MG305", "moot.place_kept", Weight::Warning, 10,
          "It ends with its place: nobody took it in time. Its disk is to come back."},
-        {Event::LossesNotBorne, "MG306", "moot.losses_not_borne", Weight::Warning, 30,
+        {Event::LossesNotBorne, "MG306", "raft.losses_not_borne", Weight::Warning, 30,
          "The voters that there are can't bear what fault_tolerance says; more machines are wanted."},
         {Event::DiskTrouble, "MG401", "strongbox.trouble", Weight::Error, 12,
          "A record could not be written; this guildhall acknowledges nothing until one can."},
--- a/src/guildhall/clerk.cpp
+++ b/src/guildhall/clerk.cpp
@@ -30,20 +30,21 @@
 }  // namespace
 
 const passage::Word& Clerk::word() {
-    const moot::Entry& committed = moot_.disk().committed;
-    if (committed.stamp != word_stamp_) {
+    const raft::LogEntry& committed = moot_.persistent_state().committed_entry;
+    if (committed.position != word_stamp_) {
         // A new term's entry most often has the value that was there.
         auto read = passage::decode_word(committed.value);
         readable_ = read.has_value();
         if (read) word_ = std::move(*read);
-        word_stamp_ = committed.stamp;
+        word_stamp_ = committed.position;
     }
     return word_;
 }
 
 calls::Response Clerk::elsewhere(Time now, Call call) const {
     const auto leader = moot_.leader();
-    if (leader && moot_.role() != moot::Moot::Role::Leader && moot_.in_touch(now, 1s) && control_of) {
+    if (leader && moot_.role() != raft::RaftNode::Role::Leader && moot_.has_quorum_contact(now, 1s) &&
+        control_of) {
         return {307, "",
                 control_of(*leader) + (call == Call::Read      ? "/v1/configuration/read"
                                        : call == Call::Replace ? "/v1/configuration/replace"
@@ -53,7 +54,7 @@
 }
 
 void Clerk::take(Time now, Call call, const std::string& body, calls::Respond respond) {
-    if (moot_.role() != moot::Moot::Role::Leader) return respond(elsewhere(now, call));
+    if (moot_.role() != raft::RaftNode::Role::Leader) return respond(elsewhere(now, call));
     if (body.size() > kMostBody) return respond(refusal(413, "the body is too long"));
     if (jobs_.size() >= kMostJobs || held_ + body.size() > kMostHeld)
         return respond(unclear("too many calls wait"));
@@ -70,7 +71,7 @@
 
 void Clerk::answer_when_confirmed(Time now, Job& job, calls::Response answer) {
     job.answer = std::move(answer);
-    job.confirmation = moot_.ask_confirmation(now);
+    job.confirmation = moot_.request_read_index(now);
 }
 
 void Clerk::refuse(Time now, Job& job, unsigned status, const std::string& why, const std::string& logged) {
@@ -82,7 +83,7 @@
 /// only once a majority has said that it still leads.
 void Clerk::decide(Time now, Job& job) {
     const passage::Word& held = word();
-    job.term = moot_.disk().term;
+    job.term = moot_.persistent_state().term;
     if (!readable_) return answer_when_confirmed(now, job, unclear("what is in place can't be read"));
     if (job.call == Call::Read) {
         if (held.version == 0)
@@ -161,15 +162,16 @@
 
 std::optional<calls::Response> Clerk::look_at(Time now, Job& job) {
     if (!job.holds && !job.confirmation) {
-        if (moot_.role() != moot::Moot::Role::Leader) return elsewhere(now, job.call);
-        if (moot_.leads(now)) decide(now, job);
+        if (moot_.role() != raft::RaftNode::Role::Leader) return elsewhere(now, job.call);
+        if (moot_.has_leader_lease(now)) decide(now, job);
     }
     // What the register holds now may be on no disk yet, not even here: a core of one commits by itself, and
     // an answer that speaks of it, be it a refusal, would outlive it.
     const bool is_written = !moot_.has_output();
     if (job.holds) {
         // Committed in the term in which it was proposed, or never by us: then nothing clear can be said.
-        if (!moot_.still_possible(*job.holds)) return unclear("the lead was lost; it may be in force or not");
+        if (!moot_.may_still_commit(*job.holds))
+            return unclear("the lead was lost; it may be in force or not");
         if (is_written && moot_.is_durable(*job.holds)) {
             if (on_decided && !job.repeated) on_decided(true, job.version, "");
             return calls::Response{200, "{}"};
@@ -179,8 +181,8 @@
     }
     if (job.confirmation) {
         // A confirmation of another term says nothing about what was current in this one.
-        if (!moot_.still_possible({job.term, 0})) return elsewhere(now, job.call);
-        if (is_written && moot_.is_confirmed(*job.confirmation)) return std::move(job.answer);
+        if (!moot_.may_still_commit({job.term, 0})) return elsewhere(now, job.call);
+        if (is_written && moot_.is_read_confirmed(*job.confirmation)) return std::move(job.answer);
     }
     if (now - job.came >= kUndecided) return unclear("undecided; nothing was done");
     return std::nullopt;
--- a/src/guildhall/clerk.h
+++ b/src/guildhall/clerk.h
@@ -11,14 +11,14 @@
 
 #include "calls/calls.h"
 #include "charter/charter.h"
-#include "moot/moot.h"
 #include "passage/messages.h"
+#include "raft/raft_node.h"
 
 namespace martenford::guildhall {
 
 class Clerk {
   public:
-    explicit Clerk(moot::Moot& moot) : moot_(moot) {}
+    explicit Clerk(raft::RaftNode& raft) : moot_(raft) {}
 
     void replace(Time now, const std::string& body, calls::Respond respond) {
         take(now, Call::Replace, body, std::move(respond));
@@ -35,7 +35,7 @@
     /// What is refused or taken, for the log.
     std::function<void(bool taken, std::uint32_t version, const std::string& why)> on_decided;
     /// The leader's `control` address, for a 307.
-    std::function<std::string(const moot::Member&)> control_of;
+    std::function<std::string(const raft::Member&)> control_of;
 
   private:
     enum class Call { Replace, Modify, Read };
@@ -47,11 +47,11 @@
         calls::Respond respond;
         Time came{};
         std::uint32_t version = 0;
-        moot::Term term = 0;  ///< in which it was decided
+        raft::Term term = 0;  ///< in which it was decided
         /// A new word, made from the committed one with the first stamp: the register takes it, or not yet.
-        std::optional<std::pair<moot::Stamp, std::string>> next;
+        std::optional<std::pair<raft::LogPosition, std::string>> next;
         /// The entry that holds the call's change: 200 once it is durable.
-        std::optional<moot::Stamp> holds;
+        std::optional<raft::LogPosition> holds;
         bool repeated = false;  ///< it was found there: no change of its own
         /// An answer that depends on what is current: given once a majority has said that this one still
         /// leads.
@@ -65,12 +65,15 @@
     void refuse(Time now, Job& job, unsigned status, const std::string& why, const std::string& logged = "");
     void answer_when_confirmed(Time now, Job& job, calls::Response answer);
     calls::Response elsewhere(Time now, Call call) const;
-    bool is_settled() const { return moot_.disk().committed.stamp == moot_.disk().newest.stamp; }
+    bool is_settled() const {
+        return moot_.persistent_state().committed_entry.position ==
+               moot_.persistent_state().last_entry.position;
+    }
 
-    moot::Moot& moot_;
+    raft::RaftNode& moot_;
     std::deque<Job> jobs_;
     std::size_t held_ = 0;  // bytes of bodies in jobs_
-    moot::Stamp word_stamp_;
+    raft::LogPosition word_stamp_;
     bool readable_ = true;
     passage::Word word_;
 };
--- a/src/guildhall/guildhall.cpp
+++ b/src/guildhall/guildhall.cpp
@@ -46,12 +46,13 @@
 
 class Guildhall {
   public:
-    Guildhall(const boot::Settings& settings, std::unique_ptr<strongbox::Strongbox> box, moot::Disk disk)
+    Guildhall(const boot::Settings& settings, std::unique_ptr<strongbox::Strongbox> box,
+              raft::PersistentState disk)
         : settings_(settings),
           box_(std::move(box)),
-          self_{disk.self, own_address(settings), settings.zone, settings.region, settings.loss_counted},
-          moot_(self_, std::move(disk), moot_options(settings), drawn()),
-          clerk_(moot_),
+          self_{disk.self_id, own_address(settings), settings.zone, settings.region, settings.loss_counted},
+          raft_(self_, std::move(disk), raft_options(settings), drawn()),
+          clerk_(raft_),
           registry_(drawn(), {}),
           grantor_(scale_options(settings)),
           signals_(loop_.io(), SIGTERM, SIGINT),
@@ -86,13 +87,13 @@
                      {{"version", charter::text_of(version)}, {"why", why}});
             }
         };
-        clerk_.control_of = [this](const moot::Member& leader) {
+        clerk_.control_of = [this](const raft::Member& leader) {
             const auto address = parse_address(leader.address);
             const auto port = settings_.control->port();
             return "http://" + address->address().to_string() + ":" + std::to_string(port);
         };
         counter_.listen(*settings.control);
-        for (const moot::Member& voter : moot_.disk().newest.voters) know(voter);
+        for (const raft::Member& voter : raft_.persistent_state().last_entry.voters) know(voter);
         for (const Address& seed : settings.seeds) {
             dial(seed.address().to_string() + ":" + std::to_string(settings.first_port));
         }
@@ -101,7 +102,7 @@
             ring(Event::Stopping, "stopping");
             const Time now = loop_.now();
             ends_at_ = now + std::min<Duration>(kLongestLeave, settings_.bounds.grace / 3);
-            moot_.leave(now);
+            raft_.leave(now);
             turn();
             leave();
         });
@@ -110,17 +111,17 @@
         ring(Event::Started, "listening",
              {{"control", text_of(*settings.control)},
               {"member", std::to_string(self_.id)},
-              {"voter", moot_.is_voter() ? "yes" : "no"}});
+              {"voter", raft_.is_voter() ? "yes" : "no"}});
     }
     void run() { loop_.run(); }
 
     /// Place and copy go to others first; where there is nobody to take them, this one ends all the same.
     void leave() {
         const Time now = loop_.now();
-        if (moot_.has_left() || now >= ends_at_) {
-            ring(moot_.has_left() ? Event::PlaceGiven : Event::PlaceKept,
-                 moot_.has_left() ? "gave its place away" : "ends with its place",
-                 {{"copies_elsewhere", moot_.has_left() ? "yes" : "unknown"}});
+        if (raft_.has_left() || now >= ends_at_) {
+            ring(raft_.has_left() ? Event::PlaceGiven : Event::PlaceKept,
+                 raft_.has_left() ? "gave its place away" : "ends with its place",
+                 {{"copies_elsewhere", raft_.has_left() ? "yes" : "unknown"}});
             // What was answered last goes out first.
             return ending_.set(now + kLastWords, [this] { loop_.stop(); });
         }
@@ -134,7 +135,7 @@
   private:
     struct Peer {
         std::unique_ptr<passage::Dialer> dialer;
-        std::optional<moot::Member> member;
+        std::optional<raft::Member> member;
         Time heard{};
     };
     struct Caller {  // a connection to us
@@ -143,13 +144,13 @@
         Time polled{};
     };
 
-    static moot::Options moot_options(const boot::Settings& settings) {
-        moot::Options options;
+    static raft::RaftOptions raft_options(const boot::Settings& settings) {
+        raft::RaftOptions options;
         // A restart in order is an absence as well: one machine is borne also where none need be.
-        options.tolerance = {std::max<std::size_t>(settings.fault_tolerance.machines, 1),
-                             settings.fault_tolerance.zones, settings.fault_tolerance.regions};
+        options.fault_tolerance = {std::max<std::size_t>(settings.fault_tolerance.machines, 1),
+                                   settings.fault_tolerance.zones, settings.fault_tolerance.regions};
         // A machine that replaces a lost one is to vote well before the next may be lost.
-        options.replace_after = std::clamp<Duration>(settings.bounds.catch_up * 3 / 8, 1s, 2500ms);
+        options.replace_voter_after = std::clamp<Duration>(settings.bounds.catch_up * 3 / 8, 1s, 2500ms);
         return options;
     }
     static scales::Grantor::Options scale_options(const boot::Settings& settings) {
@@ -183,7 +184,7 @@
             loop_, *to, [this, address](passage::Message&& message) { heard(address, std::move(message)); },
             [this, address] { hello(address); }, [] {});
     }
-    void know(const moot::Member& member) {
+    void know(const raft::Member& member) {
         if (member.id == 0 || member.id == self_.id) return;
         dial(member.address);
         by_id_[member.id] = member.address;
@@ -193,14 +194,15 @@
             peer->second.dialer->send(passage::Hello{self_, guildhalls()});
     }
     /// Those that were heard of lately, and the voters.
-    std::vector<moot::Member> guildhalls() const {
-        std::map<std::string, moot::Member> all{{self_.address, self_}};
-        for (const moot::Member& voter : moot_.disk().newest.voters) all.emplace(voter.address, voter);
+    std::vector<raft::Member> guildhalls() const {
+        std::map<std::string, raft::Member> all{{self_.address, self_}};
+        for (const raft::Member& voter : raft_.persistent_state().last_entry.voters)
+            all.emplace(voter.address, voter);
         const Time now = loop_.now();
         for (const auto& [address, peer] : peers_) {
             if (peer.member && now - peer.heard < 3s) all[address] = *peer.member;
         }
-        std::vector<moot::Member> out;
+        std::vector<raft::Member> out;
         for (auto& [address, member] : all) out.push_back(member);
         return out;
     }
@@ -222,9 +224,9 @@
             peer->second.heard = now;
             peer->second.member = hello->member;
             met(*hello);
-        } else if (auto* moot = std::get_if<moot::Message>(&message)) {
+        } else if (auto* raft = std::get_if<raft::Message>(&message)) {
             peer->second.heard = now;
-            moot_.receive(now, *moot);
+            raft_.receive(now, *raft);
             turn();
         }
     }
@@ -236,8 +238,8 @@
             peer->second.member = hello.member;
             peer->second.heard = now;
         }
-        moot_.met(now, hello.member);
-        for (const moot::Member& other : hello.guildhalls) dial(other.address);
+        raft_.add_known_member(now, hello.member);
+        for (const raft::Member& other : hello.guildhalls) dial(other.address);
     }
 
     /// On a connection that another dialled.
@@ -249,17 +251,17 @@
         if (auto* hello = std::get_if<passage::Hello>(&message)) {
             met(*hello);
             channel->send(passage::Hello{self_, guildhalls()});
-        } else if (auto* moot = std::get_if<moot::Message>(&message)) {
-            if (moot->to == self_.id) by_id_[moot->from.id] = moot->from.address;
-            moot_.receive(now, *moot);
+        } else if (auto* raft = std::get_if<raft::Message>(&message)) {
+            if (raft->to == self_.id) by_id_[raft->from.id] = raft->from.address;
+            raft_.receive(now, *raft);
             turn();
         } else if (auto* announce = std::get_if<passage::Announce>(&message)) {
             if (registry_.told(now, announce->place)) news();
             grantor_.heard(now, announce->place.node, announce->taken, announce->demands);
             passage::Grants grants;
-            if (moot_.leads(now)) {
+            if (raft_.has_leader_lease(now)) {
                 grants.leads = true;
-                grants.grants = grantor_.grant(now, *moot_.leading_since(), announce->place.node, quotas(),
+                grants.grants = grantor_.grant(now, *raft_.leader_since(), announce->place.node, quotas(),
                                                registry_.size(), registry_.size() - registry_.live());
             }
             grants.number = grantor_.number();
@@ -302,7 +304,7 @@
         out.rolls = registry_.news(poll.epoch, poll.seq);
         out.version = word.version;
         if (poll.wants_config && word.version > poll.version) out.config = word.document;
-        out.in_touch = moot_.in_touch(now, kInTouch);
+        out.in_touch = raft_.has_quorum_contact(now, kInTouch);
         out.guildhalls = guildhalls();
         caller.channel->send(out);
     }
@@ -332,9 +334,9 @@
         if (now >= next_hello_) {
             next_hello_ = now + kHello;
             for (auto it = peers_.begin(); it != peers_.end();) {
-                const bool voter =
-                    std::any_of(moot_.disk().newest.voters.begin(), moot_.disk().newest.voters.end(),
-                                [&](const auto& m) { return m.address == it->first; });
+                const bool voter = std::any_of(raft_.persistent_state().last_entry.voters.begin(),
+                                               raft_.persistent_state().last_entry.voters.end(),
+                                               [&](const auto& m) { return m.address == it->first; });
                 const bool seed = std::any_of(
                     settings_.seeds.begin(), settings_.seeds.end(),
                     [&](const Address& a) { return it->first.starts_with(a.address().to_string() + ":"); });
@@ -348,12 +350,12 @@
         }
         if (registry_.tick(now)) news();
         // Whether it hears a leader is news to those who have no configuration yet.
-        if (const bool in_touch = moot_.in_touch(now, kInTouch); in_touch != in_touch_) {
+        if (const bool in_touch = raft_.has_quorum_contact(now, kInTouch); in_touch != in_touch_) {
             in_touch_ = in_touch;
             for (auto& [key, caller] : callers_) caller.polled = {};
         }
         tell(now);
-        moot_.tick(now);
+        raft_.tick(now);
         turn();
     }
 
@@ -368,30 +370,30 @@
                 tell(loop_.now());
             }
             clerk_.settle(loop_.now());
-        } while (moot_.has_output() && !unsaved_);
+        } while (raft_.has_output() && !unsaved_);
         turning_ = false;
         report();
     }
     void save() {
-        unsaved_ |= moot_.take_persist();
+        unsaved_ |= raft_.take_persist_request();
         if (!unsaved_) return;
         if (const Time now = loop_.now(); now >= save_again_) {
-            const auto saved = box_->save(passage::records_of(moot_.disk()));
+            const auto saved = box_->save(passage::records_of(raft_.persistent_state()));
             if (const auto* trouble = std::get_if<strongbox::Trouble>(&saved)) {
                 ring(Event::DiskTrouble, "not written", {{"what", trouble->what}});
                 save_again_ = loop_.now() + kSaveAgain;
             } else {
                 unsaved_ = false;
-                return moot_.persisted(loop_.now());
+                return raft_.on_persisted(loop_.now());
             }
         }
-        moot_.disk_failed(loop_.now());
+        raft_.on_persist_failed(loop_.now());
     }
     void send() {
-        for (const moot::Message& message : moot_.take_messages()) {
+        for (const raft::Message& message : raft_.take_messages()) {
             const auto known = by_id_.find(message.to);
             std::string to = known == by_id_.end() ? "" : known->second;
-            for (const moot::Member& voter : moot_.disk().newest.voters) {
+            for (const raft::Member& voter : raft_.persistent_state().last_entry.voters) {
                 if (voter.id == message.to) to = voter.address;
             }
             if (to.empty()) continue;
@@ -400,21 +402,23 @@
         }
     }
     void report() {
-        if (const bool leads = moot_.role() == moot::Moot::Role::Leader; leads != led_) {
+        if (const bool leads = raft_.role() == raft::RaftNode::Role::Leader; leads != led_) {
             led_ = leads;
             ring(leads ? Event::Leads : Event::LeadLost, leads ? "leads" : "leads no more",
-                 {{"term", std::to_string(moot_.disk().term)}});
+                 {{"term", std::to_string(raft_.persistent_state().term)}});
         }
         // A set counts once it stands alone: while the one before it has a say, it may not bear a loss yet.
-        if (!moot_.disk().newest.outgoing.empty() || moot_.disk().newest.voters == voters_) return;
-        voters_ = moot_.disk().newest.voters;
+        if (!raft_.persistent_state().last_entry.outgoing_voters.empty() ||
+            raft_.persistent_state().last_entry.voters == voters_)
+            return;
+        voters_ = raft_.persistent_state().last_entry.voters;
         std::string text;
         for (const auto& voter : voters_) {
             text += (text.empty() ? "" : ",") + voter.address;
             know(voter);
         }
-        ring(Event::MembersChanged, "voters", {{"are", text}, {"this", moot_.is_voter() ? "yes" : "no"}});
-        if (!moot_.bears_losses())
+        ring(Event::MembersChanged, "voters", {{"are", text}, {"this", raft_.is_voter() ? "yes" : "no"}});
+        if (!raft_.tolerates_failures())
             ring(Event::LossesNotBorne, "too few voters",
                  {{"voters", std::to_string(voters_.size())},
                   {"machines", std::to_string(settings_.fault_tolerance.machines)},
@@ -426,18 +430,18 @@
     Loop loop_;
     Counters counters_;
     std::unique_ptr<strongbox::Strongbox> box_;
-    moot::Member self_;
-    moot::Moot moot_;
+    raft::Member self_;
+    raft::RaftNode raft_;
     Clerk clerk_;
     rolls::Registry registry_;
     scales::Grantor grantor_;
     std::map<std::string, scales::Quota> quotas_;
     std::uint32_t quota_version_ = 0, told_version_ = 0;
     std::map<std::string, Peer> peers_;
-    std::map<moot::MemberId, std::string> by_id_;
+    std::map<raft::MemberId, std::string> by_id_;
     std::map<std::uint64_t, Caller> callers_;
     std::uint64_t last_caller_ = 0;
-    std::vector<moot::Member> voters_;
+    std::vector<raft::Member> voters_;
     bool led_ = false, in_touch_ = false, gathering_ = false, unsaved_ = false, turning_ = false;
     Time save_again_{}, next_hello_{}, ends_at_{};
     asio::signal_set signals_, hangups_;
@@ -447,16 +451,16 @@
 };
 
 /// What this machine's disk holds; a machine whose disk is empty or damaged is a new member.
-std::variant<moot::Disk, strongbox::Trouble> disk_of(const boot::Settings& settings,
-                                                     strongbox::Strongbox& box) {
+std::variant<raft::PersistentState, strongbox::Trouble> disk_of(const boot::Settings& settings,
+                                                                strongbox::Strongbox& box) {
     const strongbox::Found found = box.load();
     if (found.damaged) ring(Event::DiskDamaged, "a record is damaged");
     if (!found.damaged && !found.records.empty()) {
-        if (auto disk = passage::disk_of(found.records); disk && disk->self != 0) return *disk;
+        if (auto disk = passage::disk_of(found.records); disk && disk->self_id != 0) return *disk;
         ring(Event::DiskDamaged, "the records don't belong together");
     }
-    moot::Disk disk;
-    disk.self = drawn();
+    raft::PersistentState disk;
+    disk.self_id = drawn();
     const std::string own = Guildhall::own_address(settings);
     if (settings.first_boot && !found.damaged && found.records.empty()) {
         // At the first start of all, all are told the same seeds: they are the first voters, known by their
@@ -464,11 +468,11 @@
         for (const Address& seed : settings.seeds) {
             const std::string address =
                 seed.address().to_string() + ":" + std::to_string(settings.first_port);
-            const moot::Member member{charter::digest(address, 1) | 1, address};
-            disk.newest.voters.push_back(member);
-            if (address == own) disk.self = member.id;
+            const raft::Member member{charter::digest(address, 1) | 1, address};
+            disk.last_entry.voters.push_back(member);
+            if (address == own) disk.self_id = member.id;
         }
-        disk.committed = disk.newest;
+        disk.committed_entry = disk.last_entry;
     } else {
         ring(Event::FreshMember, "a new member without a vote");
     }
@@ -516,7 +520,7 @@
         } else {
             auto box = std::get<std::unique_ptr<strongbox::Strongbox>>(std::move(opened));
             auto disk = disk_of(settings, *box);
-            if (auto* held = std::get_if<moot::Disk>(&disk)) {
+            if (auto* held = std::get_if<raft::PersistentState>(&disk)) {
                 Guildhall guildhall(settings, std::move(box), std::move(*held));
                 guildhall.run();
                 return 0;
--- a/src/passage/messages.cpp
+++ b/src/passage/messages.cpp
@@ -28,22 +28,22 @@
     return {reinterpret_cast<const capnp::byte*>(from.data()), from.size()};
 }
 
-void put(wire::Member::Builder to, const moot::Member& from) {
+void put(wire::Member::Builder to, const raft::Member& from) {
     to.setId(from.id);
     to.setAddress(from.address);
     to.setZone(from.zone);
     to.setRegion(from.region);
-    to.setCounts(from.counts);
+    to.setCounts(from.loss_counted);
 }
-moot::Member get(wire::Member::Reader from) {
+raft::Member get(wire::Member::Reader from) {
     return {from.getId(), text(from.getAddress()), text(from.getZone()), text(from.getRegion()),
             from.getCounts()};
 }
-void put(wire::Stamp::Builder to, const moot::Stamp& from) {
+void put(wire::Stamp::Builder to, const raft::LogPosition& from) {
     to.setTerm(from.term);
     to.setIndex(from.index);
 }
-moot::Stamp get(wire::Stamp::Reader from) {
+raft::LogPosition get(wire::Stamp::Reader from) {
     return {from.getTerm(), from.getIndex()};
 }
 
@@ -65,13 +65,13 @@
     return all;
 }
 
-void put(wire::Entry::Builder to, const moot::Entry& from) {
-    put(to.initStamp(), from.stamp);
+void put(wire::Entry::Builder to, const raft::LogEntry& from) {
+    put(to.initStamp(), from.position);
     put_all(to.initVoters(static_cast<unsigned>(from.voters.size())), from.voters);
-    put_all(to.initOutgoing(static_cast<unsigned>(from.outgoing.size())), from.outgoing);
+    put_all(to.initOutgoing(static_cast<unsigned>(from.outgoing_voters.size())), from.outgoing_voters);
     to.setValue(data(from.value));
 }
-moot::Entry get(wire::Entry::Reader from) {
+raft::LogEntry get(wire::Entry::Reader from) {
     return {get(from.getStamp()), get_all(from.getVoters()), bytes(from.getValue()),
             get_all(from.getOutgoing())};
 }
@@ -129,22 +129,22 @@
         put(out.initMember(), from.member);
         put_all(out.initGuildhalls(static_cast<unsigned>(from.guildhalls.size())), from.guildhalls);
     }
-    void operator()(const moot::Message& from) {
+    void operator()(const raft::Message& from) {
         auto out = to.initMoot();
         out.setKind(static_cast<std::uint8_t>(from.kind));
         put(out.initFrom(), from.from);
         out.setTo(from.to);
         out.setTerm(from.term);
-        out.setPre(from.pre);
-        out.setYes(from.yes);
-        put(out.initNewest(), from.newest);
-        put(out.initCommitted(), from.committed);
+        out.setPre(from.pre_vote);
+        out.setYes(from.granted);
+        put(out.initNewest(), from.last_position);
+        put(out.initCommitted(), from.commit_position);
         out.setRound(from.round);
-        out.setHanded(from.handed);
+        out.setHanded(from.leadership_transfer);
         out.setLeaving(from.leaving);
-        out.setLeads(from.leads);
-        out.setAsked(from.asked);
-        out.setAsk(from.ask);
+        out.setLeads(from.has_quorum);
+        out.setAsked(from.sent_at);
+        out.setAsk(from.contact_sequence);
         if (from.entry) put(out.initEntry(), *from.entry);
     }
     void operator()(const Announce& from) {
@@ -224,23 +224,23 @@
                 return Hello{get(in.getHello().getMember()), get_all(in.getHello().getGuildhalls())};
             case wire::Envelope::MOOT: {
                 const auto from = in.getMoot();
-                if (from.getKind() > static_cast<std::uint8_t>(moot::Message::Kind::TakeOver))
+                if (from.getKind() > static_cast<std::uint8_t>(raft::Message::Kind::TimeoutNow))
                     return std::nullopt;
-                moot::Message out;
-                out.kind = static_cast<moot::Message::Kind>(from.getKind());
+                raft::Message out;
+                out.kind = static_cast<raft::Message::Kind>(from.getKind());
                 out.from = get(from.getFrom());
                 out.to = from.getTo();
                 out.term = from.getTerm();
-                out.pre = from.getPre();
-                out.yes = from.getYes();
-                out.newest = get(from.getNewest());
-                out.committed = get(from.getCommitted());
+                out.pre_vote = from.getPre();
+                out.granted = from.getYes();
+                out.last_position = get(from.getNewest());
+                out.commit_position = get(from.getCommitted());
                 out.round = from.getRound();
-                out.handed = from.getHanded();
+                out.leadership_transfer = from.getHanded();
                 out.leaving = from.getLeaving();
-                out.leads = from.getLeads();
-                out.asked = from.getAsked();
-                out.ask = from.getAsk();
+                out.has_quorum = from.getLeads();
+                out.sent_at = from.getAsked();
+                out.contact_sequence = from.getAsk();
                 if (from.hasEntry()) out.entry = get(from.getEntry());
                 return out;
             }
@@ -336,21 +336,21 @@
     return word ? std::move(*word) : std::nullopt;
 }
 
-std::string encode(const moot::Disk& disk) {
+std::string encode(const raft::PersistentState& disk) {
     capnp::MallocMessageBuilder builder;
     auto out = builder.initRoot<wire::Disk>();
-    out.setSelf(disk.self);
+    out.setSelf(disk.self_id);
     out.setTerm(disk.term);
     out.setVotedFor(disk.voted_for);
-    put(out.initNewest(), disk.newest);
-    put(out.initCommitted(), disk.committed);
+    put(out.initNewest(), disk.last_entry);
+    put(out.initCommitted(), disk.committed_entry);
     return flat(builder);
 }
 
-std::optional<moot::Disk> decode_disk(std::string_view from) {
+std::optional<raft::PersistentState> decode_disk(std::string_view from) {
     return parsed<wire::Disk>(from, [](wire::Disk::Reader in) {
-        return moot::Disk{in.getSelf(), in.getTerm(), in.getVotedFor(), get(in.getNewest()),
-                          get(in.getCommitted())};
+        return raft::PersistentState{in.getSelf(), in.getTerm(), in.getVotedFor(), get(in.getNewest()),
+                                     get(in.getCommitted())};
     });
 }
 
@@ -359,7 +359,7 @@
 constexpr char kState[] = "state";
 constexpr char kWhole[] = "word";  // all in one record, as programs before wrote it
 
-std::string name_of(const moot::Stamp& stamp) {
+std::string name_of(const raft::LogPosition& stamp) {
     return "value." + std::to_string(stamp.term) + "." + std::to_string(stamp.index);
 }
 /// Ties the state to the values that it was written with: one that is not of the same write is seen.
@@ -373,17 +373,17 @@
 
 }  // namespace
 
-std::map<std::string, std::string> records_of(const moot::Disk& disk) {
-    const Sums sums = sums_of(disk.newest.value, disk.committed.value);
-    moot::Disk bare = disk;
-    bare.newest.value.clear();
-    bare.committed.value.clear();
+std::map<std::string, std::string> records_of(const raft::PersistentState& disk) {
+    const Sums sums = sums_of(disk.last_entry.value, disk.committed_entry.value);
+    raft::PersistentState bare = disk;
+    bare.last_entry.value.clear();
+    bare.committed_entry.value.clear();
     return {{kState, std::string(reinterpret_cast<const char*>(&sums), sizeof sums) + encode(bare)},
-            {name_of(disk.newest.stamp), disk.newest.value},
-            {name_of(disk.committed.stamp), disk.committed.value}};
+            {name_of(disk.last_entry.position), disk.last_entry.value},
+            {name_of(disk.committed_entry.position), disk.committed_entry.value}};
 }
 
-std::optional<moot::Disk> disk_of(const std::map<std::string, std::string>& records) {
+std::optional<raft::PersistentState> disk_of(const std::map<std::string, std::string>& records) {
     const auto state = records.find(kState);
     if (state == records.end()) {
         const auto whole = records.find(kWhole);
@@ -394,13 +394,13 @@
     std::memcpy(&sums, state->second.data(), sizeof sums);
     auto disk = decode_disk(std::string_view(state->second).substr(sizeof sums));
     if (!disk) return std::nullopt;
-    const auto newest = records.find(name_of(disk->newest.stamp));
-    const auto committed = records.find(name_of(disk->committed.stamp));
+    const auto newest = records.find(name_of(disk->last_entry.position));
+    const auto committed = records.find(name_of(disk->committed_entry.position));
     if (newest == records.end() || committed == records.end() ||
         sums_of(newest->second, committed->second) != sums)
         return std::nullopt;
-    disk->newest.value = newest->second;
-    disk->committed.value = committed->second;
+    disk->last_entry.value = newest->second;
+    disk->committed_entry.value = committed->second;
     return disk;
 }
 
--- a/src/passage/messages.h
+++ b/src/passage/messages.h
@@ -8,7 +8,7 @@
 #include <variant>
 #include <vector>
 
-#include "moot/moot.h"
+#include "raft/raft_node.h"
 #include "rolls/rolls.h"
 #include "scales/scales.h"
 
@@ -16,8 +16,8 @@
 
 /// A guildhall tells another who it is, and whom it knows.
 struct Hello {
-    moot::Member member;
-    std::vector<moot::Member> guildhalls;
+    raft::Member member;
+    std::vector<raft::Member> guildhalls;
 };
 /// A stall tells every guildhall of itself, about twice a second and whenever something changes.
 struct Announce {
@@ -47,9 +47,9 @@
         0;                  ///< of the newest configuration that is committed, as far as this guildhall knows
     std::string config;     ///< where it was asked for and is newer
     bool in_touch = false;  ///< the guildhall hears the leader
-    std::vector<moot::Member> guildhalls;
+    std::vector<raft::Member> guildhalls;
 };
-using Message = std::variant<Hello, moot::Message, Announce, Grants, Poll, News>;
+using Message = std::variant<Hello, raft::Message, Announce, Grants, Poll, News>;
 
 /// What the register holds: the operator's word.
 struct Word {
@@ -74,13 +74,13 @@
 std::optional<Message> decode(std::string_view bytes);
 std::string encode(const Word& word);
 std::optional<Word> decode_word(std::string_view bytes);
-std::string encode(const moot::Disk& disk);
-std::optional<moot::Disk> decode_disk(std::string_view bytes);
+std::string encode(const raft::PersistentState& disk);
+std::optional<raft::PersistentState> decode_disk(std::string_view bytes);
 
 /// A disk as records by name: one for the state, some hundred bytes, and one for each entry's value, which is
 /// named by the entry's stamp and never changes. So a vote or a commit writes the state alone.
-std::map<std::string, std::string> records_of(const moot::Disk& disk);
+std::map<std::string, std::string> records_of(const raft::PersistentState& disk);
 /// Nothing where they don't belong together. The one record of programs before is read too.
-std::optional<moot::Disk> disk_of(const std::map<std::string, std::string>& records);
+std::optional<raft::PersistentState> disk_of(const std::map<std::string, std::string>& records);
 
 }  // namespace martenford::passage
--- a/src/raft/voter_selection.cpp
+++ b/src/raft/voter_selection.cpp
@@ -1,4 +1,4 @@
-#include "moot/placement.h"
+#include "raft/voter_selection.h"
 
 #include <algorithm>
 #include <array>
@@ -6,7 +6,7 @@
 #include <map>
 #include <tuple>
 
-namespace martenford::moot {
+namespace martenford::raft {
 
 namespace {
 
@@ -33,7 +33,7 @@
     std::size_t shortfall() const { return lost > spare ? lost - spare : 0; }
 };
 
-Reach reach(const std::vector<Member>& voters, const Tolerance& tolerance) {
+Reach reach(const std::vector<Member>& voters, const FaultTolerance& tolerance) {
     const auto zones = counts(voters, &Member::zone), regions = counts(voters, &Member::region);
     Reach out;
     out.lost = std::max({std::min(tolerance.machines, voters.size()), sum_of_first(zones, tolerance.zones),
@@ -46,12 +46,12 @@
 
 }  // namespace
 
-bool bears_losses(const std::vector<Member>& voters, const Tolerance& tolerance) {
+bool tolerates_failures(const std::vector<Member>& voters, const FaultTolerance& tolerance) {
     return !voters.empty() && reach(voters, tolerance).shortfall() == 0;
 }
 
-bool copies_outlive(const std::vector<Member>& holders, const std::vector<Member>& voters,
-                    const Tolerance& tolerance) {
+bool replicas_survive_failures(const std::vector<Member>& holders, const std::vector<Member>& voters,
+                               const FaultTolerance& tolerance) {
     if (holders.empty()) return false;
     const auto outlives = [](std::size_t held, std::size_t all, std::size_t lost) {
         return held > lost || all <= lost;  // where all may go, no copy can be kept
@@ -63,14 +63,16 @@
                     tolerance.regions);
 }
 
-std::vector<Member> choose_voters(std::vector<Candidate> candidates, const Tolerance& tolerance) {
+std::vector<Member> choose_voters(std::vector<VoterCandidate> candidates, const FaultTolerance& tolerance) {
     // Machines that don't count never vote, unless there are no others at all.
-    if (std::any_of(candidates.begin(), candidates.end(), [](const auto& c) { return c.member.counts; }))
-        std::erase_if(candidates, [](const auto& c) { return !c.member.counts; });
-    std::sort(candidates.begin(), candidates.end(), [](const Candidate& a, const Candidate& b) {
-        return std::tuple(!a.votes, !a.live, a.member.id) < std::tuple(!b.votes, !b.live, b.member.id);
+    if (std::any_of(candidates.begin(), candidates.end(),
+                    [](const auto& c) { return c.member.loss_counted; }))
+        std::erase_if(candidates, [](const auto& c) { return !c.member.loss_counted; });
+    std::sort(candidates.begin(), candidates.end(), [](const VoterCandidate& a, const VoterCandidate& b) {
+        return std::tuple(!a.is_voter, !a.is_live, a.member.id) <
+               std::tuple(!b.is_voter, !b.is_live, b.member.id);
     });
-    if (candidates.size() > kMostCandidates) candidates.resize(kMostCandidates);
+    if (candidates.size() > kMaxVoterCandidates) candidates.resize(kMaxVoterCandidates);
 
     const std::size_t wanted = 2 * tolerance.machines + 1;
     // The less the better, from left to right; the last is the subset itself, so that all decide alike.
@@ -83,8 +85,8 @@
         for (std::size_t i = 0; i < candidates.size(); ++i) {
             if (!(subset >> i & 1)) continue;
             voters.push_back(candidates[i].member);
-            silent += !candidates[i].live;
-            strangers += !candidates[i].votes;
+            silent += !candidates[i].is_live;
+            strangers += !candidates[i].is_voter;
         }
         const Reach found = reach(voters, tolerance);
         const std::size_t size = voters.size();
@@ -99,4 +101,4 @@
     return chosen;
 }
 
-}  // namespace martenford::moot
+}  // namespace martenford::raft
--- a/tests/mesh/clerk_test.cpp
+++ b/tests/mesh/clerk_test.cpp
@@ -16,17 +16,17 @@
 class Core {
   public:
     Core() {
-        std::vector<moot::Member> voters;
+        std::vector<raft::Member> voters;
         for (std::size_t i = 0; i < 3; ++i)
             voters.push_back({i + 1, "10.0.0." + std::to_string(i + 1) + ":7000"});
         for (std::size_t i = 0; i < 3; ++i) {
-            moot::Disk disk;
-            disk.self = i + 1;
-            disk.newest.voters = disk.committed.voters = voters;
+            raft::PersistentState disk;
+            disk.self_id = i + 1;
+            disk.last_entry.voters = disk.committed_entry.voters = voters;
             auto& machine = machines_[i];
-            machine.moot = std::make_unique<moot::Moot>(voters[i], disk, moot::Options{}, i + 11);
-            machine.clerk = std::make_unique<guildhall::Clerk>(*machine.moot);
-            machine.clerk->control_of = [](const moot::Member& m) {
+            machine.raft = std::make_unique<raft::RaftNode>(voters[i], disk, raft::RaftOptions{}, i + 11);
+            machine.clerk = std::make_unique<guildhall::Clerk>(*machine.raft);
+            machine.clerk->control_of = [](const raft::Member& m) {
                 return "http://" + m.address.substr(0, m.address.find(':')) + ":8000";
             };
         }
@@ -34,13 +34,13 @@
     }
     void run(Duration time) {
         for (const Time until = now_ + time; now_ < until; now_ += 10ms) {
-            for (auto& machine : machines_) machine.moot->tick(now_);
+            for (auto& machine : machines_) machine.raft->tick(now_);
             deliver();
         }
     }
     std::size_t leader() const {
         for (std::size_t i = 0; i < 3; ++i) {
-            if (machines_[i].moot->leads(now_)) return i;
+            if (machines_[i].raft->has_leader_lease(now_)) return i;
         }
         return 3;
     }
@@ -73,7 +73,7 @@
 
   private:
     struct Machine {
-        std::unique_ptr<moot::Moot> moot;
+        std::unique_ptr<raft::RaftNode> raft;
         std::unique_ptr<guildhall::Clerk> clerk;
         bool cut = false;
     };
@@ -81,11 +81,11 @@
         for (bool more = true; more;) {
             more = false;
             for (auto& from : machines_) {
-                while (from.moot->take_persist()) from.moot->persisted(now_);
-                for (const auto& message : from.moot->take_messages()) {
+                while (from.raft->take_persist_request()) from.raft->on_persisted(now_);
+                for (const auto& message : from.raft->take_messages()) {
                     Machine& to = machines_[message.to - 1];
                     if (from.cut != to.cut) continue;
-                    to.moot->receive(now_, message);
+                    to.raft->receive(now_, message);
                     more = true;
                 }
             }
--- a/tests/mesh/golden_test.cpp
+++ b/tests/mesh/golden_test.cpp
@@ -9,9 +9,9 @@
 #include <vector>
 
 #include "framing/frame.h"
-#include "moot/moot.h"
 #include "passage/channel.h"
 #include "passage/messages.h"
+#include "raft/raft_node.h"
 #include "strongbox/strongbox.h"
 
 using namespace martenford;
@@ -24,10 +24,10 @@
 
 // ---- the values. No field has its default.
 
-const moot::Member kFirst{11, "10.1.0.1:7000", "zone-a", "region-x", false};
-const moot::Member kSecond{12, "10.1.0.2:7000", "zone-b", "region-y", true};
-const moot::Member kThird{13, "10.1.0.3:7000", "zone-c", "region-z", true};
-const moot::Member kFourth{14, "10.1.0.4:7000", "zone-d", "region-w", false};
+const raft::Member kFirst{11, "10.1.0.1:7000", "zone-a", "region-x", false};
+const raft::Member kSecond{12, "10.1.0.2:7000", "zone-b", "region-y", true};
+const raft::Member kThird{13, "10.1.0.3:7000", "zone-c", "region-z", true};
+const raft::Member kFourth{14, "10.1.0.4:7000", "zone-d", "region-w", false};
 
 const rolls::Place kReady{
     "node-1", 21, 22, "10.2.0.1:7001", "orders", "zone-a", "orders-1", rolls::State::Ready, 23, 240, true};
@@ -35,23 +35,24 @@
     "node-2", 31, 32, "10.2.0.2:7002", "stock", "zone-b", "stock-2", rolls::State::Draining, 33, 340, true};
 
 /// An entry in the middle of a change of members: the voters of both configurations.
-moot::Entry entry_in_change() {
+raft::LogEntry entry_in_change() {
     return {{41, 42}, {kFirst, kSecond, kThird}, std::string("value\0of bytes\xff", 15), {kSecond, kFourth}};
 }
 
-moot::Message raft_message(moot::Message::Kind kind) {
-    moot::Message message;
+raft::Message raft_message(raft::Message::Kind kind) {
+    raft::Message message;
     message.kind = kind;
     message.from = kFirst;
     message.to = 51;
     message.term = 52;
-    message.pre = message.yes = message.handed = message.leaving = message.leads = true;
-    message.newest = {53, 54};
-    message.committed = {55, 56};
+    message.pre_vote = message.granted = message.leadership_transfer = message.leaving = message.has_quorum =
+        true;
+    message.last_position = {53, 54};
+    message.commit_position = {55, 56};
     message.round = 57;
-    message.asked = 58;
-    message.ask = 59;
-    if (kind == moot::Message::Kind::Append) message.entry = entry_in_change();
+    message.sent_at = 58;
+    message.contact_sequence = 59;
+    if (kind == raft::Message::Kind::AppendEntries) message.entry = entry_in_change();
     return message;
 }
 
@@ -74,7 +75,7 @@
 }
 
 /// A disk with a vote, a committed entry, and above it one that is not: a change of members.
-moot::Disk disk_in_change() {
+raft::PersistentState disk_in_change() {
     return {
         11,
         82,
@@ -83,7 +84,7 @@
         {{81, 85}, {kSecond, kThird, kFourth}, passage::encode(configurations_before()), {kFourth}}};
 }
 /// The only voter: it leads by itself.
-moot::Disk disk_alone() {
+raft::PersistentState disk_alone() {
     return {12,
             92,
             12,
@@ -93,24 +94,24 @@
 
 // ---- what is read back
 
-void check_member(const moot::Member& read, std::uint64_t id, const std::string& address,
+void check_member(const raft::Member& read, std::uint64_t id, const std::string& address,
                   const std::string& zone, const std::string& region, bool counts) {
     CHECK(read.id == id);
     CHECK(read.address == address);
     CHECK(read.zone == zone);
     CHECK(read.region == region);
-    CHECK(read.counts == counts);
+    CHECK(read.loss_counted == counts);
 }
-void check_first(const moot::Member& read) {
+void check_first(const raft::Member& read) {
     check_member(read, 11, "10.1.0.1:7000", "zone-a", "region-x", false);
 }
-void check_second(const moot::Member& read) {
+void check_second(const raft::Member& read) {
     check_member(read, 12, "10.1.0.2:7000", "zone-b", "region-y", true);
 }
-void check_third(const moot::Member& read) {
+void check_third(const raft::Member& read) {
     check_member(read, 13, "10.1.0.3:7000", "zone-c", "region-z", true);
 }
-void check_fourth(const moot::Member& read) {
+void check_fourth(const raft::Member& read) {
     check_member(read, 14, "10.1.0.4:7000", "zone-d", "region-w", false);
 }
 
@@ -179,47 +180,47 @@
     check_configurations_before(*word);
 }
 
-void check_disk_in_change(const moot::Disk& read) {
-    CHECK(read.self == 11);
+void check_disk_in_change(const raft::PersistentState& read) {
+    CHECK(read.self_id == 11);
     CHECK(read.term == 82);
     CHECK(read.voted_for == 12);
-    CHECK(read.newest.stamp.term == 82);
-    CHECK(read.newest.stamp.index == 86);
-    REQUIRE(read.newest.voters.size() == 3);
-    check_first(read.newest.voters[0]);
-    check_second(read.newest.voters[1]);
-    check_third(read.newest.voters[2]);
-    REQUIRE(read.newest.outgoing.size() == 3);
-    check_second(read.newest.outgoing[0]);
-    check_third(read.newest.outgoing[1]);
-    check_fourth(read.newest.outgoing[2]);
-    check_value(read.newest.value);
-    CHECK(read.committed.stamp.term == 81);
-    CHECK(read.committed.stamp.index == 85);
-    REQUIRE(read.committed.voters.size() == 3);
-    check_second(read.committed.voters[0]);
-    check_third(read.committed.voters[1]);
-    check_fourth(read.committed.voters[2]);
-    REQUIRE(read.committed.outgoing.size() == 1);
-    check_fourth(read.committed.outgoing[0]);
-    check_value_before(read.committed.value);
-}
-void check_disk_alone(const moot::Disk& read) {
-    CHECK(read.self == 12);
+    CHECK(read.last_entry.position.term == 82);
+    CHECK(read.last_entry.position.index == 86);
+    REQUIRE(read.last_entry.voters.size() == 3);
+    check_first(read.last_entry.voters[0]);
+    check_second(read.last_entry.voters[1]);
+    check_third(read.last_entry.voters[2]);
+    REQUIRE(read.last_entry.outgoing_voters.size() == 3);
+    check_second(read.last_entry.outgoing_voters[0]);
+    check_third(read.last_entry.outgoing_voters[1]);
+    check_fourth(read.last_entry.outgoing_voters[2]);
+    check_value(read.last_entry.value);
+    CHECK(read.committed_entry.position.term == 81);
+    CHECK(read.committed_entry.position.index == 85);
+    REQUIRE(read.committed_entry.voters.size() == 3);
+    check_second(read.committed_entry.voters[0]);
+    check_third(read.committed_entry.voters[1]);
+    check_fourth(read.committed_entry.voters[2]);
+    REQUIRE(read.committed_entry.outgoing_voters.size() == 1);
+    check_fourth(read.committed_entry.outgoing_voters[0]);
+    check_value_before(read.committed_entry.value);
+}
+void check_disk_alone(const raft::PersistentState& read) {
+    CHECK(read.self_id == 12);
     CHECK(read.term == 92);
     CHECK(read.voted_for == 12);
-    CHECK(read.newest.stamp.term == 92);
-    CHECK(read.newest.stamp.index == 96);
-    REQUIRE(read.newest.voters.size() == 1);
-    check_second(read.newest.voters[0]);
-    CHECK(read.newest.outgoing.empty());
-    check_value(read.newest.value);
-    CHECK(read.committed.stamp.term == 91);
-    CHECK(read.committed.stamp.index == 95);
-    REQUIRE(read.committed.voters.size() == 1);
-    check_second(read.committed.voters[0]);
-    CHECK(read.committed.outgoing.empty());
-    check_value_before(read.committed.value);
+    CHECK(read.last_entry.position.term == 92);
+    CHECK(read.last_entry.position.index == 96);
+    REQUIRE(read.last_entry.voters.size() == 1);
+    check_second(read.last_entry.voters[0]);
+    CHECK(read.last_entry.outgoing_voters.empty());
+    check_value(read.last_entry.value);
+    CHECK(read.committed_entry.position.term == 91);
+    CHECK(read.committed_entry.position.index == 95);
+    REQUIRE(read.committed_entry.voters.size() == 1);
+    check_second(read.committed_entry.voters[0]);
+    CHECK(read.committed_entry.outgoing_voters.empty());
+    check_value_before(read.committed_entry.value);
 }
 
 /// The fixture's message, after it was seen that both `now` and what was read are written as it is.
@@ -234,7 +235,7 @@
     return std::get<Kind>(*read);
 }
 
-void check_raft(const std::string& file, moot::Message::Kind kind, int number) {
+void check_raft(const std::string& file, raft::Message::Kind kind, int number) {
     CAPTURE(file);
     CHECK(static_cast<int>(kind) == number);
     const auto read = read_rpc(file, raft_message(kind));
@@ -242,29 +243,29 @@
     check_first(read.from);
     CHECK(read.to == 51);
     CHECK(read.term == 52);
-    CHECK(read.pre);
-    CHECK(read.yes);
-    CHECK(read.handed);
+    CHECK(read.pre_vote);
+    CHECK(read.granted);
+    CHECK(read.leadership_transfer);
     CHECK(read.leaving);
-    CHECK(read.leads);
-    CHECK(read.newest.term == 53);
-    CHECK(read.newest.index == 54);
-    CHECK(read.committed.term == 55);
-    CHECK(read.committed.index == 56);
+    CHECK(read.has_quorum);
+    CHECK(read.last_position.term == 53);
+    CHECK(read.last_position.index == 54);
+    CHECK(read.commit_position.term == 55);
+    CHECK(read.commit_position.index == 56);
     CHECK(read.round == 57);
-    CHECK(read.asked == 58);
-    CHECK(read.ask == 59);
-    CHECK(read.entry.has_value() == (kind == moot::Message::Kind::Append));
+    CHECK(read.sent_at == 58);
+    CHECK(read.contact_sequence == 59);
+    CHECK(read.entry.has_value() == (kind == raft::Message::Kind::AppendEntries));
     if (!read.entry) return;
-    CHECK(read.entry->stamp.term == 41);
-    CHECK(read.entry->stamp.index == 42);
+    CHECK(read.entry->position.term == 41);
+    CHECK(read.entry->position.index == 42);
     REQUIRE(read.entry->voters.size() == 3);
     check_first(read.entry->voters[0]);
     check_second(read.entry->voters[1]);
     check_third(read.entry->voters[2]);
-    REQUIRE(read.entry->outgoing.size() == 2);
-    check_second(read.entry->outgoing[0]);
-    check_fourth(read.entry->outgoing[1]);
+    REQUIRE(read.entry->outgoing_voters.size() == 2);
+    check_second(read.entry->outgoing_voters[0]);
+    check_fourth(read.entry->outgoing_voters[1]);
     CHECK(read.entry->value == std::string("value\0of bytes\xff", 15));
 }
 
@@ -288,7 +289,7 @@
 }
 
 /// The disk in a copy of a fixture's directory, read as a start of the program reads it.
-moot::Disk read_store(const std::string& name) {
+raft::PersistentState read_store(const std::string& name) {
     golden::Folder copy(path_of(name));
     const auto found = open(copy.at)->load();
     REQUIRE_FALSE(found.damaged);
@@ -308,32 +309,32 @@
 }
 
 TEST_CASE("golden rpc: raft messages of every kind, with the numbers of their kinds") {
-    check_raft("rpc-raft-request-vote.bin", moot::Message::Kind::AskVote, 0);
-    check_raft("rpc-raft-vote.bin", moot::Message::Kind::Vote, 1);
-    check_raft("rpc-raft-append.bin", moot::Message::Kind::Append, 2);
-    check_raft("rpc-raft-append-reply.bin", moot::Message::Kind::Ack, 3);
-    check_raft("rpc-raft-timeout-now.bin", moot::Message::Kind::TakeOver, 4);
+    check_raft("rpc-raft-request-vote.bin", raft::Message::Kind::RequestVote, 0);
+    check_raft("rpc-raft-vote.bin", raft::Message::Kind::RequestVoteReply, 1);
+    check_raft("rpc-raft-append.bin", raft::Message::Kind::AppendEntries, 2);
+    check_raft("rpc-raft-append-reply.bin", raft::Message::Kind::AppendEntriesReply, 3);
+    check_raft("rpc-raft-timeout-now.bin", raft::Message::Kind::TimeoutNow, 4);
 }
 
 TEST_CASE("golden rpc: each flag of a raft message by itself") {
     // A message with all of them set would not show two that have changed places.
-    const auto flag = [](const std::string& file, bool moot::Message::*set) {
+    const auto flag = [](const std::string& file, bool raft::Message::*set) {
         CAPTURE(file);
-        moot::Message message;
-        message.kind = moot::Message::Kind::Ack;
+        raft::Message message;
+        message.kind = raft::Message::Kind::AppendEntriesReply;
         message.*set = true;
         const auto read = read_rpc(file, message);
-        CHECK(read.pre == (set == &moot::Message::pre));
-        CHECK(read.yes == (set == &moot::Message::yes));
-        CHECK(read.handed == (set == &moot::Message::handed));
-        CHECK(read.leaving == (set == &moot::Message::leaving));
-        CHECK(read.leads == (set == &moot::Message::leads));
+        CHECK(read.pre_vote == (set == &raft::Message::pre_vote));
+        CHECK(read.granted == (set == &raft::Message::granted));
+        CHECK(read.leadership_transfer == (set == &raft::Message::leadership_transfer));
+        CHECK(read.leaving == (set == &raft::Message::leaving));
+        CHECK(read.has_quorum == (set == &raft::Message::has_quorum));
     };
-    flag("rpc-raft-flag-1.bin", &moot::Message::pre);
-    flag("rpc-raft-flag-2.bin", &moot::Message::yes);
-    flag("rpc-raft-flag-3.bin", &moot::Message::handed);
-    flag("rpc-raft-flag-4.bin", &moot::Message::leaving);
-    flag("rpc-raft-flag-5.bin", &moot::Message::leads);
+    flag("rpc-raft-flag-1.bin", &raft::Message::pre_vote);
+    flag("rpc-raft-flag-2.bin", &raft::Message::granted);
+    flag("rpc-raft-flag-3.bin", &raft::Message::leadership_transfer);
+    flag("rpc-raft-flag-4.bin", &raft::Message::leaving);
+    flag("rpc-raft-flag-5.bin", &raft::Message::has_quorum);
 }
 
 TEST_CASE("golden rpc: an announcement to the registry") {
@@ -487,7 +488,7 @@
     if (golden::writes()) {
         // A term with a vote before, as a life of the register leaves it: records were overwritten and freed.
         auto before = disk_in_change();
-        before.newest = before.committed;
+        before.last_entry = before.committed_entry;
         before.term = 81;
         before.voted_for = 13;
         auto voted = before;
@@ -518,70 +519,70 @@
     REQUIRE(again);
     CHECK(again->term == 83);
     CHECK(again->voted_for == 13);
-    check_value(again->newest.value);
+    check_value(again->last_entry.value);
 }
 
 TEST_CASE("golden store: a register that starts from it keeps term, vote, entries and both sets of voters") {
-    const moot::Disk disk = read_store("store");
-    moot::Moot raft(kFirst, disk, {}, 1);
-    check_disk_in_change(raft.disk());
-    CHECK(raft.role() == moot::Moot::Role::Follower);
+    const raft::PersistentState disk = read_store("store");
+    raft::RaftNode raft(kFirst, disk, {}, 1);
+    check_disk_in_change(raft.persistent_state());
+    CHECK(raft.role() == raft::RaftNode::Role::Follower);
     CHECK(raft.is_voter());
-    const auto asked_by = [&](const moot::Member& from) {
-        moot::Message ask;
-        ask.kind = moot::Message::Kind::AskVote;
+    const auto asked_by = [&](const raft::Member& from) {
+        raft::Message ask;
+        ask.kind = raft::Message::Kind::RequestVote;
         ask.from = from;
         ask.to = 11;
         ask.term = 82;
-        ask.newest = {82, 90};
+        ask.last_position = {82, 90};
         raft.receive(Time{1s}, ask);
         const auto out = raft.take_messages();
         REQUIRE(out.size() == 1);
-        CHECK(out[0].kind == moot::Message::Kind::Vote);
+        CHECK(out[0].kind == raft::Message::Kind::RequestVoteReply);
         CHECK(out[0].to == from.id);
         CHECK(out[0].term == 82);
-        return out[0].yes;
+        return out[0].granted;
     };
     // Its vote of this term is given, and to this one alone.
     CHECK_FALSE(asked_by(kThird));
     CHECK(asked_by(kSecond));
-    CHECK_FALSE(raft.take_persist());
+    CHECK_FALSE(raft.take_persist_request());
     // It stands by what it holds, and asks the voters of both configurations.
-    std::vector<moot::Message> out;
+    std::vector<raft::Message> out;
     for (Time now{1s}; out.empty() && now < Time{5s}; now += 10ms) {
         raft.tick(now);
         out = raft.take_messages();
     }
-    std::vector<moot::MemberId> to;
+    std::vector<raft::MemberId> to;
     for (const auto& message : out) {
-        CHECK(message.kind == moot::Message::Kind::AskVote);
-        CHECK(message.pre);
+        CHECK(message.kind == raft::Message::Kind::RequestVote);
+        CHECK(message.pre_vote);
         CHECK(message.term == 83);
-        CHECK(message.newest.term == 82);
-        CHECK(message.newest.index == 86);
+        CHECK(message.last_position.term == 82);
+        CHECK(message.last_position.index == 86);
         to.push_back(message.to);
     }
     std::sort(to.begin(), to.end());
-    CHECK(to == std::vector<moot::MemberId>{12, 13, 14});
-    check_disk_in_change(raft.disk());
+    CHECK(to == std::vector<raft::MemberId>{12, 13, 14});
+    check_disk_in_change(raft.persistent_state());
 }
 
 TEST_CASE("golden store: a register alone starts from it, leads, and its newest entry is committed") {
     if (golden::writes()) write_store("store-alone", {passage::records_of(disk_alone())});
-    const moot::Disk disk = read_store("store-alone");
+    const raft::PersistentState disk = read_store("store-alone");
     check_disk_alone(disk);
-    moot::Moot raft(kSecond, disk, {}, 2);
-    check_disk_alone(raft.disk());
+    raft::RaftNode raft(kSecond, disk, {}, 2);
+    check_disk_alone(raft.persistent_state());
     Time now{1s};
-    for (; !raft.leads(now) && now < Time{5s}; now += 10ms) {
+    for (; !raft.has_leader_lease(now) && now < Time{5s}; now += 10ms) {
         raft.tick(now);
-        while (raft.take_persist()) raft.persisted(now);
+        while (raft.take_persist_request()) raft.on_persisted(now);
     }
-    CHECK(raft.leads(now));
-    CHECK(raft.disk().term == 93);
-    CHECK(raft.disk().committed.stamp.term == 93);
-    CHECK(raft.disk().committed.stamp.index == 97);
-    check_value(raft.disk().committed.value);
+    CHECK(raft.has_leader_lease(now));
+    CHECK(raft.persistent_state().term == 93);
+    CHECK(raft.persistent_state().committed_entry.position.term == 93);
+    CHECK(raft.persistent_state().committed_entry.position.index == 97);
+    check_value(raft.persistent_state().committed_entry.value);
 }
 
 TEST_CASE("golden store: a data directory of programs before, with all in one record") {
--- a/tests/mesh/orders_test.cpp
+++ b/tests/mesh/orders_test.cpp
@@ -88,13 +88,13 @@
 class World {
   public:
     World(std::size_t machines, std::uint64_t seed) : machines_(machines), random_(seed) {
-        std::vector<moot::Member> voters;
+        std::vector<raft::Member> voters;
         for (std::size_t i = 0; i < machines; ++i)
             voters.push_back({i + 1, "10.0.0." + std::to_string(i + 1) + ":7000"});
         for (std::size_t i = 0; i < machines; ++i) {
             machines_[i].self = voters[i];
-            machines_[i].disk.self = i + 1;
-            machines_[i].disk.newest.voters = machines_[i].disk.committed.voters = voters;
+            machines_[i].disk.self_id = i + 1;
+            machines_[i].disk.last_entry.voters = machines_[i].disk.committed_entry.voters = voters;
             start(machines_[i]);
         }
     }
@@ -108,7 +108,7 @@
         }
         // All is mended; every order is sent until its answer is clear, those that had one too.
         quiet();
-        for (auto& machine : machines_) machine.moot ? void() : start(machine);
+        for (auto& machine : machines_) machine.raft ? void() : start(machine);
         calls_.clear();
         const auto clear = [this](std::size_t order) { return call_until_clear(order, 5s); };
         for (std::size_t order = 0; order < history.orders.size(); ++order) {
@@ -127,16 +127,16 @@
 
   private:
     struct Machine {
-        moot::Member self;
-        moot::Disk disk;  // what is on it
-        std::unique_ptr<moot::Moot> moot;
+        raft::Member self;
+        raft::PersistentState disk;  // what is on it
+        std::unique_ptr<raft::RaftNode> raft;
         std::unique_ptr<guildhall::Clerk> clerk;
         std::uint64_t life = 0;
     };
     struct Letter {
         Time at;
         std::size_t from, to;
-        moot::Message message;
+        raft::Message message;
     };
     struct Sent {  // an order, or a read, of an operator
         std::optional<std::size_t> order;
@@ -160,40 +160,40 @@
         // As it comes back from the records of a real disk.
         const auto disk = passage::disk_of(passage::records_of(machine.disk));
         REQUIRE(disk);
-        machine.moot = std::make_unique<moot::Moot>(machine.self, *disk, moot::Options{}, random_());
-        machine.clerk = std::make_unique<guildhall::Clerk>(*machine.moot);
-        machine.clerk->control_of = [](const moot::Member& member) { return std::to_string(member.id); };
+        machine.raft = std::make_unique<raft::RaftNode>(machine.self, *disk, raft::RaftOptions{}, random_());
+        machine.clerk = std::make_unique<guildhall::Clerk>(*machine.raft);
+        machine.clerk->control_of = [](const raft::Member& member) { return std::to_string(member.id); };
         ++machine.life;
     }
     void stop(Machine& machine) {
         machine.clerk.reset();
-        machine.moot.reset();
+        machine.raft.reset();
     }
     /// As guildhall's turn(): to disk, out, then to those who wait. Now and then the power goes in between.
     void turn(Machine& machine) {
         do {
-            if (machine.moot->take_persist()) {
+            if (machine.raft->take_persist_request()) {
                 if (power_cuts_ && chance(5)) return stop(machine);
-                machine.disk = machine.moot->disk();
+                machine.disk = machine.raft->persistent_state();
                 if (power_cuts_ && chance(5)) return stop(machine);
-                machine.moot->persisted(now_);
+                machine.raft->on_persisted(now_);
             }
-            for (auto& message : machine.moot->take_messages()) {
+            for (auto& message : machine.raft->take_messages()) {
                 const std::size_t from = machine.self.id - 1, to = message.to - 1;
                 if (cut_.contains({from, to})) continue;
                 for (unsigned copies = chance(loss_) ? 0 : chance(doubled_) ? 2 : 1; copies > 0; --copies)
                     letters_.push_back({now_ + delay(), from, to, message});
             }
             machine.clerk->settle(now_);
-        } while (machine.moot->has_output());
+        } while (machine.raft->has_output());
     }
     Duration delay() { return Duration{chance(late_) ? below(1500) * 1'000'000 : below(20) * 1'000'000}; }
 
     void step() {
         now_ += 5ms;
         for (auto& machine : machines_) {
-            if (!machine.moot) continue;
-            machine.moot->tick(now_);
+            if (!machine.raft) continue;
+            machine.raft->tick(now_);
             turn(machine);
         }
         for (std::size_t i = 0; i < letters_.size();) {
@@ -205,8 +205,8 @@
             letters_[i] = std::move(letters_.back());
             letters_.pop_back();
             Machine& to = machines_[letter.to];
-            if (!to.moot || cut_.contains({letter.from, letter.to})) continue;
-            to.moot->receive(now_, letter.message);
+            if (!to.raft || cut_.contains({letter.from, letter.to})) continue;
+            to.raft->receive(now_, letter.message);
             turn(to);
         }
         for (std::size_t i = 0; i < replies_.size();) {
@@ -229,7 +229,7 @@
         const std::size_t any = below(machines_.size());
         std::size_t leader = any;
         for (std::size_t i = 0; i < machines_.size(); ++i) {
-            if (machines_[i].moot && machines_[i].moot->leads(now_)) leader = i;
+            if (machines_[i].raft && machines_[i].raft->has_leader_lease(now_)) leader = i;
         }
         switch (below(9)) {
             case 0:
@@ -255,7 +255,7 @@
                 return;
             default:
                 quiet();
-                for (auto& machine : machines_) machine.moot ? void() : start(machine);
+                for (auto& machine : machines_) machine.raft ? void() : start(machine);
         }
     }
     void quiet() {
@@ -299,7 +299,7 @@
         call.again = Time::max();
         const std::uint64_t attempt = ++call.attempt;
         Machine& machine = machines_[to];
-        if (!machine.moot || chance(loss_)) return;
+        if (!machine.raft || chance(loss_)) return;
         const auto respond = [this, id, attempt](calls::Response&& response) {
             if (chance(answers_lost_)) return;
             replies_.push_back({now_ + delay(), id, attempt, std::move(response)});
--- a/tests/mesh/raft_membership_test.cpp
+++ b/tests/mesh/raft_membership_test.cpp
@@ -6,24 +6,24 @@
 #include <memory>
 #include <set>
 
-#include "moot/moot.h"
+#include "raft/raft_node.h"
 #include "scales/scales.h"
 
 using namespace martenford;
-using namespace martenford::moot;
+using namespace martenford::raft;
 
 namespace {
 
 Member member(MemberId id, const std::string& zone, const std::string& region = "r") {
     return {id, "10.0.0." + std::to_string(id) + ":7000", zone, region};
 }
-Candidate voting(MemberId id, const std::string& zone, bool live = true) {
+VoterCandidate voting(MemberId id, const std::string& zone, bool live = true) {
     return {member(id, zone), true, live};
 }
-Candidate fresh(MemberId id, const std::string& zone, const std::string& region = "r") {
+VoterCandidate fresh(MemberId id, const std::string& zone, const std::string& region = "r") {
     return {member(id, zone, region), false, true};
 }
-std::set<MemberId> chosen(const std::vector<Candidate>& candidates, const Tolerance& tolerance) {
+std::set<MemberId> chosen(const std::vector<VoterCandidate>& candidates, const FaultTolerance& tolerance) {
     std::set<MemberId> ids;
     for (const Member& m : choose_voters(candidates, tolerance)) ids.insert(m.id);
     return ids;
@@ -32,22 +32,23 @@
 /// Registers that hear each other at once, but for those that are silenced, held up or frozen.
 class Core {
   public:
-    Core(std::size_t machines, std::size_t seeds, const Tolerance& tolerance) {
-        options_.tolerance = tolerance;
+    Core(std::size_t machines, std::size_t seeds, const FaultTolerance& tolerance) {
+        options_.fault_tolerance = tolerance;
         std::vector<Member> first;
         for (MemberId id = 1; id <= seeds; ++id) first.push_back({id, member(id, "").address});
         for (MemberId id = 1; id <= machines; ++id) {
-            Disk disk;
-            disk.self = id;
-            if (id <= seeds) disk.newest.voters = disk.committed.voters = first;
+            PersistentState disk;
+            disk.self_id = id;
+            if (id <= seeds) disk.last_entry.voters = disk.committed_entry.voters = first;
             start(disk, "z" + std::to_string(id));
         }
     }
-    void start(const Disk& disk, const std::string& zone) {
-        Machine& machine = machines_[disk.self];
-        machine.moot = std::make_unique<Moot>(member(disk.self, zone), disk, options_, disk.self * 7);
+    void start(const PersistentState& disk, const std::string& zone) {
+        Machine& machine = machines_[disk.self_id];
+        machine.raft =
+            std::make_unique<RaftNode>(member(disk.self_id, zone), disk, options_, disk.self_id * 7);
     }
-    Moot& at(MemberId id) { return *machines_.at(id).moot; }
+    RaftNode& at(MemberId id) { return *machines_.at(id).raft; }
     void end(MemberId id) { machines_.erase(id); }
     void cut(MemberId id, bool is) { machines_.at(id).cut = is; }
     /// Its process stands still: what comes waits, and it hears all of it as it wakes.
@@ -56,7 +57,7 @@
         Machine& machine = machines_.at(id);
         machine.frozen = false;
         for (const Message& message : std::exchange(machine.waiting, {}))
-            machine.moot->receive(now_, message);
+            machine.raft->receive(now_, message);
         persist(machine);
     }
     void run(Duration time) {
@@ -65,34 +66,34 @@
                 if (machine.frozen) continue;
                 for (auto& [other, to] : machines_) {
                     if (other != id && !to.cut && !machine.cut && !to.frozen)
-                        to.moot->met(now_, member(id, "z" + std::to_string(id)));
+                        to.raft->add_known_member(now_, member(id, "z" + std::to_string(id)));
                 }
-                machine.moot->tick(now_);
+                machine.raft->tick(now_);
             }
             deliver();
         }
     }
     std::optional<MemberId> leader() {
         for (auto& [id, machine] : machines_) {
-            if (!machine.frozen && machine.moot->leads(now_)) return id;
+            if (!machine.frozen && machine.raft->has_leader_lease(now_)) return id;
         }
         return std::nullopt;
     }
     std::set<MemberId> voters(MemberId id) {
         std::set<MemberId> ids;
-        for (const Member& m : at(id).disk().newest.voters) ids.insert(m.id);
+        for (const Member& m : at(id).persistent_state().last_entry.voters) ids.insert(m.id);
         return ids;
     }
     Time now() const { return now_; }
 
   private:
     struct Machine {
-        std::unique_ptr<Moot> moot;
+        std::unique_ptr<RaftNode> raft;
         bool cut = false, frozen = false;
         std::vector<Message> waiting;
     };
     void persist(Machine& machine) {
-        while (machine.moot->take_persist()) machine.moot->persisted(now_);
+        while (machine.raft->take_persist_request()) machine.raft->on_persisted(now_);
     }
     void deliver() {
         for (bool more = true; more;) {
@@ -100,20 +101,20 @@
             for (auto& [id, machine] : machines_) {
                 if (machine.frozen) continue;
                 persist(machine);
-                for (Message& message : machine.moot->take_messages()) {
+                for (Message& message : machine.raft->take_messages()) {
                     const auto to = machines_.find(message.to);
                     if (to == machines_.end() || to->second.cut || machine.cut) continue;
                     if (to->second.frozen) {
                         to->second.waiting.push_back(message);
                         continue;
                     }
-                    to->second.moot->receive(now_, message);
+                    to->second.raft->receive(now_, message);
                     more = true;
                 }
             }
         }
     }
-    Options options_;
+    RaftOptions options_;
     std::map<MemberId, Machine> machines_;
     Time now_{1s};
 };
@@ -122,8 +123,8 @@
 
 TEST_CASE("voters: as many as the losses that must be borne ask for, spread, and no more") {
     using Ids = std::set<MemberId>;
-    const std::vector<Candidate> five{voting(1, "a"), voting(2, "b"), voting(3, "c"), fresh(4, "a"),
-                                      fresh(5, "b")};
+    const std::vector<VoterCandidate> five{voting(1, "a"), voting(2, "b"), voting(3, "c"), fresh(4, "a"),
+                                           fresh(5, "b")};
     CHECK(chosen(five, {1, 0, 0}) == Ids{1, 2, 3});
     CHECK(chosen(five, {2, 0, 0}) == Ids{1, 2, 3, 4, 5});
     CHECK(chosen(five, {2, 1, 0}) == Ids{1, 2, 3, 4, 5});
@@ -139,23 +140,24 @@
     CHECK(chosen({voting(1, "a"), voting(2, "b"), voting(3, "c", false)}, {1, 0, 0}) == Ids{1, 2, 3});
     // One whose loss isn't counted never votes beside those whose loss is.
     auto uncounted = voting(1, "a");
-    uncounted.member.counts = false;
+    uncounted.member.loss_counted = false;
     CHECK(chosen({uncounted, voting(2, "b"), voting(3, "c"), fresh(4, "a")}, {1, 0, 0}) == Ids{2, 3, 4});
     // Three regions bear the loss of one only where no majority lies in it.
-    CHECK(bears_losses(choose_voters({fresh(1, "a", "x"), fresh(2, "b", "x"), fresh(3, "c", "x"),
-                                      fresh(4, "d", "y"), fresh(5, "e", "z")},
-                                     {1, 0, 1}),
-                       {1, 0, 1}));
+    CHECK(tolerates_failures(choose_voters({fresh(1, "a", "x"), fresh(2, "b", "x"), fresh(3, "c", "x"),
+                                            fresh(4, "d", "y"), fresh(5, "e", "z")},
+                                           {1, 0, 1}),
+                             {1, 0, 1}));
 }
 
 TEST_CASE("copies: enough where no loss that the voters outlive takes all of them") {
     const std::vector<Member> voters{member(1, "a"), member(2, "a"), member(3, "b")};
-    CHECK_FALSE(copies_outlive({voters[0]}, voters, {1, 0, 0}));
-    CHECK(copies_outlive({voters[0], voters[1]}, voters, {1, 0, 0}));
-    CHECK_FALSE(copies_outlive({voters[0], voters[1]}, voters, {1, 1, 0}));
-    CHECK(copies_outlive({voters[0], voters[2]}, voters, {1, 1, 0}));
-    CHECK_FALSE(copies_outlive({voters[0], voters[2]}, voters, {2, 0, 0}));
-    CHECK(copies_outlive({voters[0]}, {voters[0]}, {1, 0, 0}));  // no copy can outlive the loss of all
+    CHECK_FALSE(replicas_survive_failures({voters[0]}, voters, {1, 0, 0}));
+    CHECK(replicas_survive_failures({voters[0], voters[1]}, voters, {1, 0, 0}));
+    CHECK_FALSE(replicas_survive_failures({voters[0], voters[1]}, voters, {1, 1, 0}));
+    CHECK(replicas_survive_failures({voters[0], voters[2]}, voters, {1, 1, 0}));
+    CHECK_FALSE(replicas_survive_failures({voters[0], voters[2]}, voters, {2, 0, 0}));
+    CHECK(replicas_survive_failures({voters[0]}, {voters[0]},
+                                    {1, 0, 0}));  // no copy can outlive the loss of all
 }
 
 TEST_CASE("five machines of which two may go: the three seeds take in the others before anything is taken") {
@@ -179,7 +181,7 @@
     core.end(leader % 5 + 1);
     core.run(3s);
     REQUIRE(core.leader());
-    CHECK(core.at(*core.leader()).disk().committed.value == "taken");
+    CHECK(core.at(*core.leader()).persistent_state().committed_entry.value == "taken");
 }
 
 TEST_CASE("a 200 waits for copies that outlive what may be lost, also where fewer are a majority") {
@@ -190,7 +192,7 @@
     const auto stamp = core.at(leader).propose(core.now(), "x");
     REQUIRE(stamp);
     core.run(300ms);
-    CHECK(core.at(leader).disk().committed.value == "x");
+    CHECK(core.at(leader).persistent_state().committed_entry.value == "x");
     CHECK_FALSE(core.at(leader).is_durable(*stamp));
     core.cut(away, false);
     core.run(300ms);
@@ -205,7 +207,7 @@
     CHECK_FALSE(core.at(leader).has_left());
     core.run(500ms);
     REQUIRE(core.at(leader).has_left());
-    const Disk disk = core.at(leader).disk();
+    const PersistentState disk = core.at(leader).persistent_state();
     core.end(leader);
     core.run(500ms);
     const MemberId next = *core.leader();
@@ -217,7 +219,7 @@
     core.cut(second, true);
     REQUIRE(core.at(next).propose(core.now(), "x"));
     core.run(200ms);
-    CHECK(core.at(next).disk().committed.value == "x");
+    CHECK(core.at(next).persistent_state().committed_entry.value == "x");
     core.start(disk, "z" + std::to_string(leader));
     core.run(2s);
     CHECK(core.voters(*core.leader()).contains(leader));  // in the place of the one that is cut off
@@ -230,36 +232,36 @@
     core.freeze(old);
     core.run(20s);
     core.wake(old);
-    CHECK_FALSE(core.at(old).leads(core.now()));
+    CHECK_FALSE(core.at(old).has_leader_lease(core.now()));
     CHECK_FALSE(core.at(old).propose(core.now(), "x"));
     // And a follower that wakes is in touch only once a question of its own was answered.
     const MemberId follower = *core.leader() % 3 + 1;
     core.freeze(follower);
     core.run(5s);
     core.wake(follower);
-    CHECK_FALSE(core.at(follower).in_touch(core.now(), 700ms));
+    CHECK_FALSE(core.at(follower).has_quorum_contact(core.now(), 700ms));
     core.run(300ms);
-    CHECK(core.at(follower).in_touch(core.now(), 700ms));
+    CHECK(core.at(follower).has_quorum_contact(core.now(), 700ms));
 }
 
 TEST_CASE("a lone voter's own copy counts once it is on disk") {
-    Disk disk;
-    disk.self = 1;
-    disk.newest.voters = disk.committed.voters = {{1, "10.0.0.1:7000"}};
-    Moot moot(disk.newest.voters.front(), disk, {}, 1);
+    PersistentState disk;
+    disk.self_id = 1;
+    disk.last_entry.voters = disk.committed_entry.voters = {{1, "10.0.0.1:7000"}};
+    RaftNode raft(disk.last_entry.voters.front(), disk, {}, 1);
     Time now{1s};
     for (int i = 0; i < 300; ++i) {
-        moot.tick(now += 10ms);
-        if (moot.take_persist()) moot.persisted(now);
+        raft.tick(now += 10ms);
+        if (raft.take_persist_request()) raft.on_persisted(now);
     }
-    REQUIRE(moot.leads(now));
-    const auto stamp = moot.propose(now, "x");
+    REQUIRE(raft.has_leader_lease(now));
+    const auto stamp = raft.propose(now, "x");
     REQUIRE(stamp);
-    CHECK_FALSE(moot.is_durable(*stamp));
-    REQUIRE(moot.take_persist());
-    CHECK_FALSE(moot.is_durable(*stamp));
-    moot.persisted(now);
-    CHECK(moot.is_durable(*stamp));
+    CHECK_FALSE(raft.is_durable(*stamp));
+    REQUIRE(raft.take_persist_request());
+    CHECK_FALSE(raft.is_durable(*stamp));
+    raft.on_persisted(now);
+    CHECK(raft.is_durable(*stamp));
 }
 
 TEST_CASE("a quota's lease that is read late counts from its question") {
--- a/tests/mesh/raft_node_test.cpp
+++ b/tests/mesh/raft_node_test.cpp
@@ -1,6 +1,6 @@
 // The agreed register under an explorer: random schedules of losses, cuts, crashes, losses of power and of
 // disks in virtual time, with a checker that knows nothing of how it works.
-#include "moot/moot.h"
+#include "raft/raft_node.h"
 
 #include <doctest/doctest.h>
 
@@ -12,7 +12,7 @@
 #include "policy/mechanics.h"
 
 using namespace martenford;
-using namespace martenford::moot;
+using namespace martenford::raft;
 
 namespace {
 
@@ -25,43 +25,43 @@
             voters.push_back({100 + i, address(i)});
         for (std::size_t i = 0; i < machines; ++i) {
             Machine& machine = machines_[i];
-            machine.disk.self = 100 + i;
-            if (i < 3) machine.disk.newest.voters = machine.disk.committed.voters = voters;
+            machine.disk.self_id = 100 + i;
+            if (i < 3) machine.disk.last_entry.voters = machine.disk.committed_entry.voters = voters;
             start(i);
         }
     }
     static std::string address(std::size_t i) { return "10.0.0." + std::to_string(i + 1) + ":7000"; }
 
     struct Machine {
-        Disk disk;
-        std::unique_ptr<Moot> moot;
+        PersistentState disk;
+        std::unique_ptr<RaftNode> raft;
         bool cut = false;
         std::uint64_t lives = 0;
     };
 
     void start(std::size_t i) {
         Machine& machine = machines_[i];
-        machine.moot = std::make_unique<Moot>(Member{machine.disk.self, address(i)}, machine.disk, Options{},
-                                              random_.next());
+        machine.raft = std::make_unique<RaftNode>(Member{machine.disk.self_id, address(i)}, machine.disk,
+                                                  RaftOptions{}, random_.next());
         ++machine.lives;
     }
-    void crash(std::size_t i) { machines_[i].moot.reset(); }
+    void crash(std::size_t i) { machines_[i].raft.reset(); }
     /// Its disk is lost: it comes back as another member.
     void wipe(std::size_t i) {
-        machines_[i].moot.reset();
+        machines_[i].raft.reset();
         machines_[i].disk = {};
-        machines_[i].disk.self = 1000 + ++identities_;
+        machines_[i].disk.self_id = 1000 + ++identities_;
     }
 
     /// One step of 10 ms: what is due arrives in any order, some of it not at all.
     void step(double loss) {
         now_ += 10ms;
         for (std::size_t i = 0; i < machines_.size(); ++i) {
-            if (!machines_[i].moot) continue;
-            machines_[i].moot->tick(now_);
+            if (!machines_[i].raft) continue;
+            machines_[i].raft->tick(now_);
             for (std::size_t k = 0; k < machines_.size(); ++k) {
-                if (k != i && machines_[k].moot && reaches(i, k))
-                    machines_[k].moot->met(now_, {machines_[i].disk.self, address(i)});
+                if (k != i && machines_[k].raft && reaches(i, k))
+                    machines_[k].raft->add_known_member(now_, {machines_[i].disk.self_id, address(i)});
             }
             flush(i, loss);
         }
@@ -70,12 +70,12 @@
             const std::size_t pick = random_.below(due.size());
             auto [from, to, message] = std::move(due[pick]);
             due.erase(due.begin() + static_cast<std::ptrdiff_t>(pick));
-            if (!machines_[to].moot || !reaches(from, to)) continue;
+            if (!machines_[to].raft || !reaches(from, to)) continue;
             if (random_.unit() < 0.2) {
                 under_way_.push_back({from, to, std::move(message)});  // later
                 continue;
             }
-            machines_[to].moot->receive(now_, message);
+            machines_[to].raft->receive(now_, message);
             flush(to, loss);
         }
         check();
@@ -86,11 +86,11 @@
     /// Proposes at whoever leads; remembers what was acknowledged.
     void propose() {
         for (std::size_t i = 0; i < machines_.size(); ++i) {
-            Moot* moot = machines_[i].moot.get();
-            if (!moot || !moot->leads(now_)) continue;
+            RaftNode* raft = machines_[i].raft.get();
+            if (!raft || !raft->has_leader_lease(now_)) continue;
             const std::string value =
-                moot->disk().committed.value + static_cast<char>('a' + ++proposed_ % 26);
-            if (const auto stamp = moot->propose(now_, value)) {
+                raft->persistent_state().committed_entry.value + static_cast<char>('a' + ++proposed_ % 26);
+            if (const auto stamp = raft->propose(now_, value)) {
                 open_.push_back({i, machines_[i].lives, *stamp, value});
                 flush(i, 0);
             }
@@ -99,13 +99,14 @@
     }
     std::optional<std::size_t> leader() const {
         for (std::size_t i = 0; i < machines_.size(); ++i) {
-            if (machines_[i].moot && machines_[i].moot->leads(now_)) return i;
+            if (machines_[i].raft && machines_[i].raft->has_leader_lease(now_)) return i;
         }
         return std::nullopt;
     }
     std::size_t leaders_now() const {
         std::size_t count = 0;
-        for (const Machine& machine : machines_) count += machine.moot && machine.moot->leads(now_);
+        for (const Machine& machine : machines_)
+            count += machine.raft && machine.raft->has_leader_lease(now_);
         return count;
     }
     std::vector<Machine>& machines() { return machines_; }
@@ -122,19 +123,19 @@
     struct Open {
         std::size_t machine;
         std::uint64_t life;
-        Stamp stamp;
+        LogPosition stamp;
         std::string value;
     };
     bool reaches(std::size_t a, std::size_t b) const { return machines_[a].cut == machines_[b].cut; }
     void flush(std::size_t i, double loss) {
         Machine& machine = machines_[i];
-        while (machine.moot->take_persist()) {
-            machine.disk = machine.moot->disk();
-            machine.moot->persisted(now_);
+        while (machine.raft->take_persist_request()) {
+            machine.disk = machine.raft->persistent_state();
+            machine.raft->on_persisted(now_);
         }
-        for (Message& message : machine.moot->take_messages()) {
+        for (Message& message : machine.raft->take_messages()) {
             for (std::size_t k = 0; k < machines_.size(); ++k) {
-                if (machines_[k].disk.self == message.to && random_.unit() >= loss)
+                if (machines_[k].disk.self_id == message.to && random_.unit() >= loss)
                     under_way_.push_back({i, k, message});
             }
         }
@@ -142,9 +143,9 @@
     void check() {
         for (auto it = open_.begin(); it != open_.end();) {
             Machine& machine = machines_[it->machine];
-            if (!machine.moot || machine.lives != it->life || !machine.moot->still_possible(it->stamp)) {
+            if (!machine.raft || machine.lives != it->life || !machine.raft->may_still_commit(it->stamp)) {
                 it = open_.erase(it);  // no clear answer
-            } else if (machine.moot->is_durable(it->stamp)) {
+            } else if (machine.raft->is_durable(it->stamp)) {
                 acknowledged_.push_back(it->value);
                 it = open_.erase(it);
             } else {
@@ -153,26 +154,27 @@
         }
         std::map<Term, std::size_t> by_term;
         for (std::size_t i = 0; i < machines_.size(); ++i) {
-            const Moot* moot = machines_[i].moot.get();
-            if (!moot) continue;
-            if (moot->role() == Moot::Role::Leader) {
-                const auto [it, fresh] = by_term.emplace(moot->disk().term, i);
+            const RaftNode* raft = machines_[i].raft.get();
+            if (!raft) continue;
+            if (raft->role() == RaftNode::Role::Leader) {
+                const auto [it, fresh] = by_term.emplace(raft->persistent_state().term, i);
                 REQUIRE_MESSAGE(fresh, "two leaders in one term");
             }
             // All that was ever acknowledged is in what the newest leader has. One before it may still count
             // on its lease: what it says of what is current waits for a majority's word (the clerk's tests).
             const bool newest = std::none_of(machines_.begin(), machines_.end(), [&](const Machine& m) {
-                return m.moot && m.moot->disk().term > moot->disk().term && m.moot->leads(now_);
+                return m.raft && m.raft->persistent_state().term > raft->persistent_state().term &&
+                       m.raft->has_leader_lease(now_);
             });
-            if (moot->leads(now_) && newest) {
+            if (raft->has_leader_lease(now_) && newest) {
                 std::string voters;
-                for (const Member& voter : moot->disk().newest.voters)
+                for (const Member& voter : raft->persistent_state().last_entry.voters)
                     voters += std::to_string(voter.id) + " ";
                 if (voters != voters_last_) voters_seen_.push_back(voters_last_ = voters);
                 for (const std::string& value : acknowledged_) {
-                    REQUIRE_MESSAGE(
-                        moot->disk().committed.value.starts_with(value),
-                        "acknowledged and gone: " << value << " in " << moot->disk().committed.value);
+                    REQUIRE_MESSAGE(raft->persistent_state().committed_entry.value.starts_with(value),
+                                    "acknowledged and gone: "
+                                        << value << " in " << raft->persistent_state().committed_entry.value);
                 }
             }
         }
@@ -200,7 +202,7 @@
     CHECK(core.acknowledged().size() == 1);
     std::size_t hold = 0;
     for (const auto& machine : core.machines())
-        hold += machine.disk.newest.value == core.acknowledged().front();
+        hold += machine.disk.last_entry.value == core.acknowledged().front();
     CHECK(hold >= 2);
 }
 
@@ -210,7 +212,7 @@
     const std::size_t old = *core.leader();
     core.machines()[old].cut = true;
     core.run(1s);
-    CHECK_FALSE(core.machines()[old].moot->leads(core.now()));
+    CHECK_FALSE(core.machines()[old].raft->has_leader_lease(core.now()));
     core.run(1500ms);
     REQUIRE(core.leader());
     CHECK(*core.leader() != old);
@@ -225,10 +227,10 @@
     core.wipe(gone);
     core.run(1500ms);
     core.start(gone);
-    CHECK_FALSE(core.machines()[gone].moot->is_voter());
+    CHECK_FALSE(core.machines()[gone].raft->is_voter());
     core.run(2s);
-    CHECK(core.machines()[gone].moot->is_voter());
-    CHECK(core.machines()[*core.leader()].disk.newest.voters.size() == 3);
+    CHECK(core.machines()[gone].raft->is_voter());
+    CHECK(core.machines()[*core.leader()].disk.last_entry.voters.size() == 3);
     // Guards against taking it out again because the lost identity had its address: 50 changes a second were
     // seen.
     const std::size_t changes = core.changes_of_voters();
@@ -243,19 +245,19 @@
     while (away == *core.leader()) ++away;
     core.crash(away);
     core.run(5s);
-    CHECK(core.machines()[3].moot->is_voter());
+    CHECK(core.machines()[3].raft->is_voter());
     core.start(away);
     core.run(3s);
-    CHECK_FALSE(core.machines()[away].moot->is_voter());
-    CHECK(core.machines()[*core.leader()].disk.newest.voters.size() == 3);
+    CHECK_FALSE(core.machines()[away].raft->is_voter());
+    CHECK(core.machines()[*core.leader()].disk.last_entry.voters.size() == 3);
 }
 
 TEST_CASE("a leader whose disk fails hands over and acknowledges nothing") {
     Core core(3, 5);
     core.run(3s);
     const std::size_t old = *core.leader();
-    core.machines()[old].moot->disk_failed(core.now());
-    CHECK_FALSE(core.machines()[old].moot->propose(core.now(), "x"));
+    core.machines()[old].raft->on_persist_failed(core.now());
+    CHECK_FALSE(core.machines()[old].raft->propose(core.now(), "x"));
     core.run(300ms);
     REQUIRE(core.leader());
     CHECK(*core.leader() != old);
@@ -289,7 +291,7 @@
             core.run(300ms, 0.05);
             for (std::size_t i = 0; i < count; ++i) {
                 core.machines()[i].cut = false;
-                if (!core.machines()[i].moot) core.start(i);
+                if (!core.machines()[i].raft) core.start(i);
             }
             core.run(4s);  // it has caught up before the next is lost
         }
--- a/tests/mesh/register_explorer.cpp
+++ b/tests/mesh/register_explorer.cpp
@@ -8,19 +8,19 @@
 #include <queue>
 #include <set>
 
-#include "moot/moot.h"
 #include "policy/mechanics.h"
+#include "raft/raft_node.h"
 
 namespace martenford::explorer {
 
-using moot::Disk;
-using moot::Entry;
-using moot::Member;
-using moot::MemberId;
-using moot::Message;
-using moot::Moot;
-using moot::Stamp;
-using moot::Term;
+using raft::LogEntry;
+using raft::LogPosition;
+using raft::Member;
+using raft::MemberId;
+using raft::Message;
+using raft::PersistentState;
+using raft::RaftNode;
+using raft::Term;
 
 namespace {
 
@@ -38,12 +38,12 @@
         std::count_if(voters.begin(), voters.end(), [&](const Member& m) { return has(m.id); });
     return static_cast<std::size_t>(count) >= voters.size() / 2 + 1;
 }
-bool is_quorum(const Entry& entry, const std::function<bool(MemberId)>& has) {
+bool is_quorum(const LogEntry& entry, const std::function<bool(MemberId)>& has) {
     return holds_majority(entry.voters, has) &&
-           (entry.outgoing.empty() || holds_majority(entry.outgoing, has));
+           (entry.outgoing_voters.empty() || holds_majority(entry.outgoing_voters, has));
 }
-bool same_voters(const Entry& a, const Entry& b) {
-    return a.voters == b.voters && a.outgoing == b.outgoing;
+bool same_voters(const LogEntry& a, const LogEntry& b) {
+    return a.voters == b.voters && a.outgoing_voters == b.outgoing_voters;
 }
 
 /// What must be borne, and the machines that bear it.
@@ -64,14 +64,14 @@
     {"2 machines, f=0", 2, 0, 1},
 };
 
-std::string text_of(const Stamp& stamp) {
+std::string text_of(const LogPosition& stamp) {
     return std::to_string(stamp.term) + "." + std::to_string(stamp.index);
 }
-std::string text_of(const Entry& entry) {
-    std::string text = text_of(entry.stamp) + " {";
+std::string text_of(const LogEntry& entry) {
+    std::string text = text_of(entry.position) + " {";
     for (const Member& m : entry.voters) text += " " + std::to_string(m.id);
-    if (!entry.outgoing.empty()) text += " |";
-    for (const Member& m : entry.outgoing) text += " " + std::to_string(m.id);
+    if (!entry.outgoing_voters.empty()) text += " |";
+    for (const Member& m : entry.outgoing_voters) text += " " + std::to_string(m.id);
     return text + " } '" +
            (entry.value.size() > 24 ? "..." + entry.value.substr(entry.value.size() - 24) : entry.value) +
            "'";
@@ -79,10 +79,10 @@
 std::string text_of(const Message& message) {
     static const char* const kinds[] = {"AskVote", "Vote", "Append", "Ack", "TakeOver"};
     const auto kind = static_cast<std::size_t>(message.kind);
-    return std::string(kind < std::size(kinds) ? kinds[kind] : "?") + (message.pre ? " pre" : "") + " term " +
-           std::to_string(message.term) + (message.yes ? " yes" : "") + " newest " + text_of(message.newest) +
-           " committed " + text_of(message.committed) + " round " + std::to_string(message.round) +
-           (message.entry ? " entry " + text_of(*message.entry) : "");
+    return std::string(kind < std::size(kinds) ? kinds[kind] : "?") + (message.pre_vote ? " pre" : "") +
+           " term " + std::to_string(message.term) + (message.granted ? " yes" : "") + " newest " +
+           text_of(message.last_position) + " committed " + text_of(message.commit_position) + " round " +
+           std::to_string(message.round) + (message.entry ? " entry " + text_of(*message.entry) : "");
 }
 
 // ---- the oracle: knows every disk and every word that went out,
@@ -100,21 +100,22 @@
         return holds;
     }
 
-    void first_voters(const Entry& entry) { saw(entry); }
+    void first_voters(const LogEntry& entry) { saw(entry); }
     /// It can never vote or answer again.
     void dead(MemberId id) { dead_.insert(id); }
-    void synced(const Disk& disk) {
-        Acceptance& acceptance = accepted_[disk.newest.stamp];
-        acceptance.by.insert(disk.self);
-        acceptance.value = disk.newest.value;
-        saw(disk.newest);
+    void synced(const PersistentState& disk) {
+        Acceptance& acceptance = accepted_[disk.last_entry.position];
+        acceptance.by.insert(disk.self_id);
+        acceptance.value = disk.last_entry.value;
+        saw(disk.last_entry);
     }
 
     /// A message leaves the process whose disk holds `disk` for sure.
-    void sent(const Message& message, const Disk& disk) {
+    void sent(const Message& message, const PersistentState& disk) {
         const MemberId id = message.from.id;
-        const bool vote = message.kind == Message::Kind::Vote && message.yes && !message.pre;
-        const bool stands = message.kind == Message::Kind::AskVote && !message.pre;
+        const bool vote =
+            message.kind == Message::Kind::RequestVoteReply && message.granted && !message.pre_vote;
+        const bool stands = message.kind == Message::Kind::RequestVote && !message.pre_vote;
         if (vote || stands) {
             const MemberId whom = vote ? message.to : id;
             require(members_.contains(id), Invariant::NoVoteWithoutMembership,
@@ -127,16 +128,16 @@
             require(disk.term > message.term || (disk.term == message.term && disk.voted_for == whom),
                     Invariant::PersistedBeforeSent, "a vote that is not on disk: " + text_of(message));
         }
-        const bool ack = message.kind == Message::Kind::Ack && message.yes;
+        const bool ack = message.kind == Message::Kind::AppendEntriesReply && message.granted;
         if (ack) {
-            require(disk.term >= message.term && disk.newest.stamp >= message.newest,
+            require(disk.term >= message.term && disk.last_entry.position >= message.last_position,
                     Invariant::PersistedBeforeSent,
                     "an acknowledgement of what is not on disk: " + text_of(message) + ", on disk " +
-                        text_of(disk.newest) + " term " + std::to_string(disk.term));
+                        text_of(disk.last_entry) + " term " + std::to_string(disk.term));
         }
     }
 
-    void leads(MemberId id, Term term, const Entry& entry) {
+    void leads(MemberId id, Term term, const LogEntry& entry) {
         const auto [it, fresh] = leaders_.emplace(term, id);
         elections += fresh;
         if (!fresh && it->second == id) return;
@@ -153,19 +154,19 @@
                     std::to_string(term));
     }
 
-    bool on_majority(const Entry& entry) const {
-        if (entry.stamp == Stamp{}) return true;
-        const auto it = accepted_.find(entry.stamp);
+    bool on_majority(const LogEntry& entry) const {
+        if (entry.position == LogPosition{}) return true;
+        const auto it = accepted_.find(entry.position);
         return it != accepted_.end() &&
                is_quorum(entry, [&](MemberId id) { return it->second.by.contains(id); });
     }
     /// A process serves this as committed.
-    void committed(const Entry& entry) {
-        if (entry.stamp == Stamp{}) return;
-        const auto known = chain_.lower_bound(entry.stamp);
-        if (known != chain_.end() && known->first == entry.stamp) {
+    void committed(const LogEntry& entry) {
+        if (entry.position == LogPosition{}) return;
+        const auto known = chain_.lower_bound(entry.position);
+        if (known != chain_.end() && known->first == entry.position) {
             require(known->second == entry.value, Invariant::CommittedNeverLost,
-                    "two values are committed as " + text_of(entry.stamp));
+                    "two values are committed as " + text_of(entry.position));
             return;
         }
         require(on_majority(entry), Invariant::CommittedOnMajority,
@@ -183,12 +184,12 @@
             require(entry.value.find(token) == std::string::npos, Invariant::LoserNeverInForce,
                     token + " was refused and is in force");
         }
-        chain_[entry.stamp] = entry.value;
-        if (entry.stamp == chain_.rbegin()->first) in_force_ = entry;
+        chain_[entry.position] = entry.value;
+        if (entry.position == chain_.rbegin()->first) in_force_ = entry;
     }
 
     /// A leader goes from one entry to the next.
-    void changed_members(const Entry& from, const Entry& to) {
+    void changed_members(const LogEntry& from, const LogEntry& to) {
         ++changes;
         require(on_majority(from), Invariant::ChangeOnCommitted,
                 text_of(to) + " changes the members on top of the uncommitted " + text_of(from));
@@ -198,9 +199,9 @@
                 if (std::find(all.begin(), all.end(), m.id) == all.end()) all.push_back(m.id);
             }
         };
-        for (const Entry* entry : {&from, &to}) {
+        for (const LogEntry* entry : {&from, &to}) {
             add(entry->voters);
-            add(entry->outgoing);
+            add(entry->outgoing_voters);
         }
         const auto at = [&](MemberId id) {
             return static_cast<std::size_t>(std::find(all.begin(), all.end(), id) - all.begin());
@@ -226,7 +227,7 @@
     }
     void left(MemberId id) {
         const auto same = [&](const Member& m) { return m.id == id; };
-        for (const auto* set : {&in_force_.voters, &in_force_.outgoing})
+        for (const auto* set : {&in_force_.voters, &in_force_.outgoing_voters})
             require(std::none_of(set->begin(), set->end(), same), Invariant::LeaverGivesFirst,
                     std::to_string(id) + " says that it has left " + text_of(in_force_));
     }
@@ -252,7 +253,7 @@
     std::uint64_t elections = 0, changes = 0;
 
   private:
-    void saw(const Entry& entry) {
+    void saw(const LogEntry& entry) {
         for (const Member& m : entry.voters) members_.insert(m.id);
     }
     std::set<Invariant> ignored_;
@@ -261,11 +262,11 @@
         std::set<MemberId> by;  // whose disks held it, lost since or not
         std::string value;
     };
-    std::map<Stamp, Acceptance> accepted_;
+    std::map<LogPosition, Acceptance> accepted_;
     std::map<std::pair<MemberId, Term>, MemberId> votes_;
     std::map<Term, MemberId> leaders_;
-    std::map<Stamp, std::string> chain_;
-    Entry in_force_;
+    std::map<LogPosition, std::string> chain_;
+    LogEntry in_force_;
     std::vector<std::string> acknowledged_;
     std::set<std::string> refused_;
 };
@@ -281,15 +282,15 @@
           options_(options),
           random_(seed * 0x9e3779b97f4a7c15u + 7),
           oracle_(options.ignored) {
-        register_options_.tolerance = {shape.tolerated, shape.tolerated_zones, 0};
-        Entry first;
+        register_options_.fault_tolerance = {shape.tolerated, shape.tolerated_zones, 0};
+        LogEntry first;
         for (std::size_t i = 0; i < shape.machines; ++i) add_machine();
         for (std::size_t i = 0; i < std::min<std::size_t>({3, shape.machines, 2 * shape.tolerated + 1}); ++i)
             first.voters.push_back(member(i));
         oracle_.first_voters(first);
         for (std::size_t i = 0; i < shape.machines; ++i) {
             if (i < first.voters.size()) {
-                machines_[i].synced.newest = machines_[i].synced.committed = first;
+                machines_[i].synced.last_entry = machines_[i].synced.committed_entry = first;
             }
             // In half of the schedules the others come later than the seeds, and than the first orders.
             const bool late = seed / 8 % 2 == 0 && i >= first.voters.size();
@@ -341,7 +342,7 @@
         std::string token, base;
         Time until{};
         std::size_t acknowledged_before = 0;
-        std::optional<Stamp> proposed;
+        std::optional<LogPosition> proposed;
         std::optional<std::uint64_t> confirmation;
         Time confirmation_asked{};
         int decided = 0;  // status once confirmed
@@ -350,12 +351,12 @@
     struct Machine {
         std::string address, zone;
         bool counts = true;
-        std::unique_ptr<Moot> moot;
+        std::unique_ptr<RaftNode> raft;
         std::uint64_t life = 0;
-        Duration clock{};            // its steady clock's distance from the world's, by life
-        Disk synced;                 // survives a loss of power
-        std::optional<Disk> cached;  // written, not synced: survives the process only
-        std::optional<Disk> saving;  // being written
+        Duration clock{};                       // its steady clock's distance from the world's, by life
+        PersistentState synced;                 // survives a loss of power
+        std::optional<PersistentState> cached;  // written, not synced: survives the process only
+        std::optional<PersistentState> saving;  // being written
         Time free_at{};
         bool freezes_standing = false;  // the moment that it has asked for votes
         bool unsaved = false, frozen = false, gone = false, fails = false, leaving = false;
@@ -366,8 +367,8 @@
         std::deque<Call> calls;
         Time lost_until{};
         // What the oracle keeps of a life
-        Entry seen_newest;
-        Stamp seen_committed;
+        LogEntry seen_newest;
+        LogPosition seen_committed;
         Time appended{-1h};  // when the newest of the leader's messages that arrived was sent
         std::map<std::pair<Term, std::uint64_t>, std::map<MemberId, Time>> asked;
         std::map<MemberId, Time> answered;  // when the question was sent
@@ -423,39 +424,39 @@
         machine.address = "10.0.0." + std::to_string(i + 1) + ":7000";
         machine.zone = "z" + std::to_string(i % shape_.zones);
         machine.counts = i + shape_.uncounted < shape_.machines || i >= shape_.machines;
-        machine.synced.self = 100 + ++identities_;
-        machine_of_[machine.synced.self] = i;
+        machine.synced.self_id = 100 + ++identities_;
+        machine_of_[machine.synced.self_id] = i;
         machines_.push_back(std::move(machine));
         return i;
     }
     Member member(std::size_t i) const {
         const Machine& m = machines_[i];
         Member member;
-        member.id = m.synced.self;
+        member.id = m.synced.self_id;
         member.address = m.address;
         member.zone = m.zone;
         member.region = "r";
-        member.counts = m.counts;
+        member.loss_counted = m.counts;
         return member;
     }
     bool runs(std::size_t i) const {
-        return machines_[i].moot && !machines_[i].frozen && !machines_[i].saving;
+        return machines_[i].raft && !machines_[i].frozen && !machines_[i].saving;
     }
 
     void start(std::size_t i) {
         Machine& m = machines_[i];
-        if (m.moot || m.gone) return;
+        if (m.raft || m.gone) return;
         ++m.life;
-        const Disk disk = m.cached ? *m.cached : m.synced;
-        note("start ", named(i), " ", std::to_string(disk.self), " newest ", text_of(disk.newest));
+        const PersistentState disk = m.cached ? *m.cached : m.synced;
+        note("start ", named(i), " ", std::to_string(disk.self_id), " newest ", text_of(disk.last_entry));
         // What a process finds may have been written by the one before it and not be synced: it syncs it
         // first.
         m.synced = disk;
         m.cached.reset();
         oracle_.synced(m.synced);
         m.clock = spread(0s, 100s);
-        m.moot = std::make_unique<Moot>(member(i), disk, register_options_, random_.next());
-        m.seen_newest = disk.newest;
+        m.raft = std::make_unique<RaftNode>(member(i), disk, register_options_, random_.next());
+        m.seen_newest = disk.last_entry;
         m.seen_committed = {};
         m.appended = Time{-1h};
         m.unsaved = m.leaving = m.frozen = m.freezes_standing = false;
@@ -468,8 +469,8 @@
     /// The process ends; what it wrote is in the machine's memory.
     void kill(std::size_t i) {
         Machine& m = machines_[i];
-        if (!m.moot) return;
-        m.moot.reset();
+        if (!m.raft) return;
+        m.raft.reset();
         if (m.saving && random_.unit() < 0.5) m.cached = m.saving;
         m.saving.reset();
         m.inbox.clear();
@@ -479,7 +480,7 @@
     }
     void power_off(std::size_t i, bool may_tear) {
         Machine& m = machines_[i];
-        std::optional<Disk> written = m.saving ? m.saving : m.cached;
+        std::optional<PersistentState> written = m.saving ? m.saving : m.cached;
         kill(i);
         m.cached.reset();
         if (!written) return;
@@ -494,25 +495,25 @@
     }
     void wipe_disk(std::size_t i) {
         Machine& m = machines_[i];
-        oracle_.dead(m.synced.self);
+        oracle_.dead(m.synced.self_id);
         m.cached.reset();
         m.synced = {};
-        m.synced.self = 1000 + ++identities_;
-        machine_of_[m.synced.self] = i;
+        m.synced.self_id = 1000 + ++identities_;
+        machine_of_[m.synced.self_id] = i;
     }
 
     void tick(std::size_t i, std::uint64_t life) {
         Machine& m = machines_[i];
-        if (m.life != life || !m.moot) return;
+        if (m.life != life || !m.raft) return;
         after(kTick, [this, i, life] { tick(i, life); });
         if (!runs(i)) return;
-        m.moot->tick(local(m));
+        m.raft->tick(local(m));
         turn(i);
-        if (m.moot && m.leaving && runs(i) && m.moot->has_left()) left(i);
+        if (m.raft && m.leaving && runs(i) && m.raft->has_left()) left(i);
     }
     void hello(std::size_t i, std::uint64_t life) {
         Machine& m = machines_[i];
-        if (m.life != life || !m.moot) return;
+        if (m.life != life || !m.raft) return;
         after(kHello, [this, i, life] { hello(i, life); });
         if (!runs(i)) return;
         const Member self = member(i);
@@ -520,8 +521,8 @@
             if (k != i)
                 carry(i, k, [this, k, self] {
                     Machine& to = machines_[k];
-                    if (self.address == to.address && self.id != to.synced.self) return;
-                    to.moot->met(local(to), self);
+                    if (self.address == to.address && self.id != to.synced.self_id) return;
+                    to.raft->add_known_member(local(to), self);
                     turn(k);
                 });
         }
@@ -530,28 +531,28 @@
     /// As guildhall's turn(): to disk first, then out, then to those who wait.
     void turn(std::size_t i) {
         Machine& m = machines_[i];
-        for (int times = 0; m.moot && runs(i); ++times) {
+        for (int times = 0; m.raft && runs(i); ++times) {
             observe(i);
             if (oracle_.broken) return;
-            m.unsaved |= m.moot->take_persist();
+            m.unsaved |= m.raft->take_persist_request();
             if (m.unsaved) {
                 if (local(m) >= m.save_again && !m.fails) {
                     save(i);
-                    if (!m.moot || m.saving) return;  // goes on once it is synced
+                    if (!m.raft || m.saving) return;  // goes on once it is synced
                 } else {
                     if (local(m) >= m.save_again) m.save_again = local(m) + kSaveAgain;
-                    m.moot->disk_failed(local(m));
+                    m.raft->on_persist_failed(local(m));
                 }
             }
             send(i);
             settle(i);
-            if (!m.moot->has_output() || m.unsaved) return;
+            if (!m.raft->has_output() || m.unsaved) return;
             if (times > 50) return oracle_.fail(Invariant::Progress, named(i) + " never comes to rest");
         }
     }
     void save(std::size_t i) {
         Machine& m = machines_[i];
-        m.saving = m.moot->disk();
+        m.saving = m.raft->persistent_state();
         if (const int strike = std::exchange(m.strike, 0)) {
             note(strike == 1 ? "killed in a save " : "power lost in a save ", named(i));
             strike == 1 ? kill(i) : power_off(i, may_lose_disks() && m.lost_until > now_);
@@ -564,7 +565,7 @@
         if (takes == Duration{}) return saved(i);
         after(takes, [this, i, life = m.life] {
             Machine& later = machines_[i];
-            if (later.life != life || !later.moot || !later.saving) return;
+            if (later.life != life || !later.raft || !later.saving) return;
             saved(i);
             send(i);
             settle(i);
@@ -579,7 +580,7 @@
         m.cached.reset();
         m.unsaved = false;
         oracle_.synced(m.synced);
-        m.moot->persisted(local(m));
+        m.raft->on_persisted(local(m));
     }
     /// What came while the process could not run.
     void work_off(std::size_t i) {
@@ -596,7 +597,7 @@
         const auto arrive = [this, from, to](std::function<void()> it, Duration in) {
             after(in, [this, from, to, it = std::move(it)] {
                 Machine& m = machines_[to];
-                if (!m.moot) return;
+                if (!m.raft) return;
                 if (is_cut(from, to)) return hold(from, to, it);
                 if (!runs(to)) return m.inbox.push_back(it);
                 it();
@@ -621,7 +622,7 @@
             } else {
                 after(spread(0ms, 30ms), [this, to = one.to, what = std::move(one.what)] {
                     Machine& m = machines_[to];
-                    if (!m.moot) return;
+                    if (!m.raft) return;
                     if (!runs(to)) return m.inbox.push_back(what);
                     what();
                 });
@@ -632,11 +633,11 @@
     void send(std::size_t i) {
         Machine& m = machines_[i];
         bool stands = false;
-        for (Message& message : m.moot->take_messages()) {
-            stands |= message.kind == Message::Kind::AskVote && !message.pre;
+        for (Message& message : m.raft->take_messages()) {
+            stands |= message.kind == Message::Kind::RequestVote && !message.pre_vote;
             oracle_.sent(message, m.synced);
-            if (message.kind == Message::Kind::Append ||
-                (message.kind == Message::Kind::AskVote && !message.pre)) {
+            if (message.kind == Message::Kind::AppendEntries ||
+                (message.kind == Message::Kind::RequestVote && !message.pre_vote)) {
                 m.asked[{message.term, round_of(message)}][message.to] = now_;
                 if (m.asked.size() > 400) m.asked.erase(m.asked.begin());
             }
@@ -649,17 +650,20 @@
         if (stands && std::exchange(m.freezes_standing, false)) freeze(i, spread(300ms, 1100ms));
     }
     static std::uint64_t round_of(const Message& message) {
-        return message.kind == Message::Kind::Append || message.kind == Message::Kind::Ack ? message.round
-                                                                                           : 0;
+        return message.kind == Message::Kind::AppendEntries ||
+                       message.kind == Message::Kind::AppendEntriesReply
+                   ? message.round
+                   : 0;
     }
     void deliver(std::size_t from, std::size_t to, Time sent, const Message& message) {
         Machine& m = machines_[to];
         ++counts_.messages;
         note(named(from), " to ", named(to), ": ", text_of(message));
-        m.moot->receive(local(m), message);
-        const bool answers = message.yes && !message.pre &&
-                             (message.kind == Message::Kind::Ack || message.kind == Message::Kind::Vote);
-        if (answers && message.term == m.moot->disk().term) {
+        m.raft->receive(local(m), message);
+        const bool answers = message.granted && !message.pre_vote &&
+                             (message.kind == Message::Kind::AppendEntriesReply ||
+                              message.kind == Message::Kind::RequestVoteReply);
+        if (answers && message.term == m.raft->persistent_state().term) {
             if (m.answered_term != message.term) m.answered.clear();
             m.answered_term = message.term;
             const auto round = m.asked.find({message.term, round_of(message)});
@@ -670,7 +674,7 @@
                 }
             }
         }
-        if (message.kind == Message::Kind::Append && message.term >= m.moot->disk().term)
+        if (message.kind == Message::Kind::AppendEntries && message.term >= m.raft->persistent_state().term)
             m.appended = std::max(m.appended, sent);
         turn(to);
     }
@@ -678,52 +682,55 @@
     // -- what the oracle sees after each event
     void observe(std::size_t i) {
         Machine& m = machines_[i];
-        const Moot& moot = *m.moot;
-        const Disk& disk = moot.disk();
-        if (moot.role() == Moot::Role::Leader) {
-            oracle_.leads(disk.self, disk.term, disk.newest);
-            if (m.seen_newest.stamp != disk.newest.stamp && !same_voters(m.seen_newest, disk.newest)) {
-                note(named(i), " changes the members: ", text_of(disk.newest));
-                oracle_.changed_members(m.seen_newest, disk.newest);
+        const RaftNode& raft = *m.raft;
+        const PersistentState& disk = raft.persistent_state();
+        if (raft.role() == RaftNode::Role::Leader) {
+            oracle_.leads(disk.self_id, disk.term, disk.last_entry);
+            if (m.seen_newest.position != disk.last_entry.position &&
+                !same_voters(m.seen_newest, disk.last_entry)) {
+                note(named(i), " changes the members: ", text_of(disk.last_entry));
+                oracle_.changed_members(m.seen_newest, disk.last_entry);
             }
         }
-        m.seen_newest = disk.newest;
-        if (m.seen_committed != disk.committed.stamp && !m.unsaved) {
-            m.seen_committed = disk.committed.stamp;
+        m.seen_newest = disk.last_entry;
+        if (m.seen_committed != disk.committed_entry.position && !m.unsaved) {
+            m.seen_committed = disk.committed_entry.position;
         }
         observe_lease(i);
     }
     /// When the last question was sent that a majority of each set in force answered.
     Time contact(const Machine& m) const {
-        const Disk& disk = m.moot->disk();
+        const PersistentState& disk = m.raft->persistent_state();
         Time best{};
         if (m.answered_term != disk.term) {
-            return is_quorum(disk.newest, [&](MemberId id) { return id == disk.self; }) ? now_ : best;
+            return is_quorum(disk.last_entry, [&](MemberId id) { return id == disk.self_id; }) ? now_ : best;
         }
         std::vector<Time> times{now_};
         for (const auto& [id, asked] : m.answered) times.push_back(asked);
         for (const Time time : times) {
-            const bool reached = time > best && is_quorum(disk.newest, [&](MemberId id) {
-                                     const auto it = m.answered.find(id);
-                                     return id == disk.self || (it != m.answered.end() && it->second >= time);
-                                 });
+            const bool reached =
+                time > best && is_quorum(disk.last_entry, [&](MemberId id) {
+                    const auto it = m.answered.find(id);
+                    return id == disk.self_id || (it != m.answered.end() && it->second >= time);
+                });
             if (reached) best = time;
         }
         return best;
     }
     void observe_lease(std::size_t i) {
         Machine& m = machines_[i];
-        const Moot& moot = *m.moot;
-        if (moot.role() == Moot::Role::Leader) {
-            if (m.contact_term != moot.disk().term) m.contact = {};
-            m.contact_term = moot.disk().term;
+        const RaftNode& raft = *m.raft;
+        if (raft.role() == RaftNode::Role::Leader) {
+            if (m.contact_term != raft.persistent_state().term) m.contact = {};
+            m.contact_term = raft.persistent_state().term;
             m.contact = std::max(m.contact, contact(m));
         }
-        if (moot.leads(local(m))) {
-            oracle_.require(now_ - m.contact <= register_options_.lease, Invariant::NoStaleLease,
-                            named(i) + " says that it leads in term " + std::to_string(moot.disk().term) +
+        if (raft.has_leader_lease(local(m))) {
+            oracle_.require(now_ - m.contact <= register_options_.leader_lease, Invariant::NoStaleLease,
+                            named(i) + " says that it leads in term " +
+                                std::to_string(raft.persistent_state().term) +
                                 ", and no majority answered a question of the last 900 ms");
-        } else if (moot.role() != Moot::Role::Leader && moot.in_touch(local(m), kInTouch)) {
+        } else if (raft.role() != RaftNode::Role::Leader && raft.has_quorum_contact(local(m), kInTouch)) {
             oracle_.require(
                 now_ - m.appended <= kInTouch, Invariant::NoStaleTouch,
                 named(i) +
@@ -735,28 +742,28 @@
     // -- the clerk, in short: values are the tokens of all orders
     void settle(std::size_t i) {
         Machine& m = machines_[i];
-        Moot& moot = *m.moot;
+        RaftNode& raft = *m.raft;
         const Time now = local(m);
-        oracle_.committed(moot.disk().committed);
+        oracle_.committed(raft.persistent_state().committed_entry);
         while (!m.calls.empty() && !oracle_.broken) {
             Call& call = m.calls.front();
             std::optional<int> status;
             if (call.proposed) {
-                if (!moot.still_possible(*call.proposed)) {
+                if (!raft.may_still_commit(*call.proposed)) {
                     status = 503;
-                } else if (moot.is_durable(*call.proposed)) {
+                } else if (raft.is_durable(*call.proposed)) {
                     status = 200;
-                    call.value = moot.disk().committed.value;
+                    call.value = raft.persistent_state().committed_entry.value;
                 }
             } else if (call.confirmation) {
-                if (moot.is_confirmed(*call.confirmation)) {
+                if (raft.is_read_confirmed(*call.confirmation)) {
                     status = call.decided;
                     oracle_.require(std::max(m.contact, contact(m)) >= call.confirmation_asked,
                                     Invariant::NoStaleConfirmation,
                                     named(i) + " is confirmed by answers to questions from before it asked");
                 }
             }
-            if (!status && !call.proposed && !moot.leads(now)) status = 307;
+            if (!status && !call.proposed && !raft.has_leader_lease(now)) status = 307;
             if (!status && now >= call.until) status = 503;
             if (!status && !call.proposed && !call.confirmation) {
                 decide(i, call);
@@ -769,19 +776,19 @@
         }
     }
     void decide(std::size_t i, Call& call) {
-        Moot& moot = *machines_[i].moot;
+        RaftNode& raft = *machines_[i].raft;
         const Time now = local(machines_[i]);
-        const std::string& value = moot.disk().committed.value;
+        const std::string& value = raft.persistent_state().committed_entry.value;
         if (call.reads || value.find(call.token) != std::string::npos) {
             call.decided = 200;
         } else if (!value.ends_with(call.base) || (call.base.empty() && !value.empty())) {
             call.decided = 412;
         } else {
-            call.proposed = moot.propose(now, value + call.token);
+            call.proposed = raft.propose(now, value + call.token);
             return;
         }
         call.value = value;
-        call.confirmation = moot.ask_confirmation(now);
+        call.confirmation = raft.request_read_index(now);
         call.confirmation_asked = now_;
     }
     void answer(std::size_t i, const Call& call, int status) {
@@ -795,7 +802,7 @@
                 if (machines_[k].gone) continue;
                 lost += is_lost(k) && machines_[k].counts;
                 copies +=
-                    !is_lost(k) && machines_[k].synced.newest.value.find(call.token) != std::string::npos;
+                    !is_lost(k) && machines_[k].synced.last_entry.value.find(call.token) != std::string::npos;
             }
             // What is lost can't be lost once more; where more is lost than is to be borne, nothing is asked.
             oracle_.acknowledged(
@@ -837,9 +844,9 @@
               std::uint64_t number) {
         std::vector<std::size_t> up, leading;
         for (std::size_t i = 0; i < machines_.size(); ++i) {
-            if (!machines_[i].moot) continue;
+            if (!machines_[i].raft) continue;
             up.push_back(i);
-            if (machines_[i].moot->role() == Moot::Role::Leader) leading.push_back(i);
+            if (machines_[i].raft->role() == RaftNode::Role::Leader) leading.push_back(i);
         }
         if (up.empty()) return;
         const auto& from = leading.empty() || random_.unit() < 0.1 ? up : leading;
@@ -860,7 +867,7 @@
                 settle(i);
                 turn(i);
             };
-            if (!m.moot) return;
+            if (!m.raft) return;
             runs(i) ? come() : m.inbox.push_back(come);
         });
     }
@@ -917,9 +924,9 @@
     std::size_t pick() {
         std::vector<std::size_t> there, leading;
         for (std::size_t i = 0; i < machines_.size(); ++i) {
-            if (!machines_[i].moot) continue;
+            if (!machines_[i].raft) continue;
             there.push_back(i);
-            if (machines_[i].moot->role() == Moot::Role::Leader) leading.push_back(i);
+            if (machines_[i].raft->role() == RaftNode::Role::Leader) leading.push_back(i);
         }
         if (there.empty()) return 0;
         const auto& from = leading.empty() || random_.unit() < 0.6 ? there : leading;
@@ -932,7 +939,7 @@
     void fault() {
         const std::size_t i = pick();
         Machine& m = machines_[i];
-        if (!m.moot) return;
+        if (!m.raft) return;
         const bool loses = may_lose_disks();
         const Duration time = random_.unit() < 0.2 ? spread(3s, 9s) : spread(50ms, 2s);
         if (random_.unit() < 0.07) return fault_of_all(loses);
@@ -1018,7 +1025,7 @@
     }
     void thaw(std::size_t i) {
         Machine& m = machines_[i];
-        if (!m.moot || !m.frozen) return;
+        if (!m.raft || !m.frozen) return;
         m.frozen = false;
         note("thaw ", named(i), " with ", std::to_string(m.inbox.size()), " in its inbox");
         if (runs(i)) observe_lease(i);
@@ -1030,7 +1037,7 @@
         power_off(i, false);
         machines_[i].gone = true;
         const bool returns = random_.unit() < 0.5;
-        if (!returns) oracle_.dead(machines_[i].synced.self);
+        if (!returns) oracle_.dead(machines_[i].synced.self_id);
         const std::size_t next = add_machine();
         machines_[next].zone = machines_[i].zone;
         machines_[next].counts = machines_[i].counts;
@@ -1065,7 +1072,7 @@
             after(spread(0s, 1s), [this, n = *next] { start(n); });
         }
         leaving_[i] = {for_good, time};
-        machines_[i].moot->leave(local(machines_[i]));
+        machines_[i].raft->leave(local(machines_[i]));
         turn(i);
         after(kLeaveGrace, [this, i, life = machines_[i].life] {
             if (machines_[i].life == life && machines_[i].leaving) end(i);
@@ -1073,16 +1080,16 @@
     }
     void left(std::size_t i) {
         note(named(i), " has left");
-        oracle_.left(machines_[i].synced.self);
+        oracle_.left(machines_[i].synced.self_id);
         if (!stormy_) {
             std::size_t others = 0;
             for (std::size_t k = 0; k < machines_.size(); ++k)
-                others += k != i && machines_[k].moot && machines_[k].counts;
+                others += k != i && machines_[k].raft && machines_[k].counts;
             for (const std::string& token : oracle_.all_acknowledged()) {
                 std::size_t copies = 0;
                 for (std::size_t k = 0; k < machines_.size(); ++k)
                     copies += k != i && !machines_[k].gone &&
-                              machines_[k].synced.newest.value.find(token) != std::string::npos;
+                              machines_[k].synced.last_entry.value.find(token) != std::string::npos;
                 oracle_.require(copies >= std::min(shape_.tolerated + 1, others), Invariant::LeaverGivesFirst,
                                 named(i) + " says that it has left, and " + token + " is on " +
                                     std::to_string(copies) + " other disks");
@@ -1096,7 +1103,7 @@
         if (!for_good) return come_back(i, quiet_ ? 50ms : time);
         machines_[i].gone = true;
         machines_[i].lost_until = {};
-        oracle_.dead(machines_[i].synced.self);
+        oracle_.dead(machines_[i].synced.self_id);
     }
     void cut(std::size_t i, Duration time) {
         const double way = random_.unit();
@@ -1149,20 +1156,20 @@
         std::size_t there = 0;
         for (std::size_t i = 0; i < machines_.size(); ++i) {
             const Machine& m = machines_[i];
-            if (!m.moot) continue;
+            if (!m.raft) continue;
             there += m.counts;
-            if (m.moot->leads(local(m))) leading.push_back(i);
+            if (m.raft->has_leader_lease(local(m))) leading.push_back(i);
         }
         if (!oracle_.require(leading.size() == 1, Invariant::Progress,
                              std::to_string(leading.size()) + " machines lead " + when))
             return;
-        const Entry& entry = machines_[leading.front()].moot->disk().newest;
+        const LogEntry& entry = machines_[leading.front()].raft->persistent_state().last_entry;
         const std::size_t whole = std::min(2 * shape_.tolerated + 1, there);
-        oracle_.require(entry.voters.size() >= whole && entry.outgoing.empty(), Invariant::Progress,
+        oracle_.require(entry.voters.size() >= whole && entry.outgoing_voters.empty(), Invariant::Progress,
                         "the set is not whole " + std::string(when) + ": " + text_of(entry));
         for (const Member& voter : entry.voters) {
             const bool up = std::any_of(machines_.begin(), machines_.end(), [&](const Machine& m) {
-                return m.moot && m.counts && m.synced.self == voter.id;
+                return m.raft && m.counts && m.synced.self_id == voter.id;
             });
             oracle_.require(
                 up, Invariant::Progress,
@@ -1187,7 +1194,7 @@
     const Shape& shape_;
     Counts& counts_;
     Options options_;
-    moot::Options register_options_;
+    raft::RaftOptions register_options_;
     loftfront::Random random_;
     Oracle oracle_;
     std::map<MemberId, std::size_t> machine_of_;
@@ -1235,7 +1242,7 @@
                                   text_of(flying.message) + word(strike));
                         next.left.strikes -= strike != Strike::None;
                         next.nodes[flying.to].mix(flying.key);
-                        next.nodes[flying.to].moot->receive(next.nodes[flying.to].clock, flying.message);
+                        next.nodes[flying.to].raft->receive(next.nodes[flying.to].clock, flying.message);
                         settle(next, flying.to, strike);
                     });
                 }
@@ -1246,14 +1253,14 @@
                     next.note("deliver, and once more later, to #" + std::to_string(flying.to) + ": " +
                               text_of(flying.message));
                     next.nodes[flying.to].mix(flying.key);
-                    next.nodes[flying.to].moot->receive(next.nodes[flying.to].clock, flying.message);
+                    next.nodes[flying.to].raft->receive(next.nodes[flying.to].clock, flying.message);
                     settle(next, flying.to, Strike::None);
                 });
             }
             for (std::size_t i = 0; i < state.nodes.size(); ++i) {
                 const Node& node = state.nodes[i];
                 if (!node.up) continue;
-                const bool leads = node.moot->role() == Moot::Role::Leader;
+                const bool leads = node.raft->role() == RaftNode::Role::Leader;
                 if (!leads && state.left.timeouts > 0)
                     for (const Strike strike : {Strike::None, Strike::Old, Strike::New}) {
                         if (strike != Strike::None && state.left.strikes == 0) continue;
@@ -1272,13 +1279,13 @@
                         wait(next, i, 110ms);
                         settle(next, i, Strike::None);
                     });
-                if (leads && state.left.orders > 0 && node.moot->leads(node.clock))
+                if (leads && state.left.orders > 0 && node.raft->has_leader_lease(node.clock))
                     step(stack, state, [&](State& next) {
                         Node& leader = next.nodes[i];
                         const std::string token = std::string(1, static_cast<char>('A' + i)) +
                                                   std::to_string(next.left.orders) + ";";
-                        const auto stamp =
-                            leader.moot->propose(leader.clock, leader.moot->disk().committed.value + token);
+                        const auto stamp = leader.raft->propose(
+                            leader.clock, leader.raft->persistent_state().committed_entry.value + token);
                         if (!stamp) return false;
                         next.note("#" + std::to_string(i) + " proposes " + token);
                         --next.left.orders;
@@ -1293,10 +1300,10 @@
                         next.note("#" + std::to_string(i) + " loses its disk");
                         --next.left.wipes;
                         Node& wiped = next.nodes[i];
-                        next.oracle.dead(wiped.disk.self);
-                        const MemberId before = wiped.disk.self;
+                        next.oracle.dead(wiped.disk.self_id);
+                        const MemberId before = wiped.disk.self_id;
                         wiped.disk = {};
-                        wiped.disk.self = before + 1000;
+                        wiped.disk.self_id = before + 1000;
                         restart(next, i);
                     });
             }
@@ -1313,14 +1320,14 @@
                                        : ", power lost after the write";
     }
     struct Node {
-        std::optional<Moot> moot;
-        Disk disk;
+        std::optional<RaftNode> raft;
+        PersistentState disk;
         Time clock{1s};
         std::uint64_t history = 0;  // of its inputs: what it is follows from them
         std::uint64_t sent = 0;
         bool up = true;
-        Entry seen_newest;
-        std::optional<Stamp> proposed;
+        LogEntry seen_newest;
+        std::optional<LogPosition> proposed;
         std::string token;
         void mix(std::uint64_t input) {
             history = loftfront::Random(history ^ input * 0x9e3779b97f4a7c15u).next();
@@ -1378,13 +1385,13 @@
         Node& node = state.nodes[i];
         node.clock += time;
         node.mix(static_cast<std::uint64_t>(time.count()));
-        node.moot->tick(node.clock);
+        node.raft->tick(node.clock);
     }
     void restart(State& state, std::size_t i) const {
         Node& node = state.nodes[i];
         node.mix(0xdead);
-        node.moot.emplace(Member(member(i, node.disk.self)), node.disk, options_, 7 + i);
-        node.seen_newest = node.disk.newest;
+        node.raft.emplace(Member(member(i, node.disk.self_id)), node.disk, options_, 7 + i);
+        node.seen_newest = node.disk.last_entry;
         node.proposed.reset();
     }
     static Member member(std::size_t i, MemberId id) {
@@ -1397,56 +1404,57 @@
     /// What only keeps a lease alive, or refuses a vote: left out (a message may always be lost), so that the
     /// search ends.
     static bool tells_nothing(const Node& to, const Message& message) {
-        const Disk& held = to.moot->disk();
+        const PersistentState& held = to.raft->persistent_state();
         if (message.term > held.term) return false;
-        if (message.kind == Message::Kind::Append)
-            return !message.entry && message.newest == held.newest.stamp &&
-                   message.committed == held.committed.stamp;
-        if (message.kind == Message::Kind::Ack) return message.newest == held.committed.stamp;
-        return message.kind == Message::Kind::Vote && !message.yes;
+        if (message.kind == Message::Kind::AppendEntries)
+            return !message.entry && message.last_position == held.last_entry.position &&
+                   message.commit_position == held.committed_entry.position;
+        if (message.kind == Message::Kind::AppendEntriesReply)
+            return message.last_position == held.committed_entry.position;
+        return message.kind == Message::Kind::RequestVoteReply && !message.granted;
     }
     /// As guildhall's turn().
     void settle(State& state, std::size_t i, Strike strike) const {
         Node& node = state.nodes[i];
         do {
-            const Disk& held = node.moot->disk();
-            if (node.moot->role() == Moot::Role::Leader) {
-                state.oracle.leads(held.self, held.term, held.newest);
-                if (node.seen_newest.stamp != held.newest.stamp &&
-                    !same_voters(node.seen_newest, held.newest))
-                    state.oracle.changed_members(node.seen_newest, held.newest);
+            const PersistentState& held = node.raft->persistent_state();
+            if (node.raft->role() == RaftNode::Role::Leader) {
+                state.oracle.leads(held.self_id, held.term, held.last_entry);
+                if (node.seen_newest.position != held.last_entry.position &&
+                    !same_voters(node.seen_newest, held.last_entry))
+                    state.oracle.changed_members(node.seen_newest, held.last_entry);
             }
-            node.seen_newest = held.newest;
-            const bool saves = node.moot->take_persist();
+            node.seen_newest = held.last_entry;
+            const bool saves = node.raft->take_persist_request();
             if (saves && strike != Strike::Old) {
                 node.disk = held;
                 state.oracle.synced(node.disk);
-                if (strike == Strike::None) node.moot->persisted(node.clock);
+                if (strike == Strike::None) node.raft->on_persisted(node.clock);
             }
             if (saves && strike != Strike::None) {
                 node.mix(strike == Strike::Old ? 0x01d : 0x4e3);
                 return restart(state, i);
             }
-            for (Message& message : node.moot->take_messages()) {
+            for (Message& message : node.raft->take_messages()) {
                 state.oracle.sent(message, node.disk);
                 for (std::size_t k = 0; k < state.nodes.size(); ++k) {
-                    const MemberId id = state.nodes[k].disk.self;
+                    const MemberId id = state.nodes[k].disk.self_id;
                     if (id != message.to && id != 1000 + message.to) continue;  // or what came after it
                     if (searching_ && tells_nothing(state.nodes[k], message)) continue;
                     state.flying.push_back(
                         {k, message, loftfront::Random(node.history + ++node.sent).next()});
                 }
             }
-            state.oracle.committed(held.committed);
-            if (node.proposed && !node.moot->still_possible(*node.proposed)) node.proposed.reset();
-            if (node.proposed && node.moot->is_durable(*node.proposed)) {
+            state.oracle.committed(held.committed_entry);
+            if (node.proposed && !node.raft->may_still_commit(*node.proposed)) node.proposed.reset();
+            if (node.proposed && node.raft->is_durable(*node.proposed)) {
                 std::size_t copies = 0;
                 for (const Node& other : state.nodes)
-                    copies += other.disk.newest.value.find(node.token) != std::string::npos;
+                    copies += other.disk.last_entry.value.find(node.token) != std::string::npos;
                 state.oracle.acknowledged(node.token, copies, 2);
                 node.proposed.reset();
             }
-        } while (node.moot->has_output() && !state.oracle.broken);
+        } while (node.raft->has_output() && !state.oracle.broken);
     }
     /// All goes well for a while; every node has one clock.
     void calm(State& state, Duration time) const {
@@ -1456,7 +1464,8 @@
                 wait(state, i, kTick);
                 for (std::size_t k = 0; k < state.nodes.size(); ++k)
                     if (k != i && state.nodes[k].up)
-                        state.nodes[i].moot->met(state.nodes[i].clock, member(k, state.nodes[k].disk.self));
+                        state.nodes[i].raft->add_known_member(state.nodes[i].clock,
+                                                              member(k, state.nodes[k].disk.self_id));
                 settle(state, i, Strike::None);
             }
             while (!state.flying.empty() && !state.oracle.broken) {
@@ -1465,7 +1474,7 @@
                 Node& node = state.nodes[flying.to];
                 if (!node.up) continue;
                 node.mix(flying.key);
-                node.moot->receive(node.clock, flying.message);
+                node.raft->receive(node.clock, flying.message);
                 settle(state, flying.to, Strike::None);
             }
         }
@@ -1473,14 +1482,14 @@
     void prepare(Start start) {
         State& state = first_;
         state.nodes.resize(start == Start::ChangeOfMembers ? 4 : 3);
-        Entry entry;
+        LogEntry entry;
         for (std::size_t i = 0; i < 3; ++i) entry.voters.push_back(member(i, 101 + i));
         state.oracle.first_voters(entry);
         for (std::size_t i = 0; i < state.nodes.size(); ++i) {
-            state.nodes[i].disk.self = 101 + i;
-            if (i < 3) state.nodes[i].disk.newest = state.nodes[i].disk.committed = entry;
+            state.nodes[i].disk.self_id = 101 + i;
+            if (i < 3) state.nodes[i].disk.last_entry = state.nodes[i].disk.committed_entry = entry;
             restart(state, i);
-            state.nodes[i].moot->tick(state.nodes[i].clock);
+            state.nodes[i].raft->tick(state.nodes[i].clock);
         }
         state.left = {1, 0, 0, 0, 0, 0};
         if (start == Start::Rivals) {  // two won the vote before the vote, and stand
@@ -1492,13 +1501,13 @@
             for (const Flying& ask : asked) {
                 if (ask.to != 2) continue;
                 state.nodes[2].mix(ask.key);
-                state.nodes[2].moot->receive(state.nodes[2].clock, ask.message);
+                state.nodes[2].raft->receive(state.nodes[2].clock, ask.message);
             }
             settle(state, 2, Strike::None);
             const auto votes = std::exchange(state.flying, {});
             for (const Flying& vote : votes) {
                 state.nodes[vote.to].mix(vote.key);
-                state.nodes[vote.to].moot->receive(state.nodes[vote.to].clock, vote.message);
+                state.nodes[vote.to].raft->receive(state.nodes[vote.to].clock, vote.message);
                 settle(state, vote.to, Strike::None);
             }
             state.left = {0, 0, 0, 1, 0, 0};
@@ -1507,7 +1516,7 @@
             calm(state, 3s);
             // One that doesn't lead ends for good; the state just before its place is given to another.
             std::size_t gone = 0;
-            while (gone < 2 && state.nodes[gone].moot->role() == Moot::Role::Leader) ++gone;
+            while (gone < 2 && state.nodes[gone].raft->role() == RaftNode::Role::Leader) ++gone;
             state.nodes[gone].up = false;
             const auto before = state.oracle.changes;
             for (State next = state; next.oracle.changes == before && !next.oracle.broken;) {
@@ -1522,7 +1531,7 @@
 
     std::uint64_t most_;
     Counts& counts_;
-    moot::Options options_;
+    raft::RaftOptions options_;
     State first_;
     bool searching_ = false;
     std::set<std::uint64_t> seen_;
--- a/tests/mesh/register_explorer.h
+++ b/tests/mesh/register_explorer.h
@@ -1,4 +1,4 @@
-// An explorer of the agreed register (src/moot): random schedules and a bounded exhaustive search, in virtual
+// An explorer of the agreed register (src/raft): random schedules and a bounded exhaustive search, in virtual
 // time, with a model of disks, links and operators, and an oracle that judges only what goes out and what is
 // on disk.
 #pragma once
--- a/tests/mesh/store_test.cpp
+++ b/tests/mesh/store_test.cpp
@@ -145,21 +145,22 @@
         other[i * 7 % other.size()] ^= static_cast<char>(1 << (i % 8));
         passage::decode(other);
     }
-    moot::Disk disk{5, 6, 7, {{8, 9}, {{1, "x"}}, "value"}, {{7, 8}, {}, "older"}};
+    raft::PersistentState disk{5, 6, 7, {{8, 9}, {{1, "x"}}, "value"}, {{7, 8}, {}, "older"}};
     const auto kept = passage::decode_disk(passage::encode(disk));
     REQUIRE(kept);
-    CHECK(kept->newest.value == "value");
-    CHECK(kept->committed.stamp == moot::Stamp{7, 8});
+    CHECK(kept->last_entry.value == "value");
+    CHECK(kept->committed_entry.position == raft::LogPosition{7, 8});
 }
 
 TEST_CASE("the disk's records: read as they were written; what doesn't belong together is nothing") {
-    moot::Disk disk{5, 6, 7, {{8, 9}, {{1, "x"}}, std::string(60'000, 'n')}, {{7, 8}, {}, "older"}};
+    raft::PersistentState disk{
+        5, 6, 7, {{8, 9}, {{1, "x"}}, std::string(60'000, 'n')}, {{7, 8}, {}, "older"}};
     const auto records = passage::records_of(disk);
     const auto kept = passage::disk_of(records);
     REQUIRE(kept);
-    CHECK(kept->newest.value == disk.newest.value);
-    CHECK(kept->newest.voters == disk.newest.voters);
-    CHECK(kept->committed.value == "older");
+    CHECK(kept->last_entry.value == disk.last_entry.value);
+    CHECK(kept->last_entry.voters == disk.last_entry.voters);
+    CHECK(kept->committed_entry.value == "older");
     CHECK(kept->voted_for == 7);
     // A vote changes the state alone, and that is small.
     disk.voted_for = 8;
@@ -178,7 +179,7 @@
     // What a program before left, all in one.
     const auto before = passage::disk_of({{"word", passage::encode(disk)}});
     REQUIRE(before);
-    CHECK(before->newest.value == disk.newest.value);
+    CHECK(before->last_entry.value == disk.last_entry.value);
     CHECK_FALSE(passage::disk_of({}));
 }
 
