--- a/benchmarks/register_report.cpp
+++ b/benchmarks/register_report.cpp
@@ -15,8 +15,8 @@
 #include <vector>
 
 #include "charter/charter.h"
+#include "durable_store/durable_store.h"
 #include "passage/messages.h"
-#include "strongbox/strongbox.h"
 
 using namespace martenford;
 
@@ -125,11 +125,11 @@
     std::printf("on the wire: an entry %zu bytes, a heartbeat without one %zu\n",
                 passage::encode(passage::Message{message}).size(), heartbeat);
 
-    auto opened = strongbox::Strongbox::open(folder, 96 * 1024 * 1024);
-    if (!std::holds_alternative<std::unique_ptr<strongbox::Strongbox>>(opened)) return 1;
-    const auto box = std::get<std::unique_ptr<strongbox::Strongbox>>(std::move(opened));
+    auto opened = durable_store::DurableStore::open(folder, 96 * 1024 * 1024);
+    if (!std::holds_alternative<std::unique_ptr<durable_store::DurableStore>>(opened)) return 1;
+    const auto store = std::get<std::unique_ptr<durable_store::DurableStore>>(std::move(opened));
     const auto save = [&] {
-        if (!std::holds_alternative<std::monostate>(box->save(passage::records_of(disk)))) std::abort();
+        if (!std::holds_alternative<std::monostate>(store->save(passage::records_of(disk)))) std::abort();
     };
     save();
     Cost checked, encoded, decoded, proposed, committed, voted;
--- a/src/durable_store/durable_store.cpp
+++ b/src/durable_store/durable_store.cpp
@@ -1,4 +1,4 @@
-#include "strongbox/strongbox.h"
+#include "durable_store/durable_store.h"
 
 #include <fcntl.h>
 #include <lmdb.h>
@@ -15,11 +15,11 @@
 #define XXH_INLINE_ALL
 #include <xxhash.h>
 
-namespace martenford::strongbox {
+namespace martenford::durable_store {
 
 namespace {
 
-Trouble trouble(int code) {
+StorageError trouble(int code) {
     return {mdb_strerror(code), code == ENOSPC || code == MDB_MAP_FULL || code == EDQUOT};
 }
 
@@ -49,18 +49,18 @@
 
 }  // namespace
 
-struct Strongbox::Impl {
+struct DurableStore::Impl {
     MDB_env* env = nullptr;
     MDB_dbi dbi = 0;
-    static std::variant<std::unique_ptr<Impl>, Trouble> open_in(const std::string& directory,
-                                                                std::size_t most);
+    static std::variant<std::unique_ptr<Impl>, StorageError> open_in(const std::string& directory,
+                                                                     std::size_t most);
     ~Impl() {
         if (env) mdb_env_close(env);
     }
 };
 
-std::variant<std::unique_ptr<Strongbox::Impl>, Trouble> Strongbox::Impl::open_in(const std::string& directory,
-                                                                                 std::size_t most) {
+std::variant<std::unique_ptr<DurableStore::Impl>, StorageError> DurableStore::Impl::open_in(
+    const std::string& directory, std::size_t most) {
     auto impl = std::make_unique<Impl>();
     if (const int code = mdb_env_create(&impl->env)) return trouble(code);
     if (const int code = mdb_env_set_mapsize(impl->env, most)) return trouble(code);
@@ -145,22 +145,22 @@
 
 }  // namespace
 
-Strongbox::Strongbox(std::string directory, std::size_t most, std::unique_ptr<Impl> impl)
-    : directory_(std::move(directory)), most_(most), impl_(std::move(impl)) {}
-Strongbox::~Strongbox() = default;
+DurableStore::DurableStore(std::string directory, std::size_t most, std::unique_ptr<Impl> impl)
+    : directory_(std::move(directory)), map_bytes_(most), impl_(std::move(impl)) {}
+DurableStore::~DurableStore() = default;
 
-std::variant<std::unique_ptr<Strongbox>, Trouble> Strongbox::open(const std::string& directory,
-                                                                  std::size_t most) {
+std::variant<std::unique_ptr<DurableStore>, StorageError> DurableStore::open(const std::string& directory,
+                                                                             std::size_t most) {
     auto opened = Impl::open_in(directory, most);
-    if (auto* failed = std::get_if<Trouble>(&opened)) return std::move(*failed);
-    return std::unique_ptr<Strongbox>(
-        new Strongbox(directory, most, std::get<std::unique_ptr<Impl>>(std::move(opened))));
+    if (auto* failed = std::get_if<StorageError>(&opened)) return std::move(*failed);
+    return std::unique_ptr<DurableStore>(
+        new DurableStore(directory, most, std::get<std::unique_ptr<Impl>>(std::move(opened))));
 }
 
-Found Strongbox::load() {
+LoadResult DurableStore::load() {
     MDB_txn* txn = nullptr;
     if (!impl_ || mdb_txn_begin(impl_->env, nullptr, MDB_RDONLY, &txn)) return {{}, true};
-    Found found;
+    LoadResult found;
     const int code = walk(txn, impl_->dbi, [&](MDB_cursor*, const std::string& name, const MDB_val& value) {
         const auto record = checked(value);
         if (!record) return MDB_CORRUPTED;
@@ -172,10 +172,10 @@
     return found;
 }
 
-std::variant<std::monostate, Trouble> Strongbox::save(const Records& records) {
+std::variant<std::monostate, StorageError> DurableStore::save(const Records& records) {
     if (!impl_) {
-        auto opened = Impl::open_in(directory_, most_);
-        if (auto* failed = std::get_if<Trouble>(&opened)) return std::move(*failed);
+        auto opened = Impl::open_in(directory_, map_bytes_);
+        if (auto* failed = std::get_if<StorageError>(&opened)) return std::move(*failed);
         impl_ = std::get<std::unique_ptr<Impl>>(std::move(opened));
     }
     const int code = write_all(impl_->env, impl_->dbi, records);
@@ -188,4 +188,4 @@
     return std::monostate{};
 }
 
-}  // namespace martenford::strongbox
+}  // namespace martenford::durable_store
--- a/src/durable_store/durable_store.h
+++ b/src/durable_store/durable_store.h
@@ -9,42 +9,42 @@
 #include <string>
 #include <variant>
 
-namespace martenford::strongbox {
+namespace martenford::durable_store {
 
 /// Why the disk did not do it; `full`: for want of room.
-struct Trouble {
-    std::string what;
-    bool full = false;
+struct StorageError {
+    std::string message;
+    bool disk_full = false;
 };
 
 using Records = std::map<std::string, std::string>;
 
 /// What was found at a start.
-struct Found {
+struct LoadResult {
     Records records;       ///< none: nothing was saved yet, or it is damaged
     bool damaged = false;  ///< there are some, and one can't be read: as good as lost
 };
 
-class Strongbox {
+class DurableStore {
   public:
     /// Opens or makes the file below `directory`, which exists. `most` bytes are mapped.
-    static std::variant<std::unique_ptr<Strongbox>, Trouble> open(const std::string& directory,
-                                                                  std::size_t most);
-    ~Strongbox();
-    Strongbox(const Strongbox&) = delete;
-    Strongbox& operator=(const Strongbox&) = delete;
+    static std::variant<std::unique_ptr<DurableStore>, StorageError> open(const std::string& directory,
+                                                                          std::size_t most);
+    ~DurableStore();
+    DurableStore(const DurableStore&) = delete;
+    DurableStore& operator=(const DurableStore&) = delete;
 
-    Found load();
+    LoadResult load();
     /// Makes `records` all that there is: writes those that are new or other than before, removes the rest.
     /// On disk, in whole, once this returns nothing; else what was there before still stands.
-    std::variant<std::monostate, Trouble> save(const Records& records);
+    std::variant<std::monostate, StorageError> save(const Records& records);
 
   private:
     struct Impl;
-    Strongbox(std::string directory, std::size_t most, std::unique_ptr<Impl> impl);
+    DurableStore(std::string directory, std::size_t most, std::unique_ptr<Impl> impl);
     std::string directory_;
-    std::size_t most_;
+    std::size_t map_bytes_;
     std::unique_ptr<Impl> impl_;  // nothing: it broke, and is opened again with the next save
 };
 
-}  // namespace martenford::strongbox
+}  // namespace martenford::durable_store
--- a/src/guildhall/guildhall.cpp
+++ b/src/guildhall/guildhall.cpp
@@ -13,11 +13,11 @@
 #include "bell/bell.h"
 #include "boot/settings.h"
 #include "calls/calls.h"
+#include "durable_store/durable_store.h"
 #include "guildhall/clerk.h"
 #include "passage/channel.h"
 #include "rolls/rolls.h"
 #include "scales/scales.h"
-#include "strongbox/strongbox.h"
 
 namespace martenford::guildhall {
 namespace {
@@ -26,7 +26,7 @@
 using bell::ring;
 
 constexpr int kBadSettings = 2;
-constexpr std::size_t kMap = 96 * 1024 * 1024;  // of LMDB; the disk has more
+constexpr std::size_t kMapBytes = 96 * 1024 * 1024;  // of LMDB; the disk has more
 constexpr Duration kTick = 20ms;
 constexpr Duration kPollWait = 900ms;  // a poll without news is answered after this
 constexpr Duration kGather = 15ms;     // news are gathered for so long before they are told
@@ -46,10 +46,10 @@
 
 class Guildhall {
   public:
-    Guildhall(const boot::Settings& settings, std::unique_ptr<strongbox::Strongbox> box,
+    Guildhall(const boot::Settings& settings, std::unique_ptr<durable_store::DurableStore> store,
               raft::PersistentState disk)
         : settings_(settings),
-          box_(std::move(box)),
+          store_(std::move(store)),
           self_{disk.self_id, own_address(settings), settings.zone, settings.region, settings.loss_counted},
           raft_(self_, std::move(disk), raft_options(settings), drawn()),
           clerk_(raft_),
@@ -378,9 +378,9 @@
         unsaved_ |= raft_.take_persist_request();
         if (!unsaved_) return;
         if (const Time now = loop_.now(); now >= save_again_) {
-            const auto saved = box_->save(passage::records_of(raft_.persistent_state()));
-            if (const auto* trouble = std::get_if<strongbox::Trouble>(&saved)) {
-                ring(Event::DiskTrouble, "not written", {{"what", trouble->what}});
+            const auto saved = store_->save(passage::records_of(raft_.persistent_state()));
+            if (const auto* trouble = std::get_if<durable_store::StorageError>(&saved)) {
+                ring(Event::DiskTrouble, "not written", {{"what", trouble->message}});
                 save_again_ = loop_.now() + kSaveAgain;
             } else {
                 unsaved_ = false;
@@ -429,7 +429,7 @@
     const boot::Settings& settings_;
     Loop loop_;
     Counters counters_;
-    std::unique_ptr<strongbox::Strongbox> box_;
+    std::unique_ptr<durable_store::DurableStore> store_;
     raft::Member self_;
     raft::RaftNode raft_;
     Clerk clerk_;
@@ -451,9 +451,9 @@
 };
 
 /// What this machine's disk holds; a machine whose disk is empty or damaged is a new member.
-std::variant<raft::PersistentState, strongbox::Trouble> disk_of(const boot::Settings& settings,
-                                                                strongbox::Strongbox& box) {
-    const strongbox::Found found = box.load();
+std::variant<raft::PersistentState, durable_store::StorageError> disk_of(const boot::Settings& settings,
+                                                                         durable_store::DurableStore& store) {
+    const durable_store::LoadResult found = store.load();
     if (found.damaged) ring(Event::DiskDamaged, "a record is damaged");
     if (!found.damaged && !found.records.empty()) {
         if (auto disk = passage::disk_of(found.records); disk && disk->self_id != 0) return *disk;
@@ -476,8 +476,8 @@
     } else {
         ring(Event::FreshMember, "a new member without a vote");
     }
-    const auto saved = box.save(passage::records_of(disk));
-    if (const auto* trouble = std::get_if<strongbox::Trouble>(&saved)) return *trouble;
+    const auto saved = store.save(passage::records_of(disk));
+    if (const auto* trouble = std::get_if<durable_store::StorageError>(&saved)) return *trouble;
     return disk;
 }
 
@@ -514,18 +514,19 @@
     if (check) return 0;
     // A full or hanging disk at the start is waited for: the machine can do nothing without it.
     for (;;) {
-        auto opened = strongbox::Strongbox::open(settings.data_directory, kMap);
-        if (const auto* trouble = std::get_if<strongbox::Trouble>(&opened)) {
-            ring(Event::DiskTrouble, "can't open", {{"what", trouble->what}});
+        auto opened = durable_store::DurableStore::open(settings.data_directory, kMapBytes);
+        if (const auto* trouble = std::get_if<durable_store::StorageError>(&opened)) {
+            ring(Event::DiskTrouble, "can't open", {{"what", trouble->message}});
         } else {
-            auto box = std::get<std::unique_ptr<strongbox::Strongbox>>(std::move(opened));
-            auto disk = disk_of(settings, *box);
+            auto store = std::get<std::unique_ptr<durable_store::DurableStore>>(std::move(opened));
+            auto disk = disk_of(settings, *store);
             if (auto* held = std::get_if<raft::PersistentState>(&disk)) {
-                Guildhall guildhall(settings, std::move(box), std::move(*held));
+                Guildhall guildhall(settings, std::move(store), std::move(*held));
                 guildhall.run();
                 return 0;
             }
-            ring(Event::DiskTrouble, "can't write", {{"what", std::get<strongbox::Trouble>(disk).what}});
+            ring(Event::DiskTrouble, "can't write",
+                 {{"what", std::get<durable_store::StorageError>(disk).message}});
         }
         ::usleep(200'000);
     }
--- a/tests/mesh/golden_test.cpp
+++ b/tests/mesh/golden_test.cpp
@@ -8,11 +8,11 @@
 #include <string>
 #include <vector>
 
+#include "durable_store/durable_store.h"
 #include "framing/frame.h"
 #include "passage/channel.h"
 #include "passage/messages.h"
 #include "raft/raft_node.h"
-#include "strongbox/strongbox.h"
 
 using namespace martenford;
 
@@ -269,17 +269,17 @@
     CHECK(read.entry->value == std::string("value\0of bytes\xff", 15));
 }
 
-std::unique_ptr<strongbox::Strongbox> open(const std::string& at) {
-    auto opened = strongbox::Strongbox::open(at, 256 * 1024);
-    REQUIRE(std::holds_alternative<std::unique_ptr<strongbox::Strongbox>>(opened));
-    return std::get<std::unique_ptr<strongbox::Strongbox>>(std::move(opened));
+std::unique_ptr<durable_store::DurableStore> open(const std::string& at) {
+    auto opened = durable_store::DurableStore::open(at, 256 * 1024);
+    REQUIRE(std::holds_alternative<std::unique_ptr<durable_store::DurableStore>>(opened));
+    return std::get<std::unique_ptr<durable_store::DurableStore>>(std::move(opened));
 }
-void save(strongbox::Strongbox& store, const strongbox::Records& records) {
+void save(durable_store::DurableStore& store, const durable_store::Records& records) {
     REQUIRE(std::holds_alternative<std::monostate>(store.save(records)));
 }
 
 /// Writes a data directory as a process leaves it that has saved these records one after another.
-void write_store(const std::string& name, const std::vector<strongbox::Records>& saved) {
+void write_store(const std::string& name, const std::vector<durable_store::Records>& saved) {
     golden::Folder made;
     {
         auto store = open(made.at);
@@ -473,7 +473,7 @@
 
 TEST_CASE("golden register: the disk's records, their names and their bytes") {
     const auto now = passage::records_of(disk_in_change());
-    const strongbox::Records kept{
+    const durable_store::Records kept{
         {"state", golden::kept(path_of("register-record-state.bin"), now.at("state"))},
         {"value.82.86", golden::kept(path_of("register-record-value.82.86.bin"), now.at("value.82.86"))},
         {"value.81.85", golden::kept(path_of("register-record-value.81.85.bin"), now.at("value.81.85"))}};
@@ -592,7 +592,7 @@
         auto store = open(copy.at);
         const auto found = store->load();
         CHECK_FALSE(found.damaged);
-        CHECK(found.records == strongbox::Records{{"word", golden::kept(path_of("register-disk.bin"))}});
+        CHECK(found.records == durable_store::Records{{"word", golden::kept(path_of("register-disk.bin"))}});
         const auto disk = passage::disk_of(found.records);
         REQUIRE(disk);
         check_disk_in_change(*disk);
--- a/tests/mesh/power_test.cpp
+++ b/tests/mesh/power_test.cpp
@@ -16,7 +16,7 @@
 #include <variant>
 #include <vector>
 
-#include "strongbox/strongbox.h"
+#include "durable_store/durable_store.h"
 
 using namespace martenford;
 
@@ -90,35 +90,35 @@
     std::string at;
 };
 
-std::unique_ptr<strongbox::Strongbox> open(const Folder& folder) {
-    auto opened = strongbox::Strongbox::open(folder.at, 1 << 20);
-    REQUIRE(std::holds_alternative<std::unique_ptr<strongbox::Strongbox>>(opened));
-    return std::get<std::unique_ptr<strongbox::Strongbox>>(std::move(opened));
+std::unique_ptr<durable_store::DurableStore> open(const Folder& folder) {
+    auto opened = durable_store::DurableStore::open(folder.at, 1 << 20);
+    REQUIRE(std::holds_alternative<std::unique_ptr<durable_store::DurableStore>>(opened));
+    return std::get<std::unique_ptr<durable_store::DurableStore>>(std::move(opened));
 }
 std::string read(const std::string& path) {
     std::ifstream file(path, std::ios::binary);
     return {std::istreambuf_iterator<char>(file), {}};
 }
-strongbox::Found found_in(const std::string& image) {
+durable_store::LoadResult found_in(const std::string& image) {
     Folder folder;
     std::ofstream(folder.file(), std::ios::binary) << image;
     return open(folder)->load();
 }
 
 /// A register's life: an entry is taken, committed, a vote is given, and so on.
-strongbox::Records records(int i) {
+durable_store::Records records(int i) {
     const auto value = [](int k) {
         return std::string(static_cast<std::size_t>(3000 + 2500 * (k % 4)), 'a' + k);
     };
-    strongbox::Records all{{"state", "state " + std::to_string(i)}};
+    durable_store::Records all{{"state", "state " + std::to_string(i)}};
     all["value." + std::to_string(i / 3)] = value(i / 3);
     if (i % 3 == 0 && i > 0) all["value." + std::to_string(i / 3 - 1)] = value(i / 3 - 1);
     return all;
 }
 constexpr int kSaves = 7;
 
-bool save(strongbox::Strongbox& box, int i) {
-    return std::holds_alternative<std::monostate>(box.save(records(i)));
+bool save(durable_store::DurableStore& store, int i) {
+    return std::holds_alternative<std::monostate>(store.save(records(i)));
 }
 void start_watching(const Folder& folder) {
     struct stat found {};
@@ -134,12 +134,12 @@
     std::string lasting;
     std::vector<std::size_t> ends;  // of each save, in operations
     {
-        auto box = open(folder);
-        REQUIRE(save(*box, 0));
+        auto store = open(folder);
+        REQUIRE(save(*store, 0));
         lasting = read(folder.file());
         start_watching(folder);
         for (int i = 1; i <= kSaves; ++i) {
-            REQUIRE(save(*box, i));
+            REQUIRE(save(*store, i));
             ends.push_back(watch.done.size());
         }
     }
@@ -198,19 +198,19 @@
     for (const int with : {EIO, ENOSPC}) {
         for (int at = 0;; ++at) {
             Folder folder;
-            auto box = open(folder);
-            REQUIRE(save(*box, 0));
+            auto store = open(folder);
+            REQUIRE(save(*store, 0));
             start_watching(folder);
             watch.fails_in = at;
             watch.with = with;
             for (int i = 1, held = 0; i <= 4; ++i) {
-                const bool saved = save(*box, i);
+                const bool saved = save(*store, i);
                 const auto found = found_in(read(folder.file()));
                 CHECK_FALSE(found.damaged);
                 CHECK((found.records == records(i) || (!saved && found.records == records(held))));
                 if (!saved) {
                     ++failed;
-                    CHECK(save(*box, i));
+                    CHECK(save(*store, i));
                     CHECK(found_in(read(folder.file())).records == records(i));
                 }
                 held = i;
@@ -228,9 +228,9 @@
     Folder folder;
     { REQUIRE(save(*open(folder), 1)); }
     start_watching(folder);
-    const auto box = open(folder);
+    const auto store = open(folder);
     const auto done = std::exchange(watch, {}).done;
     REQUIRE_FALSE(done.empty());
     CHECK(done.back().is_sync);
-    CHECK(box->load().records == records(1));
+    CHECK(store->load().records == records(1));
 }
--- a/tests/mesh/store_test.cpp
+++ b/tests/mesh/store_test.cpp
@@ -8,8 +8,8 @@
 
 #include "boot/settings.h"
 #include "charter/charter.h"
+#include "durable_store/durable_store.h"
 #include "passage/messages.h"
-#include "strongbox/strongbox.h"
 
 using namespace martenford;
 
@@ -24,14 +24,14 @@
     std::string at;
 };
 
-std::unique_ptr<strongbox::Strongbox> open(const std::string& at, std::size_t most = 1 << 20) {
-    auto opened = strongbox::Strongbox::open(at, most);
-    REQUIRE(std::holds_alternative<std::unique_ptr<strongbox::Strongbox>>(opened));
-    return std::get<std::unique_ptr<strongbox::Strongbox>>(std::move(opened));
+std::unique_ptr<durable_store::DurableStore> open(const std::string& at, std::size_t most = 1 << 20) {
+    auto opened = durable_store::DurableStore::open(at, most);
+    REQUIRE(std::holds_alternative<std::unique_ptr<durable_store::DurableStore>>(opened));
+    return std::get<std::unique_ptr<durable_store::DurableStore>>(std::move(opened));
 }
 
-bool saved(strongbox::Strongbox& box, const strongbox::Records& records) {
-    return std::holds_alternative<std::monostate>(box.save(records));
+bool saved(durable_store::DurableStore& store, const durable_store::Records& records) {
+    return std::holds_alternative<std::monostate>(store.save(records));
 }
 
 }  // namespace
@@ -39,15 +39,15 @@
 TEST_CASE("strongbox: what was saved is there after a restart; a full one keeps the record before") {
     Folder folder;
     {
-        auto box = open(folder.at, 256 * 1024);
-        CHECK(box->load().records.empty());
-        CHECK(saved(*box, {{"a", "one"}, {"gone", "x"}}));
-        const auto full = box->save({{"a", "other"}, {"b", std::string(400 * 1024, 'x')}});
-        REQUIRE(std::holds_alternative<strongbox::Trouble>(full));
-        CHECK(std::get<strongbox::Trouble>(full).full);
-        CHECK(saved(*box, {{"a", "one"}, {"b", "two"}}));
+        auto store = open(folder.at, 256 * 1024);
+        CHECK(store->load().records.empty());
+        CHECK(saved(*store, {{"a", "one"}, {"gone", "x"}}));
+        const auto full = store->save({{"a", "other"}, {"b", std::string(400 * 1024, 'x')}});
+        REQUIRE(std::holds_alternative<durable_store::StorageError>(full));
+        CHECK(std::get<durable_store::StorageError>(full).disk_full);
+        CHECK(saved(*store, {{"a", "one"}, {"b", "two"}}));
     }
-    CHECK(open(folder.at)->load().records == strongbox::Records{{"a", "one"}, {"b", "two"}});
+    CHECK(open(folder.at)->load().records == durable_store::Records{{"a", "one"}, {"b", "two"}});
 }
 
 TEST_CASE("strongbox: a record whose bytes changed is told as damaged, not read") {
@@ -69,11 +69,11 @@
 
 TEST_CASE("strongbox: a file that lost its end is told as damaged, wherever it ends; the process lives") {
     Folder folder;
-    const strongbox::Records records{{"state", "s"}, {"value", std::string(30'000, 'v')}};
+    const durable_store::Records records{{"state", "s"}, {"value", std::string(30'000, 'v')}};
     {
-        auto box = open(folder.at);
-        CHECK(saved(*box, {{"state", "before"}}));
-        CHECK(saved(*box, records));
+        auto store = open(folder.at);
+        CHECK(saved(*store, {{"state", "before"}}));
+        CHECK(saved(*store, records));
     }
     const auto size = std::filesystem::file_size(folder.at + "/word.mdb");
     std::size_t damaged = 0;
@@ -92,7 +92,7 @@
     // The file as it was after the first save, and as it is after the second: pages of the second are missing
     // or torn.
     Folder first, second;
-    const strongbox::Records as{{"r", std::string(9000, 'a')}}, bs{{"r", std::string(9000, 'b')}};
+    const durable_store::Records as{{"r", std::string(9000, 'a')}}, bs{{"r", std::string(9000, 'b')}};
     { CHECK(saved(*open(first.at), as)); }
     std::filesystem::copy(first.at + "/word.mdb", second.at + "/word.mdb");
     { CHECK(saved(*open(second.at), bs)); }
