--- a/src/guildhall/guildhall.cpp
+++ b/src/guildhall/guildhall.cpp
@@ -1,4 +1,5 @@
-// The control plane's program: the agreed register on this machine's disk, the rolls, the operator's calls.
+// The control plane's program: the agreed register on this machine's disk, the registry, the operator's
+// calls.
 #include <getopt.h>
 #include <unistd.h>
 
@@ -16,7 +17,7 @@
 #include "durable_store/durable_store.h"
 #include "guildhall/clerk.h"
 #include "passage/channel.h"
-#include "rolls/rolls.h"
+#include "registry/registry.h"
 #include "scales/scales.h"
 
 namespace martenford::guildhall {
@@ -256,17 +257,17 @@
             raft_.receive(now, *raft);
             turn();
         } else if (auto* announce = std::get_if<passage::Announce>(&message)) {
-            if (registry_.told(now, announce->place)) news();
+            if (registry_.renew_lease(now, announce->place)) news();
             grantor_.heard(now, announce->place.node, announce->taken, announce->demands);
             passage::Grants grants;
             if (raft_.has_leader_lease(now)) {
                 grants.leads = true;
                 grants.grants = grantor_.grant(now, *raft_.leader_since(), announce->place.node, quotas(),
-                                               registry_.size(), registry_.size() - registry_.live());
+                                               registry_.size(), registry_.size() - registry_.live_count());
             }
             grants.number = grantor_.number();
             grants.asked = announce->asked;
-            grants.stalls = static_cast<std::uint32_t>(registry_.live());
+            grants.stalls = static_cast<std::uint32_t>(registry_.live_count());
             channel->send(grants);
         } else if (auto* poll = std::get_if<passage::Poll>(&message)) {
             caller->second.poll = *poll;
@@ -301,7 +302,7 @@
         const passage::Poll poll = *std::exchange(caller.poll, std::nullopt);
         const auto& word = clerk_.word();
         passage::News out;
-        out.rolls = registry_.news(poll.epoch, poll.seq);
+        out.rolls = registry_.delta_since(poll.epoch, poll.seq);
         out.version = word.version;
         if (poll.wants_config && word.version > poll.version) out.config = word.document;
         out.in_touch = raft_.has_quorum_contact(now, kInTouch);
@@ -433,7 +434,7 @@
     raft::Member self_;
     raft::RaftNode raft_;
     Clerk clerk_;
-    rolls::Registry registry_;
+    registry::Registry registry_;
     scales::Grantor grantor_;
     std::map<std::string, scales::Quota> quotas_;
     std::uint32_t quota_version_ = 0, told_version_ = 0;
--- a/src/passage/messages.cpp
+++ b/src/passage/messages.cpp
@@ -47,8 +47,8 @@
     return {from.getTerm(), from.getIndex()};
 }
 
-void put(wire::Place::Builder to, const rolls::Place& from);
-rolls::Place get(wire::Place::Reader from);
+void put(wire::Place::Builder to, const registry::ProxyRegistration& from);
+registry::ProxyRegistration get(wire::Place::Reader from);
 void put(wire::Demand::Builder to, const scales::Demand& from);
 scales::Demand get(wire::Demand::Reader from);
 void put(wire::Grant::Builder to, const scales::Grant& from);
@@ -76,21 +76,21 @@
             get_all(from.getOutgoing())};
 }
 
-void put(wire::Place::Builder to, const rolls::Place& from) {
+void put(wire::Place::Builder to, const registry::ProxyRegistration& from) {
     to.setNode(from.node);
-    to.setLife(from.life);
+    to.setLife(from.incarnation);
     to.setSeq(from.seq);
-    to.setGate(from.gate);
+    to.setGate(from.inbound_address);
     to.setService(from.service);
     to.setZone(from.zone);
-    to.setInstance(from.instance);
+    to.setInstance(from.instance_id);
     to.setState(static_cast<std::uint8_t>(from.state));
     to.setSlots(from.slots);
     to.setColdLeftMs(from.cold_left_ms);
-    to.setSilent(from.silent);
+    to.setSilent(from.lease_expired);
 }
-rolls::Place get(wire::Place::Reader from) {
-    const auto state = static_cast<rolls::State>(std::min<std::uint8_t>(from.getState(), 2));
+registry::ProxyRegistration get(wire::Place::Reader from) {
+    const auto state = static_cast<registry::EndpointState>(std::min<std::uint8_t>(from.getState(), 2));
     return {text(from.getNode()),
             from.getLife(),
             from.getSeq(),
@@ -174,10 +174,12 @@
         auto out = to.initNews();
         out.setEpoch(from.rolls.epoch);
         out.setSeq(from.rolls.seq);
-        out.setWhole(from.rolls.whole);
-        put_all(out.initPlaces(static_cast<unsigned>(from.rolls.places.size())), from.rolls.places);
-        auto gone = out.initGone(static_cast<unsigned>(from.rolls.gone.size()));
-        for (unsigned i = 0; i < from.rolls.gone.size(); ++i) gone.set(i, from.rolls.gone[i]);
+        out.setWhole(from.rolls.is_snapshot);
+        put_all(out.initPlaces(static_cast<unsigned>(from.rolls.registrations.size())),
+                from.rolls.registrations);
+        auto gone = out.initGone(static_cast<unsigned>(from.rolls.removed_nodes.size()));
+        for (unsigned i = 0; i < from.rolls.removed_nodes.size(); ++i)
+            gone.set(i, from.rolls.removed_nodes[i]);
         out.setVersion(from.version);
         out.setConfig(data(from.config));
         out.setInTouch(from.in_touch);
@@ -262,7 +264,7 @@
                 const auto from = in.getNews();
                 News out;
                 out.rolls = {from.getEpoch(), from.getSeq(), from.getWhole(), get_all(from.getPlaces()), {}};
-                for (const auto node : from.getGone()) out.rolls.gone.push_back(text(node));
+                for (const auto node : from.getGone()) out.rolls.removed_nodes.push_back(text(node));
                 out.version = from.getVersion();
                 out.config = bytes(from.getConfig());
                 out.in_touch = from.getInTouch();
--- a/src/passage/messages.h
+++ b/src/passage/messages.h
@@ -9,7 +9,7 @@
 #include <vector>
 
 #include "raft/raft_node.h"
-#include "rolls/rolls.h"
+#include "registry/registry.h"
 #include "scales/scales.h"
 
 namespace martenford::passage {
@@ -21,7 +21,7 @@
 };
 /// A stall tells every guildhall of itself, about twice a second and whenever something changes.
 struct Announce {
-    rolls::Place place;
+    registry::ProxyRegistration place;
     std::vector<scales::Demand> demands;
     std::uint64_t taken = 0;    ///< number of the last Grants of this guildhall
     std::uint32_t version = 0;  ///< of the configuration that it serves by
@@ -42,7 +42,7 @@
     bool wants_config = false;
 };
 struct News {
-    rolls::News rolls;
+    registry::RegistryDelta rolls;
     std::uint32_t version =
         0;                  ///< of the newest configuration that is committed, as far as this guildhall knows
     std::string config;     ///< where it was asked for and is newer
--- a/src/quay/berths.h
+++ b/src/quay/berths.h
@@ -1,5 +1,5 @@
-// What the rolls mean for a caller's stall: which gates there are, and when work that is out at one is taken
-// back. Pure.
+// What the registry mean for a caller's stall: which gates there are, and when work that is out at one is
+// taken back. Pure.
 #pragma once
 
 #include <cstdint>
@@ -8,7 +8,7 @@
 #include <vector>
 
 #include "quay/quay.h"
-#include "rolls/rolls.h"
+#include "registry/registry.h"
 
 namespace martenford::quay {
 
@@ -27,8 +27,8 @@
         std::string instance{};  ///< Place: the endpoint's id
         std::uint64_t life = 0;  ///< Place: of the stall's process
     };
-    /// The nodes have changed in the rolls.
-    std::vector<Step> apply(const rolls::View& view, const std::vector<std::string>& nodes);
+    /// The nodes have changed in the registry.
+    std::vector<Step> apply(const registry::RegistryView& view, const std::vector<std::string>& nodes);
 
   private:
     struct Held {
--- a/src/registry/registry.h
+++ b/src/registry/registry.h
@@ -1,6 +1,6 @@
 // Who is there: stalls and the endpoints beside them. Soft state: each stall tells its own place again and
-// again, under a lease; a guildhall keeps the rolls and tells what changed; a stall reads them from several
-// guildhalls. Pure.
+// again, under a lease; a guildhall keeps the registry and tells what changed; a stall reads them from
+// several guildhalls. Pure.
 #pragma once
 
 #include <cstdint>
@@ -13,99 +13,100 @@
 
 #include "core/scheduler.h"
 
-namespace martenford::rolls {
+namespace martenford::registry {
 
-enum class State : std::uint8_t { Absent, Ready, Draining };  ///< of the endpoint beside a stall
+enum class EndpointState : std::uint8_t { Absent, Ready, Draining };  ///< of the endpoint beside a stall
 
 /// A stall and the endpoint beside it, as the stall tells it.
-struct Place {
-    std::string node;        ///< the stall's machine, by name
-    std::uint64_t life = 0;  ///< drawn at each start of the stall
-    std::uint64_t seq = 0;   ///< rises with each change within a life
-    std::string gate;        ///< "ip:port" where other stalls bring requests
+struct ProxyRegistration {
+    std::string node;               ///< the stall's machine, by name
+    std::uint64_t incarnation = 0;  ///< drawn at each start of the stall
+    std::uint64_t seq = 0;          ///< rises with each change within a life
+    std::string inbound_address;    ///< "ip:port" where other stalls bring requests
     std::string service, zone;
-    std::string instance;  ///< the endpoint's id; empty: none is known
-    State state = State::Absent;
+    std::string instance_id;  ///< the endpoint's id; empty: none is known
+    EndpointState state = EndpointState::Absent;
     std::uint32_t slots = 0;
     std::uint32_t cold_left_ms = 0;  ///< when it was told
-    bool silent = false;             ///< its lease has run out: set by the guildhall that tells it
+    bool lease_expired = false;      ///< its lease has run out: set by the guildhall that tells it
 };
 
 /// What has changed since a reader last asked.
-struct News {
+struct RegistryDelta {
     std::uint64_t epoch = 0;  ///< of the guildhall's life; another one: `places` are all there are
     std::uint64_t seq = 0;
-    bool whole = false;
-    std::vector<Place> places;
-    std::vector<std::string> gone;  ///< nodes
+    bool is_snapshot = false;
+    std::vector<ProxyRegistration> registrations;
+    std::vector<std::string> removed_nodes;  ///< nodes
 };
 
-/// The rolls of one guildhall.
+/// The registry of one guildhall.
 class Registry {
   public:
     struct Options {
-        Duration lease = 1600ms;   ///< a stall that hasn't told for so long is silent
-        Duration forget = 20s;     ///< and after this long it is gone
-        std::size_t most = 20000;  ///< places; more are refused, and counted
+        Duration lease = 1600ms;          ///< a stall that hasn't told for so long is silent
+        Duration remove_after = 20s;      ///< and after this long it is gone
+        std::size_t max_proxies = 20000;  ///< places; more are refused, and counted
     };
     Registry(std::uint64_t epoch, const Options& options) : epoch_(epoch), options_(options) {}
 
     /// True where something changed that readers are to hear of.
-    bool told(Time now, const Place& place);
+    bool renew_lease(Time now, const ProxyRegistration& place);
     /// Leases that have run out. True as above.
     bool tick(Time now);
     /// What a reader that has `seq` of `epoch` lacks.
-    News news(std::uint64_t epoch, std::uint64_t seq) const;
+    RegistryDelta delta_since(std::uint64_t epoch, std::uint64_t seq) const;
     std::uint64_t seq() const { return seq_; }
     std::uint64_t epoch() const { return epoch_; }
     /// Stalls heard of within their lease.
-    std::size_t live() const;
-    std::size_t size() const { return held_.size(); }
-    std::uint64_t refused() const { return refused_; }
+    std::size_t live_count() const;
+    std::size_t size() const { return leases_.size(); }
+    std::uint64_t rejected_count() const { return rejected_count_; }
     template <class F>
-    void each(F&& f) const {
-        for (const auto& [node, held] : held_) f(held.place);
+    void for_each(F&& f) const {
+        for (const auto& [node, held] : leases_) f(held.registration);
     }
 
   private:
-    struct Held {
-        Place place;
-        Time told{};
-        std::uint64_t changed = 0;  // our seq when it last did
-        std::uint64_t life_before = 0;
+    struct Lease {
+        ProxyRegistration registration;
+        Time renewed_at{};
+        std::uint64_t changed_at_seq = 0;  // our seq when it last did
+        std::uint64_t previous_incarnation = 0;
     };
-    void touch(Held& held);
+    void mark_changed(Lease& held);
 
     const std::uint64_t epoch_;
     Options options_;
     std::uint64_t seq_ = 1;
-    std::uint64_t refused_ = 0;
-    std::map<std::string, Held> held_;
-    std::map<std::uint64_t, std::string> gone_;  // by seq; the oldest are dropped: then readers get all
-    std::uint64_t gone_up_to_ = 0;
+    std::uint64_t rejected_count_ = 0;
+    std::map<std::string, Lease> leases_;
+    std::map<std::uint64_t, std::string>
+        removed_by_seq_;  // by seq; the oldest are dropped: then readers get all
+    std::uint64_t removals_forgotten_up_to_ = 0;
     Time last_tick_{};
 };
 
-/// The rolls as a stall has them from several guildhalls.
-class View {
+/// The registry as a stall has them from several guildhalls.
+class RegistryView {
   public:
-    struct Known {
-        Place place;
-        std::set<std::string> silent_at;  ///< guildhalls that have it as silent
+    struct Entry {
+        ProxyRegistration registration;
+        std::set<std::string> expired_at;  ///< guildhalls that have it as silent
         std::set<std::string> known_at;
-        Time told{};
-        bool silent = false;  ///< all that know it say so
-        std::uint64_t life_before = 0;
+        Time updated_at{};
+        bool lease_expired = false;  ///< all that know it say so
+        std::uint64_t previous_incarnation = 0;
     };
     /// News from a guildhall. Gives the nodes that changed.
-    std::vector<std::string> take(Time now, const std::string& guildhall, const News& news);
+    std::vector<std::string> apply(Time now, const std::string& guildhall, const RegistryDelta& news);
     /// A guildhall that isn't heard any more has no say on who is silent.
-    std::vector<std::string> lost(const std::string& guildhall);
-    const std::map<std::string, Known>& all() const { return known_; }
+    std::vector<std::string> remove_controller(const std::string& guildhall);
+    const std::map<std::string, Entry>& entries() const { return entries_; }
 
   private:
-    bool settle(Known& known);
-    std::map<std::string, Known> known_;
+    bool update_expiry(Entry& known);
+    std::map<std::string, Entry> entries_;
 };
 
-}  // namespace martenford::rolls
+}  // namespace martenford::registry
--- a/src/scales/scales.h
+++ b/src/scales/scales.h
@@ -90,7 +90,7 @@
     struct Floor {
         double kept =
             0.8;  ///< for `keep` after its last lease: the grantor keeps as much for those that it knows
-        Duration keep = 14s;  ///< shorter than the rolls remember a stall that is not heard
+        Duration keep = 14s;  ///< shorter than the registry remember a stall that is not heard
         double share = 0.25;  ///< later, and before its first lease
         double burst = 1;     ///< at least
     };
--- a/src/stall/stall.cpp
+++ b/src/stall/stall.cpp
@@ -87,7 +87,7 @@
           scale_({}),
           hop_back_(quay_, outbound_, loop_),
           endpoint_back_(gate_),
-          outbound_(settings, quay_, scale_, figures_, [this] { return view_.all().size(); }),
+          outbound_(settings, quay_, scale_, figures_, [this] { return view_.entries().size(); }),
           inbound_(settings, gate_, life_, [this] { return outbound_.charter(); }),
           tally_(counters_, {}),
           gate_tally_(gate_counters_, {}),
@@ -122,11 +122,11 @@
         engine_.start();
         gate_engine_.start();
         outbound_.on_replanned([this] { engine_.tell({}); });
-        place_.node = settings.node_name;
-        place_.life = life_;
-        place_.gate = text_of(*settings.inbound);
-        place_.service = settings.service;
-        place_.zone = settings.zone;
+        registration_.node = settings.node_name;
+        registration_.incarnation = life_;
+        registration_.inbound_address = text_of(*settings.inbound);
+        registration_.service = settings.service;
+        registration_.zone = settings.zone;
         front_.listen(*settings.outbound);
         gate_front_.listen(*settings.inbound);
         control_.listen(*settings.control);
@@ -146,7 +146,7 @@
         tick();
         ring(Event::Started, "listening",
              {{"outbound", text_of(*settings.outbound)},
-              {"inbound", place_.gate},
+              {"inbound", registration_.inbound_address},
               {"service", settings.service}});
     }
     void run() { loop_.run(); }
@@ -186,7 +186,7 @@
         Guildhall& guildhall = guildhalls_.at(address);
         guildhall.in_touch = guildhall.polled = false;
         guildhall.taken = 0;
-        apply(view_.lost(address));
+        apply(view_.remove_controller(address));
     }
     void poll(Guildhall& guildhall) {
         if (!guildhall.dialer->up()) return;
@@ -197,7 +197,7 @@
     void announce_to(Guildhall& guildhall, const std::vector<scales::Demand>& demands) {
         // A life's connections end with it: only this process's own clock can come back.
         const auto asked = static_cast<std::uint64_t>(loop_.now().time_since_epoch().count());
-        guildhall.dialer->send(passage::Announce{place_, demands, guildhall.taken, version_, asked});
+        guildhall.dialer->send(passage::Announce{registration_, demands, guildhall.taken, version_, asked});
     }
     void announce() {
         announced_ = loop_.now();
@@ -231,7 +231,7 @@
             guildhall.epoch = news->rolls.epoch;
             guildhall.seq = news->rolls.seq;
             for (const auto& other : news->guildhalls) dial(other.address);
-            apply(view_.take(now, address, news->rolls));
+            apply(view_.apply(now, address, news->rolls));
             const bool takes = intake_.takes(now, version_, news->version, news->in_touch);
             if (takes && !news->config.empty()) serve(news->version, news->config);
             guildhall.wants = takes && news->version > version_;
@@ -310,11 +310,11 @@
         if (!at || slots < 1 || slots > 100000 || (state != "ready" && state != "draining"))
             return {400, R"({"error":"a field is out of range"})"};
         // Guards against taking in anew what was sent away at SIGTERM: its endpoint may go on beating.
-        if (stopping_ && call.id != place_.instance) return {200, "{}"};
+        if (stopping_ && call.id != registration_.instance_id) return {200, "{}"};
         const Time now = loop_.now();
-        if (call.id != place_.instance) {
+        if (call.id != registration_.instance_id) {
             if (past_.contains(call.id)) return {200, "{}"};  // late word of a life that is over
-            if (!place_.instance.empty()) remember_past(place_.instance);
+            if (!registration_.instance_id.empty()) remember_past(registration_.instance_id);
             ring(Event::EndpointSeen, "endpoint", {{"id", call.id}, {"at", address}});
             last_seq_ = -1;
             endpoint_ = EndpointId{++last_id_};
@@ -323,17 +323,20 @@
         if (seq <= last_seq_) return {200, "{}"};
         last_seq_ = seq;
         unreached_ = 0;
-        const auto before = std::tuple(place_.instance, place_.state, place_.slots, place_.service);
-        place_.instance = call.id;
-        place_.service = service;
-        place_.slots = static_cast<std::uint32_t>(slots);
-        place_.cold_left_ms = static_cast<std::uint32_t>(std::clamp<std::int64_t>(cold, 0, 3'600'000));
-        place_.state = state == "ready" ? rolls::State::Ready : rolls::State::Draining;
+        const auto before = std::tuple(registration_.instance_id, registration_.state, registration_.slots,
+                                       registration_.service);
+        registration_.instance_id = call.id;
+        registration_.service = service;
+        registration_.slots = static_cast<std::uint32_t>(slots);
+        registration_.cold_left_ms = static_cast<std::uint32_t>(std::clamp<std::int64_t>(cold, 0, 3'600'000));
+        registration_.state =
+            state == "ready" ? registry::EndpointState::Ready : registry::EndpointState::Draining;
         to_endpoint_.place(endpoint_, *at, true);
-        gate_.endpoint(endpoint_, place_.instance, place_.slots);
-        if (place_.state == rolls::State::Draining) gate_.drains(now);
-        if (before != std::tuple(place_.instance, place_.state, place_.slots, place_.service)) {
-            if (place_.state == rolls::State::Draining)
+        gate_.endpoint(endpoint_, registration_.instance_id, registration_.slots);
+        if (registration_.state == registry::EndpointState::Draining) gate_.drains(now);
+        if (before != std::tuple(registration_.instance_id, registration_.state, registration_.slots,
+                                 registration_.service)) {
+            if (registration_.state == registry::EndpointState::Draining)
                 ring(Event::EndpointLeaves, "drains", {{"id", call.id}});
             changed();
         }
@@ -342,7 +345,7 @@
     /// A stall that has just started doesn't wait for the next beat of an endpoint that may have been there
     /// all along.
     void find_endpoint() {
-        if (stopping_ || !settings_.app || !place_.instance.empty() || probes_ >= kMostProbes ||
+        if (stopping_ || !settings_.app || !registration_.instance_id.empty() || probes_ >= kMostProbes ||
             last_seq_ >= 0)
             return;
         ++probes_;
@@ -350,33 +353,34 @@
         to_endpoint_.place(id, *settings_.app, true);
         to_endpoint_.probe(id, [this, id](Result&& result) {
             const auto* head = dynamic_cast<const HttpAnswerHead*>(result.head.get());
-            if (result.status == loftfront::Status::Ok && head && place_.instance.empty() && last_seq_ < 0) {
+            if (result.status == loftfront::Status::Ok && head && registration_.instance_id.empty() &&
+                last_seq_ < 0) {
                 const auto instance = head->fields["Instance-Id"];
-                place_.instance = std::string(instance.data(), instance.size());
-                place_.state = rolls::State::Ready;
-                place_.slots = kAssumedSlots;
+                registration_.instance_id = std::string(instance.data(), instance.size());
+                registration_.state = registry::EndpointState::Ready;
+                registration_.slots = kAssumedSlots;
                 endpoint_ = id;
                 beat_at_ = loop_.now();
-                gate_.endpoint(endpoint_, place_.instance, place_.slots);
-                ring(Event::EndpointSeen, "endpoint, by its health", {{"id", place_.instance}});
+                gate_.endpoint(endpoint_, registration_.instance_id, registration_.slots);
+                ring(Event::EndpointSeen, "endpoint, by its health", {{"id", registration_.instance_id}});
                 changed();
             } else {
                 to_endpoint_.remove(id);
-                if (place_.instance.empty())
+                if (registration_.instance_id.empty())
                     again_.set(loop_.now() + kProbeAgain, [this] { find_endpoint(); });
             }
         });
     }
     calls::Response deregister(const calls::Call& call) {
-        if (call.id == place_.instance) gone("deregistered");
+        if (call.id == registration_.instance_id) gone("deregistered");
         return {200, "{}"};
     }
     void gone(const std::string& why) {
-        if (place_.state == rolls::State::Absent) return;
-        ring(Event::EndpointGone, "endpoint gone", {{"id", place_.instance}, {"why", why}});
-        place_.state = rolls::State::Absent;
-        if (why == "deregistered") remember_past(place_.instance);
-        place_.instance.clear();
+        if (registration_.state == registry::EndpointState::Absent) return;
+        ring(Event::EndpointGone, "endpoint gone", {{"id", registration_.instance_id}, {"why", why}});
+        registration_.state = registry::EndpointState::Absent;
+        if (why == "deregistered") remember_past(registration_.instance_id);
+        registration_.instance_id.clear();
         gate_.none();
         to_endpoint_.remove(endpoint_);
         changed();
@@ -389,7 +393,7 @@
         }
     }
     void changed() {
-        ++place_.seq;
+        ++registration_.seq;
         announce();
     }
 
@@ -424,7 +428,8 @@
         }
         const auto patience = Duration{
             static_cast<Duration::rep>(kBeatsMissed * static_cast<double>(settings_.beat_interval.count()))};
-        if (place_.state != rolls::State::Absent && now - beat_at_ > patience) gone("no beats");
+        if (registration_.state != registry::EndpointState::Absent && now - beat_at_ > patience)
+            gone("no beats");
         if (now - figured_ >= kFiguresEvery) {
             figured_ = now;
             ring(Event::Answers, "answers",
@@ -490,10 +495,10 @@
     Http1Front front_, gate_front_;
     calls::Counter control_, readiness_;
     std::map<std::string, Guildhall> guildhalls_;
-    rolls::View view_;
+    registry::RegistryView view_;
     quay::Berths berths_;
     std::uint32_t last_id_ = 0;
-    rolls::Place place_;
+    registry::ProxyRegistration registration_;
     EndpointId endpoint_{};
     std::int64_t last_seq_ = -1;
     Time beat_at_{}, announced_{}, demanded_{}, figured_{};
--- a/tests/mesh/day_test.cpp
+++ b/tests/mesh/day_test.cpp
@@ -214,7 +214,7 @@
         }
         return all;
     };
-    mesh.until("the rolls and a share of the quota at every stall", warm);
+    mesh.until("the registry and a share of the quota at every stall", warm);
     serve(5, "calm");
     CHECK(mesh.ask(1, "/nowhere/", "n-1").status == 404);
     CHECK(mesh.call(at(mesh.side(1), Port::Outbound),
--- a/tests/mesh/golden_test.cpp
+++ b/tests/mesh/golden_test.cpp
@@ -29,10 +29,12 @@
 const raft::Member kThird{13, "10.1.0.3:7000", "zone-c", "region-z", true};
 const raft::Member kFourth{14, "10.1.0.4:7000", "zone-d", "region-w", false};
 
-const rolls::Place kReady{
-    "node-1", 21, 22, "10.2.0.1:7001", "orders", "zone-a", "orders-1", rolls::State::Ready, 23, 240, true};
-const rolls::Place kDraining{
-    "node-2", 31, 32, "10.2.0.2:7002", "stock", "zone-b", "stock-2", rolls::State::Draining, 33, 340, true};
+const registry::ProxyRegistration kReady{"node-1", 21,       22,         "10.2.0.1:7001",
+                                         "orders", "zone-a", "orders-1", registry::EndpointState::Ready,
+                                         23,       240,      true};
+const registry::ProxyRegistration kDraining{"node-2", 31,       32,        "10.2.0.2:7002",
+                                            "stock",  "zone-b", "stock-2", registry::EndpointState::Draining,
+                                            33,       340,      true};
 
 /// An entry in the middle of a change of members: the voters of both configurations.
 raft::LogEntry entry_in_change() {
@@ -115,31 +117,31 @@
     check_member(read, 14, "10.1.0.4:7000", "zone-d", "region-w", false);
 }
 
-void check_ready(const rolls::Place& read) {
+void check_ready(const registry::ProxyRegistration& read) {
     CHECK(read.node == "node-1");
-    CHECK(read.life == 21);
+    CHECK(read.incarnation == 21);
     CHECK(read.seq == 22);
-    CHECK(read.gate == "10.2.0.1:7001");
+    CHECK(read.inbound_address == "10.2.0.1:7001");
     CHECK(read.service == "orders");
     CHECK(read.zone == "zone-a");
-    CHECK(read.instance == "orders-1");
-    CHECK(read.state == rolls::State::Ready);
+    CHECK(read.instance_id == "orders-1");
+    CHECK(read.state == registry::EndpointState::Ready);
     CHECK(read.slots == 23);
     CHECK(read.cold_left_ms == 240);
-    CHECK(read.silent);
+    CHECK(read.lease_expired);
 }
-void check_draining(const rolls::Place& read) {
+void check_draining(const registry::ProxyRegistration& read) {
     CHECK(read.node == "node-2");
-    CHECK(read.life == 31);
+    CHECK(read.incarnation == 31);
     CHECK(read.seq == 32);
-    CHECK(read.gate == "10.2.0.2:7002");
+    CHECK(read.inbound_address == "10.2.0.2:7002");
     CHECK(read.service == "stock");
     CHECK(read.zone == "zone-b");
-    CHECK(read.instance == "stock-2");
-    CHECK(read.state == rolls::State::Draining);
+    CHECK(read.instance_id == "stock-2");
+    CHECK(read.state == registry::EndpointState::Draining);
     CHECK(read.slots == 33);
     CHECK(read.cold_left_ms == 340);
-    CHECK(read.silent);
+    CHECK(read.lease_expired);
 }
 
 void check_configurations(const passage::Word& read) {
@@ -387,35 +389,35 @@
     const auto read = read_rpc("rpc-news.bin", news());
     CHECK(read.rolls.epoch == 61);
     CHECK(read.rolls.seq == 62);
-    CHECK(read.rolls.whole);
-    REQUIRE(read.rolls.places.size() == 2);
-    check_ready(read.rolls.places[0]);
-    check_draining(read.rolls.places[1]);
-    CHECK(read.rolls.gone == std::vector<std::string>{"node-3", "node-4"});
+    CHECK(read.rolls.is_snapshot);
+    REQUIRE(read.rolls.registrations.size() == 2);
+    check_ready(read.rolls.registrations[0]);
+    check_draining(read.rolls.registrations[1]);
+    CHECK(read.rolls.removed_nodes == std::vector<std::string>{"node-3", "node-4"});
     CHECK(read.version == 63);
     CHECK(read.config == std::string("config\0bytes\xfe", 13));
     CHECK(read.in_touch);
     REQUIRE(read.guildhalls.size() == 2);
     check_second(read.guildhalls[0]);
     check_fourth(read.guildhalls[1]);
-    CHECK(static_cast<int>(rolls::State::Absent) == 0);
-    CHECK(static_cast<int>(rolls::State::Ready) == 1);
-    CHECK(static_cast<int>(rolls::State::Draining) == 2);
+    CHECK(static_cast<int>(registry::EndpointState::Absent) == 0);
+    CHECK(static_cast<int>(registry::EndpointState::Ready) == 1);
+    CHECK(static_cast<int>(registry::EndpointState::Draining) == 2);
 }
 
 TEST_CASE("golden rpc: each flag of news by itself, and a registry's state of absence") {
     passage::News whole, in_touch;
-    whole.rolls.whole = true;
-    whole.rolls.places = {kReady};
-    whole.rolls.places.front().state = rolls::State::Absent;
+    whole.rolls.is_snapshot = true;
+    whole.rolls.registrations = {kReady};
+    whole.rolls.registrations.front().state = registry::EndpointState::Absent;
     in_touch.in_touch = true;
     const auto first = read_rpc("rpc-news-flag-1.bin", whole);
-    CHECK(first.rolls.whole);
+    CHECK(first.rolls.is_snapshot);
     CHECK_FALSE(first.in_touch);
-    REQUIRE(first.rolls.places.size() == 1);
-    CHECK(first.rolls.places[0].state == rolls::State::Absent);
+    REQUIRE(first.rolls.registrations.size() == 1);
+    CHECK(first.rolls.registrations[0].state == registry::EndpointState::Absent);
     const auto second = read_rpc("rpc-news-flag-2.bin", in_touch);
-    CHECK_FALSE(second.rolls.whole);
+    CHECK_FALSE(second.rolls.is_snapshot);
     CHECK(second.in_touch);
 }
 
--- a/tests/mesh/hollow_test.cpp
+++ b/tests/mesh/hollow_test.cpp
@@ -56,7 +56,7 @@
             [&, channel = channel.get()](passage::Message&& message) {
                 if (const auto* announce = std::get_if<passage::Announce>(&message)) {
                     CHECK(announce->place.service == "web");
-                    CHECK(announce->place.state == rolls::State::Ready);
+                    CHECK(announce->place.state == registry::EndpointState::Ready);
                     if (announce->version == 7) CHECK(announce->demands.size() == 2);
                     told.insert(announce->version);
                     channel->send(passage::Grants{1, {}, true, 1});
@@ -64,10 +64,10 @@
                     polls.push_back(*poll);
                     passage::News news;
                     news.rolls = {5, polls.size(), polls.size() == 1, {}, {}};
-                    rolls::Place place;
+                    registry::ProxyRegistration place;
                     place.node = "other";
-                    place.life = 1;
-                    if (polls.size() == 1) news.rolls.places.push_back(place);
+                    place.incarnation = 1;
+                    if (polls.size() == 1) news.rolls.registrations.push_back(place);
                     news.version = 7;
                     news.in_touch = true;
                     if (poll->wants_config) news.config = configuration({3, 3, 2}, 7, 0);
--- a/tests/mesh/quay_test.cpp
+++ b/tests/mesh/quay_test.cpp
@@ -258,19 +258,19 @@
 }
 
 TEST_CASE("a stall that ends in order keeps what is out there; a dead or silent one gives it back") {
-    rolls::View view;
+    registry::RegistryView view;
     Berths berths;
     const Time now{10s};
-    rolls::Place place;
+    registry::ProxyRegistration place;
     place.node = "n";
-    place.life = 1;
-    place.gate = "10.0.0.1:8000";
+    place.incarnation = 1;
+    place.inbound_address = "10.0.0.1:8000";
     place.service = "s";
-    place.instance = "i-1";
-    place.state = rolls::State::Ready;
+    place.instance_id = "i-1";
+    place.state = registry::EndpointState::Ready;
     const auto told = [&](bool whole) {
         ++place.seq;
-        return berths.apply(view, view.take(now, "g", {1, place.seq, whole, {place}, {}}));
+        return berths.apply(view, view.apply(now, "g", {1, place.seq, whole, {place}, {}}));
     };
     const auto withdrawn = [](const std::vector<Berths::Step>& steps) {
         return std::any_of(steps.begin(), steps.end(),
@@ -278,29 +278,29 @@
     };
     CHECK_FALSE(withdrawn(told(true)));
     // SIGTERM: its stall says that the endpoint is gone, and answers for what it has.
-    place.state = rolls::State::Absent;
-    place.instance.clear();
+    place.state = registry::EndpointState::Absent;
+    place.instance_id.clear();
     const auto leaving = told(false);
     REQUIRE(leaving.size() == 1);
     CHECK(leaving.front().kind == Berths::Step::Kind::Remove);
     // It comes back as another life, beside another endpoint; then it is killed and another life is told.
-    place.life = 2;
-    place.instance = "i-2";
-    place.state = rolls::State::Ready;
+    place.incarnation = 2;
+    place.instance_id = "i-2";
+    place.state = registry::EndpointState::Ready;
     CHECK_FALSE(withdrawn(told(false)));
-    place.life = 3;
-    place.instance = "i-3";
+    place.incarnation = 3;
+    place.instance_id = "i-3";
     CHECK(withdrawn(told(false)));
-    place.silent = true;
+    place.lease_expired = true;
     CHECK(withdrawn(told(false)));
     // Killed and back beside the same endpoint; then a guildhall that lags tells of the life before.
-    place.silent = false;
-    place.life = 4;
+    place.lease_expired = false;
+    place.incarnation = 4;
     CHECK(withdrawn(told(false)));
-    rolls::Place late = place;
-    late.life = 3;
+    registry::ProxyRegistration late = place;
+    late.incarnation = 3;
     late.seq = 99;
-    CHECK(berths.apply(view, view.take(now, "h", {1, 1, true, {late}, {}})).empty());
+    CHECK(berths.apply(view, view.apply(now, "h", {1, 1, true, {late}, {}})).empty());
 }
 
 TEST_CASE("work at a gate that is doubted goes elsewhere as well and is not broken off while we drain") {
--- a/tests/mesh/shares_test.cpp
+++ b/tests/mesh/shares_test.cpp
@@ -1,83 +1,83 @@
-// Soft state: rolls under leases, quotas as shares.
+// Soft state: registry under leases, quotas as shares.
 #include <doctest/doctest.h>
 
 #include <deque>
 
 #include "policy/mechanics.h"
-#include "rolls/rolls.h"
+#include "registry/registry.h"
 #include "scales/scales.h"
 
 using namespace martenford;
-using namespace martenford::rolls;
+using namespace martenford::registry;
 using namespace martenford::scales;
 
 namespace {
 
-Place place(const std::string& node, std::uint64_t life, std::uint64_t seq,
-            const std::string& instance = "i") {
-    Place p;
+ProxyRegistration place(const std::string& node, std::uint64_t life, std::uint64_t seq,
+                        const std::string& instance = "i") {
+    ProxyRegistration p;
     p.node = node;
-    p.life = life;
+    p.incarnation = life;
     p.seq = seq;
-    p.instance = instance;
-    p.state = State::Ready;
+    p.instance_id = instance;
+    p.state = EndpointState::Ready;
     return p;
 }
 
 }  // namespace
 
-TEST_CASE("rolls: late words of an earlier life or an earlier change are passed over") {
+TEST_CASE("registry: late words of an earlier life or an earlier change are passed over") {
     Registry registry(1, {});
     Time now{10s};
-    CHECK(registry.told(now, place("a", 7, 3)));
-    CHECK_FALSE(registry.told(now, place("a", 7, 2, "old")));
-    CHECK(registry.told(now, place("a", 8, 1, "new")));
-    CHECK_FALSE(registry.told(now, place("a", 7, 9, "old")));
-    CHECK(registry.news(0, 0).places.front().instance == "new");
+    CHECK(registry.renew_lease(now, place("a", 7, 3)));
+    CHECK_FALSE(registry.renew_lease(now, place("a", 7, 2, "old")));
+    CHECK(registry.renew_lease(now, place("a", 8, 1, "new")));
+    CHECK_FALSE(registry.renew_lease(now, place("a", 7, 9, "old")));
+    CHECK(registry.delta_since(0, 0).registrations.front().instance_id == "new");
 }
 
-TEST_CASE("rolls: a reader gets what it lacks, and all of it from another life of the guildhall") {
+TEST_CASE("registry: a reader gets what it lacks, and all of it from another life of the guildhall") {
     Registry registry(5, {});
     Time now{10s};
-    registry.told(now, place("a", 1, 1));
-    const auto all = registry.news(4, 99);
-    CHECK(all.whole);
-    registry.told(now, place("b", 1, 1));
-    const auto some = registry.news(5, all.seq);
-    CHECK_FALSE(some.whole);
-    REQUIRE(some.places.size() == 1);
-    CHECK(some.places.front().node == "b");
+    registry.renew_lease(now, place("a", 1, 1));
+    const auto all = registry.delta_since(4, 99);
+    CHECK(all.is_snapshot);
+    registry.renew_lease(now, place("b", 1, 1));
+    const auto some = registry.delta_since(5, all.seq);
+    CHECK_FALSE(some.is_snapshot);
+    REQUIRE(some.registrations.size() == 1);
+    CHECK(some.registrations.front().node == "b");
     for (int i = 0; i < 250; ++i) registry.tick(now += 100ms);
-    const auto gone = registry.news(5, some.seq);
-    CHECK(gone.gone.size() == 2);
+    const auto gone = registry.delta_since(5, some.seq);
+    CHECK(gone.removed_nodes.size() == 2);
 }
 
-TEST_CASE("rolls: a guildhall that stood still doesn't take that for everybody's silence") {
+TEST_CASE("registry: a guildhall that stood still doesn't take that for everybody's silence") {
     Registry registry(1, {});
     Time now{10s};
     registry.tick(now);
-    registry.told(now, place("a", 1, 1));
+    registry.renew_lease(now, place("a", 1, 1));
     registry.tick(now += 5s);
-    CHECK(registry.live() == 1);
+    CHECK(registry.live_count() == 1);
     for (int i = 0; i < 30; ++i) registry.tick(now += 100ms);
-    CHECK(registry.live() == 0);
+    CHECK(registry.live_count() == 0);
 }
 
-TEST_CASE("rolls: silent only where all that know a stall say so; the last word of it is kept") {
-    View view;
+TEST_CASE("registry: silent only where all that know a stall say so; the last word of it is kept") {
+    RegistryView view;
     Time now{10s};
     Registry one(1, {}), two(2, {});
-    one.told(now, place("a", 1, 1));
-    two.told(now, place("a", 1, 1));
-    view.take(now, "one", one.news(0, 0));
-    view.take(now, "two", two.news(0, 0));
+    one.renew_lease(now, place("a", 1, 1));
+    two.renew_lease(now, place("a", 1, 1));
+    view.apply(now, "one", one.delta_since(0, 0));
+    view.apply(now, "two", two.delta_since(0, 0));
     for (int i = 0; i < 20; ++i) one.tick(now += 100ms);
-    view.take(now, "one", one.news(1, 1));
-    CHECK_FALSE(view.all().at("a").silent);
-    view.lost("two");
-    CHECK(view.all().at("a").silent);
-    view.lost("one");
-    CHECK(view.all().contains("a"));
+    view.apply(now, "one", one.delta_since(1, 1));
+    CHECK_FALSE(view.entries().at("a").lease_expired);
+    view.remove_controller("two");
+    CHECK(view.entries().at("a").lease_expired);
+    view.remove_controller("one");
+    CHECK(view.entries().contains("a"));
 }
 
 TEST_CASE(
--- a/tests/mesh/store_test.cpp
+++ b/tests/mesh/store_test.cpp
@@ -127,8 +127,11 @@
 
 TEST_CASE("messages: what was encoded is read, and broken bytes are none, wherever they break") {
     passage::News news;
-    news.rolls = {
-        1, 2, true, {{"n", 3, 4, "1.2.3.4:5", "s", "z", "i", rolls::State::Draining, 6, 7, true}}, {"gone"}};
+    news.rolls = {1,
+                  2,
+                  true,
+                  {{"n", 3, 4, "1.2.3.4:5", "s", "z", "i", registry::EndpointState::Draining, 6, 7, true}},
+                  {"gone"}};
     news.version = 9;
     news.config = std::string(3000, 'c');
     news.guildhalls = {{1, "a"}, {2, "b"}};
@@ -136,8 +139,8 @@
     const auto read = passage::decode(bytes);
     REQUIRE(read);
     const auto& back = std::get<passage::News>(*read);
-    CHECK(back.rolls.places.front().instance == "i");
-    CHECK(back.rolls.gone == news.rolls.gone);
+    CHECK(back.rolls.registrations.front().instance_id == "i");
+    CHECK(back.rolls.removed_nodes == news.rolls.removed_nodes);
     CHECK(back.config == news.config);
     for (std::size_t cut = 0; cut < bytes.size(); cut += 8) passage::decode(bytes.substr(0, cut));
     for (std::size_t i = 0; i < 400; ++i) {
--- a/tools/hollow/hollow_stall.cpp
+++ b/tools/hollow/hollow_stall.cpp
@@ -31,28 +31,28 @@
       intake_(kIntakePatience),
       ticker_(loop),
       intake_timer_(loop) {
-    place_.node = options.node;
-    place_.life = drawn();
-    place_.gate = options.gate;
-    place_.service = options.service;
-    place_.zone = options.zone;
-    place_.slots = 4;
+    registration_.node = options.node;
+    registration_.incarnation = drawn();
+    registration_.inbound_address = options.gate;
+    registration_.service = options.service;
+    registration_.zone = options.zone;
+    registration_.slots = 4;
     replace_endpoint();
     for (const Address& seed : options.guildhalls) dial(text_of(seed));
     ticker_.set(loop_.now() + options.first_tick, [this] { tick(); });
 }
 
 void HollowStall::end_endpoint() {
-    place_.state = rolls::State::Absent;
-    place_.instance.clear();
-    ++place_.seq;
+    registration_.state = registry::EndpointState::Absent;
+    registration_.instance_id.clear();
+    ++registration_.seq;
     announce();
 }
 
 void HollowStall::replace_endpoint() {
-    place_.state = rolls::State::Ready;
-    place_.instance = options_.node + "-" + std::to_string(++endpoints_);
-    ++place_.seq;
+    registration_.state = registry::EndpointState::Ready;
+    registration_.instance_id = options_.node + "-" + std::to_string(++endpoints_);
+    ++registration_.seq;
     announce();
 }
 
@@ -81,7 +81,7 @@
     guildhall.in_touch = false;
     guildhall.taken = 0;
     show_touch();
-    apply(view_.lost(address));
+    apply(view_.remove_controller(address));
 }
 
 void HollowStall::poll(Guildhall& guildhall) {
@@ -100,7 +100,7 @@
         demands_ = scale_.demands(now, tenants);
     }
     const auto asked = static_cast<std::uint64_t>(loop_.now().time_since_epoch().count());
-    guildhall.dialer->send(passage::Announce{place_, demands_, guildhall.taken, version_, asked});
+    guildhall.dialer->send(passage::Announce{registration_, demands_, guildhall.taken, version_, asked});
 }
 
 void HollowStall::announce() {
@@ -122,7 +122,7 @@
         guildhall.seq = news->rolls.seq;
         for (const auto& other : news->guildhalls) dial(other.address);
         show_touch();
-        apply(view_.take(now, address, news->rolls));
+        apply(view_.apply(now, address, news->rolls));
         const bool takes = intake_.takes(now, version_, news->version, news->in_touch);
         if (takes && !news->config.empty()) serve(news->version, news->config);
         guildhall.wants = takes && news->version > version_;
@@ -160,14 +160,14 @@
         if (step.kind == Kind::Remove) quay_.remove(step.id);
     }
     for (const std::string& node : nodes) {
-        const auto known = view_.all().find(node);
-        if (known != view_.all().end() && known->second.silent) {
+        const auto known = view_.entries().find(node);
+        if (known != view_.entries().end() && known->second.lease_expired) {
             silent_.insert(node);
         } else {
             silent_.erase(node);
         }
     }
-    gauge_.live.store(static_cast<std::uint32_t>(view_.all().size() - silent_.size()),
+    gauge_.live.store(static_cast<std::uint32_t>(view_.entries().size() - silent_.size()),
                       std::memory_order_relaxed);
 }
 
--- a/tools/hollow/hollow_stall.h
+++ b/tools/hollow/hollow_stall.h
@@ -1,4 +1,4 @@
-// A hollow node: the control side of a stall without its requests. The objects are the stall's own (rolls,
+// A hollow node: the control side of a stall without its requests. The objects are the stall's own (registry,
 // berths, scales, charter, the passage's connections); what joins them follows src/stall/stall.cpp, and a run
 // of both side by side shows whether it still does (docs/CAPACITY.md).
 #pragma once
@@ -16,7 +16,7 @@
 #include "passage/channel.h"
 #include "quay/berths.h"
 #include "quay/quay.h"
-#include "rolls/rolls.h"
+#include "registry/registry.h"
 #include "scales/scales.h"
 #include "stall/intake.h"
 
@@ -66,14 +66,14 @@
     const Options options_;
     Gauge& gauge_;
     std::map<std::string, Guildhall> guildhalls_;
-    rolls::View view_;
+    registry::RegistryView view_;
     quay::Berths berths_;
     quay::Quay quay_;
     scales::Scale scale_;
     std::shared_ptr<const charter::Charter> charter_;
     std::vector<scales::Demand> demands_;
     std::set<std::string> silent_;
-    rolls::Place place_;
+    registry::ProxyRegistration registration_;
     std::uint32_t version_ = 0, endpoints_ = 0;
     Time announced_{}, demanded_{};
     stall::VersionIntake intake_;
