--- a/src/guildhall/guildhall.cpp
+++ b/src/guildhall/guildhall.cpp
@@ -17,8 +17,8 @@
 #include "durable_store/durable_store.h"
 #include "guildhall/clerk.h"
 #include "passage/channel.h"
+#include "quota/quota.h"
 #include "registry/registry.h"
-#include "scales/scales.h"
 
 namespace martenford::guildhall {
 namespace {
@@ -55,7 +55,7 @@
           raft_(self_, std::move(disk), raft_options(settings), drawn()),
           clerk_(raft_),
           registry_(drawn(), {}),
-          grantor_(scale_options(settings)),
+          quota_allocator_(quota_options(settings)),
           signals_(loop_.io(), SIGTERM, SIGINT),
           hangups_(loop_.io(), SIGHUP),
           ticker_(loop_),
@@ -154,8 +154,8 @@
         options.replace_voter_after = std::clamp<Duration>(settings.bounds.catch_up * 3 / 8, 1s, 2500ms);
         return options;
     }
-    static scales::Grantor::Options scale_options(const boot::Settings& settings) {
-        scales::Grantor::Options options;
+    static quota::QuotaAllocator::Options quota_options(const boot::Settings& settings) {
+        quota::QuotaAllocator::Options options;
         options.window = settings.bounds.quota_window;
         options.overshoot = settings.bounds.quota_overshoot;
         options.slack = settings.bounds.quota_slack;
@@ -258,14 +258,15 @@
             turn();
         } else if (auto* announce = std::get_if<passage::Announce>(&message)) {
             if (registry_.renew_lease(now, announce->place)) news();
-            grantor_.heard(now, announce->place.node, announce->taken, announce->demands);
+            quota_allocator_.report_demand(now, announce->place.node, announce->taken, announce->demands);
             passage::Grants grants;
             if (raft_.has_leader_lease(now)) {
                 grants.leads = true;
-                grants.grants = grantor_.grant(now, *raft_.leader_since(), announce->place.node, quotas(),
-                                               registry_.size(), registry_.size() - registry_.live_count());
+                grants.grants =
+                    quota_allocator_.allocate(now, *raft_.leader_since(), announce->place.node, quotas(),
+                                              registry_.size(), registry_.size() - registry_.live_count());
             }
-            grants.number = grantor_.number();
+            grants.number = quota_allocator_.response_number();
             grants.asked = announce->asked;
             grants.stalls = static_cast<std::uint32_t>(registry_.live_count());
             channel->send(grants);
@@ -276,7 +277,7 @@
         }
     }
 
-    const std::map<std::string, scales::Quota>& quotas() {
+    const std::map<std::string, quota::Quota>& quotas() {
         const auto& word = clerk_.word();
         if (word.version != quota_version_) {
             quota_version_ = word.version;
@@ -435,8 +436,8 @@
     raft::RaftNode raft_;
     Clerk clerk_;
     registry::Registry registry_;
-    scales::Grantor grantor_;
-    std::map<std::string, scales::Quota> quotas_;
+    quota::QuotaAllocator quota_allocator_;
+    std::map<std::string, quota::Quota> quotas_;
     std::uint32_t quota_version_ = 0, told_version_ = 0;
     std::map<std::string, Peer> peers_;
     std::map<raft::MemberId, std::string> by_id_;
--- a/src/passage/messages.cpp
+++ b/src/passage/messages.cpp
@@ -49,10 +49,10 @@
 
 void put(wire::Place::Builder to, const registry::ProxyRegistration& from);
 registry::ProxyRegistration get(wire::Place::Reader from);
-void put(wire::Demand::Builder to, const scales::Demand& from);
-scales::Demand get(wire::Demand::Reader from);
-void put(wire::Grant::Builder to, const scales::Grant& from);
-scales::Grant get(wire::Grant::Reader from);
+void put(wire::Demand::Builder to, const quota::QuotaDemand& from);
+quota::QuotaDemand get(wire::Demand::Reader from);
+void put(wire::Grant::Builder to, const quota::QuotaLease& from);
+quota::QuotaLease get(wire::Grant::Reader from);
 
 template <class List, class Items>
 void put_all(List to, const Items& from) {
@@ -103,22 +103,22 @@
             from.getColdLeftMs(),
             from.getSilent()};
 }
-void put(wire::Demand::Builder to, const scales::Demand& from) {
+void put(wire::Demand::Builder to, const quota::QuotaDemand& from) {
     to.setTenant(from.tenant);
-    to.setPerS(from.per_s);
-    to.setHeld(from.held);
-    to.setHeldMs(from.held_ms);
+    to.setPerS(from.rate_per_s);
+    to.setHeld(from.leased_rate_per_s);
+    to.setHeldMs(from.lease_remaining_ms);
 }
-scales::Demand get(wire::Demand::Reader from) {
+quota::QuotaDemand get(wire::Demand::Reader from) {
     return {text(from.getTenant()), from.getPerS(), from.getHeld(), from.getHeldMs()};
 }
-void put(wire::Grant::Builder to, const scales::Grant& from) {
+void put(wire::Grant::Builder to, const quota::QuotaLease& from) {
     to.setTenant(from.tenant);
-    to.setPerS(from.per_s);
+    to.setPerS(from.rate_per_s);
     to.setBurst(from.burst);
     to.setLeaseMs(from.lease_ms);
 }
-scales::Grant get(wire::Grant::Reader from) {
+quota::QuotaLease get(wire::Grant::Reader from) {
     return {text(from.getTenant()), from.getPerS(), from.getBurst(), from.getLeaseMs()};
 }
 
--- a/src/passage/messages.h
+++ b/src/passage/messages.h
@@ -8,9 +8,9 @@
 #include <variant>
 #include <vector>
 
+#include "quota/quota.h"
 #include "raft/raft_node.h"
 #include "registry/registry.h"
-#include "scales/scales.h"
 
 namespace martenford::passage {
 
@@ -22,7 +22,7 @@
 /// A stall tells every guildhall of itself, about twice a second and whenever something changes.
 struct Announce {
     registry::ProxyRegistration place;
-    std::vector<scales::Demand> demands;
+    std::vector<quota::QuotaDemand> demands;
     std::uint64_t taken = 0;    ///< number of the last Grants of this guildhall
     std::uint32_t version = 0;  ///< of the configuration that it serves by
     std::uint64_t asked = 0;    ///< when, by the stall's steady clock; the answer brings it back
@@ -30,7 +30,7 @@
 /// The answer to it.
 struct Grants {
     std::uint64_t number = 0;
-    std::vector<scales::Grant> grants;
+    std::vector<quota::QuotaLease> grants;
     bool leads = false;
     std::uint32_t stalls = 0;  ///< that are live
     std::uint64_t asked = 0;   ///< of the Announce that it answers: its leases count from then
--- a/src/quota/quota.cpp
+++ b/src/quota/quota.cpp
@@ -1,9 +1,9 @@
-#include "scales/scales.h"
+#include "quota/quota.h"
 
 #include <algorithm>
 #include <chrono>
 
-namespace martenford::scales {
+namespace martenford::quota {
 
 namespace {
 double seconds(Duration time) {
@@ -16,92 +16,98 @@
 constexpr std::size_t kFewestStalls = 8;                      // one that has just started knows of few
 }  // namespace
 
-void Grantor::heard(Time now, const std::string& stall, std::uint64_t taken,
-                    const std::vector<Demand>& demands) {
+void QuotaAllocator::report_demand(Time now, const std::string& stall, std::uint64_t taken,
+                                   const std::vector<QuotaDemand>& demands) {
     if (listening_since_ == Time{}) listening_since_ = now;
-    for (auto& [tenant, shares] : by_tenant_) {
-        if (const auto it = shares.find(stall); it != shares.end()) it->second.wanted = 0;
+    for (auto& [tenant, shares] : shares_by_tenant_) {
+        if (const auto it = shares.find(stall); it != shares.end()) it->second.wanted_rate = 0;
     }
-    for (const Demand& demand : demands) {
+    for (const QuotaDemand& demand : demands) {
         if (demand.tenant.size() > kMostName ||
-            (by_tenant_.size() >= kMostTenants && !by_tenant_.contains(demand.tenant)))
+            (shares_by_tenant_.size() >= kMostTenants && !shares_by_tenant_.contains(demand.tenant)))
             continue;
-        Share& share = by_tenant_[demand.tenant][stall];
-        share.wanted = demand.per_s * kHeadroom;
-        share.heard = now;
+        Share& share = shares_by_tenant_[demand.tenant][stall];
+        share.wanted_rate = demand.rate_per_s * kHeadroom;
+        share.reported_at = now;
         // Once it has taken the last answer, that is all it holds.
-        if (share.number != 0 && taken >= share.number) share.out = share.granted;
+        if (share.response_number != 0 && taken >= share.response_number)
+            share.outstanding_rate = share.granted_rate;
         // What another leader granted is known by what the stall says.
-        const Time held_until = now + std::chrono::milliseconds(demand.held_ms);
-        if (demand.held > 0 && held_until > share.until) {
-            share.out = std::max(demand.held, now < share.until ? share.out : 0.0);
-            share.until = held_until;
+        const Time held_until = now + std::chrono::milliseconds(demand.lease_remaining_ms);
+        if (demand.leased_rate_per_s > 0 && held_until > share.expires_at) {
+            share.outstanding_rate =
+                std::max(demand.leased_rate_per_s, now < share.expires_at ? share.outstanding_rate : 0.0);
+            share.expires_at = held_until;
         }
     }
-    for (auto& [tenant, shares] : by_tenant_) {
+    for (auto& [tenant, shares] : shares_by_tenant_) {
         std::erase_if(shares, [&](const auto& s) {
-            return now - s.second.heard > options_.forget && now >= s.second.until;
+            return now - s.second.reported_at > options_.forget_after && now >= s.second.expires_at;
         });
     }
 }
 
-std::vector<Grant> Grantor::grant(Time now, Time leading_since, const std::string& stall,
-                                  const std::map<std::string, Quota>& quotas, std::size_t stalls,
-                                  std::size_t silent) {
-    std::vector<Grant> grants;
-    ++number_;
-    const bool settled =
-        now - leading_since >= options_.settle && now - listening_since_ >= options_.listened;
+std::vector<QuotaLease> QuotaAllocator::allocate(Time now, Time leading_since, const std::string& stall,
+                                                 const std::map<std::string, Quota>& quotas,
+                                                 std::size_t stalls, std::size_t silent) {
+    std::vector<QuotaLease> grants;
+    ++response_number_;
+    const bool settled = now - leading_since >= options_.settle_after_election &&
+                         now - listening_since_ >= options_.min_listening_time;
     const double kept =
-        stalls == 0 ? 0.0 : options_.kept * static_cast<double>(silent) / static_cast<double>(stalls);
+        stalls == 0 ? 0.0
+                    : options_.unheard_share * static_cast<double>(silent) / static_cast<double>(stalls);
     for (const auto& [tenant, whole] : quotas) {
-        if (whole.per_s <= 0) continue;
-        const Quota quota{whole.per_s * (1 - kept), whole.burst * (1 - kept)};
-        const auto known = by_tenant_.find(tenant);
-        if (known == by_tenant_.end()) continue;
+        if (whole.rate_per_s <= 0) continue;
+        const Quota quota{whole.rate_per_s * (1 - kept), whole.burst * (1 - kept)};
+        const auto known = shares_by_tenant_.find(tenant);
+        if (known == shares_by_tenant_.end()) continue;
         auto& shares = known->second;
         const auto own = shares.find(stall);
         if (own == shares.end()) continue;
         double wanted = 0, others_out = 0;
         std::size_t askers = 0;
         for (const auto& [name, share] : shares) {
-            const bool live = now - share.heard <= options_.forget;
+            const bool live = now - share.reported_at <= options_.forget_after;
             if (live) {
-                wanted += share.wanted + kLeastWish * quota.per_s;
+                wanted += share.wanted_rate + kLeastWish * quota.rate_per_s;
                 ++askers;
             }
-            if (name != stall && now < share.until) others_out += share.out;
+            if (name != stall && now < share.expires_at) others_out += share.outstanding_rate;
         }
         // Where there is enough, the rest is spread evenly; where not, each gets in proportion to its wish,
         // of which no more than twice an even share counts.
         double fair = 0;
-        if (wanted <= quota.per_s) {
-            fair = own->second.wanted + kLeastWish * quota.per_s +
-                   (quota.per_s - wanted) / static_cast<double>(std::max<std::size_t>(askers, 1));
+        if (wanted <= quota.rate_per_s) {
+            fair = own->second.wanted_rate + kLeastWish * quota.rate_per_s +
+                   (quota.rate_per_s - wanted) / static_cast<double>(std::max<std::size_t>(askers, 1));
         } else {
             double sum = 0;
             for (const auto& [name, share] : shares) {
-                if (now - share.heard <= options_.forget) sum += share.wanted + kLeastWish * quota.per_s;
+                if (now - share.reported_at <= options_.forget_after)
+                    sum += share.wanted_rate + kLeastWish * quota.rate_per_s;
             }
-            fair = quota.per_s * (own->second.wanted + kLeastWish * quota.per_s) / std::max(sum, 1e-9);
+            fair = quota.rate_per_s * (own->second.wanted_rate + kLeastWish * quota.rate_per_s) /
+                   std::max(sum, 1e-9);
         }
         Share& share = own->second;
-        const double held = now < share.until ? share.out : 0.0;
-        double rate = std::min(fair, std::max(0.0, quota.per_s - others_out));
+        const double held = now < share.expires_at ? share.outstanding_rate : 0.0;
+        double rate = std::min(fair, std::max(0.0, quota.rate_per_s - others_out));
         if (!settled) rate = std::min(rate, held);  // renewed at most
         if (rate <= 0) continue;
         // Until the stall says that it has taken the smaller one, it may use the larger.
-        share.out = std::max(rate, held);
-        share.granted = rate;
-        share.number = number_;
-        share.until = now + options_.lease;
+        share.outstanding_rate = std::max(rate, held);
+        share.granted_rate = rate;
+        share.response_number = response_number_;
+        share.expires_at = now + options_.lease;
         // What may be taken at once over all stalls, half of it evenly, half by rate.
         const double at_once =
-            quota.burst + options_.slack_used *
-                              (options_.overshoot * (quota.per_s * seconds(options_.window) + quota.burst) +
-                               options_.slack);
+            quota.burst +
+            options_.usable_slack *
+                (options_.overshoot * (quota.rate_per_s * seconds(options_.window) + quota.burst) +
+                 options_.slack);
         const double burst = at_once * (0.5 / static_cast<double>(std::max<std::size_t>(askers, 1)) +
-                                        0.5 * rate / quota.per_s);
+                                        0.5 * rate / quota.rate_per_s);
         grants.push_back(
             {tenant, rate, burst,
              static_cast<std::uint32_t>(
@@ -110,75 +116,79 @@
     return grants;
 }
 
-void Scale::fill(Time now, Bucket& bucket) {
-    const bool leased = now < bucket.until;
-    const double rate = leased ? bucket.rate : bucket.floor_rate;
-    const double burst = leased ? std::max(bucket.burst, 1.0) : bucket.floor_burst;
-    if (bucket.filled == Time{}) {
+void QuotaLimiter::refill(Time now, Bucket& bucket) {
+    const bool leased = now < bucket.lease_expires_at;
+    const double rate = leased ? bucket.leased_rate : bucket.fallback_rate;
+    const double burst = leased ? std::max(bucket.leased_burst, 1.0) : bucket.fallback_burst;
+    if (bucket.refilled_at == Time{}) {
         bucket.tokens = burst;
-        bucket.filled = now;
+        bucket.refilled_at = now;
     }
-    bucket.tokens = std::min(burst, bucket.tokens + rate * seconds(now - bucket.filled));
-    bucket.filled = now;
+    bucket.tokens = std::min(burst, bucket.tokens + rate * seconds(now - bucket.refilled_at));
+    bucket.refilled_at = now;
 }
 
-bool Scale::admits(Time now, const std::string& tenant, const Quota& quota, std::size_t stalls) {
-    if (quota.per_s <= 0) return true;
+bool QuotaLimiter::admit(Time now, const std::string& tenant, const Quota& quota, std::size_t stalls) {
+    if (quota.rate_per_s <= 0) return true;
     Bucket& bucket = buckets_[tenant];
-    const bool lately = bucket.until != Time{} && now < bucket.until + floor_.keep;
-    const double part =
-        (lately ? floor_.kept : floor_.share) / static_cast<double>(std::max(stalls, kFewestStalls));
-    bucket.floor_rate = quota.per_s * part;
-    bucket.floor_burst = std::max(floor_.burst, quota.burst * part);
-    fill(now, bucket);
-    bucket.asked += 1;
-    bucket.last_asked = now;
+    const bool lately =
+        bucket.lease_expires_at != Time{} && now < bucket.lease_expires_at + fallback_.after_lease_for;
+    const double part = (lately ? fallback_.after_lease : fallback_.otherwise) /
+                        static_cast<double>(std::max(stalls, kFewestStalls));
+    bucket.fallback_rate = quota.rate_per_s * part;
+    bucket.fallback_burst = std::max(fallback_.min_burst, quota.burst * part);
+    refill(now, bucket);
+    bucket.requests_since_report += 1;
+    bucket.last_used_at = now;
     if (bucket.tokens < 1) return false;
     bucket.tokens -= 1;
     return true;
 }
 
-void Scale::granted(Time now, const std::vector<Grant>& grants, Time asked) {
-    for (const Grant& grant : grants) {
+void QuotaLimiter::apply_leases(Time now, const std::vector<QuotaLease>& grants, Time asked) {
+    for (const QuotaLease& grant : grants) {
         const Time until = asked + std::chrono::milliseconds(grant.lease_ms);
         if (until <= now) continue;
         Bucket& bucket = buckets_[grant.tenant];
-        fill(now, bucket);
-        const bool fresh = now >= bucket.until;
-        bucket.rate = grant.per_s;
-        bucket.burst = std::max(grant.burst, 1.0);
-        bucket.until = until;
-        if (fresh) bucket.tokens = std::max(bucket.tokens, bucket.burst / 2);
+        refill(now, bucket);
+        const bool fresh = now >= bucket.lease_expires_at;
+        bucket.leased_rate = grant.rate_per_s;
+        bucket.leased_burst = std::max(grant.burst, 1.0);
+        bucket.lease_expires_at = until;
+        if (fresh) bucket.tokens = std::max(bucket.tokens, bucket.leased_burst / 2);
     }
 }
 
-Duration Scale::until_next(Time now, const std::string& tenant) {
+Duration QuotaLimiter::time_until_next(Time now, const std::string& tenant) {
     const auto it = buckets_.find(tenant);
     if (it == buckets_.end()) return {};
     const Bucket& bucket = it->second;
-    const double rate = std::max(now < bucket.until ? bucket.rate : bucket.floor_rate, 0.05);
+    const double rate =
+        std::max(now < bucket.lease_expires_at ? bucket.leased_rate : bucket.fallback_rate, 0.05);
     return std::chrono::duration_cast<Duration>(std::chrono::duration<double>((1 - bucket.tokens) / rate));
 }
 
-std::vector<Demand> Scale::demands(Time now, const std::vector<std::string>& tenants) {
-    std::vector<Demand> out;
-    const double span = told_ == Time{} ? 1.0 : std::max(0.05, seconds(now - told_));
-    told_ = now;
-    for (const std::string& tenant : tenants) buckets_[tenant].last_asked = now;
+std::vector<QuotaDemand> QuotaLimiter::demands(Time now, const std::vector<std::string>& tenants) {
+    std::vector<QuotaDemand> out;
+    const double span = reported_at_ == Time{} ? 1.0 : std::max(0.05, seconds(now - reported_at_));
+    reported_at_ = now;
+    for (const std::string& tenant : tenants) buckets_[tenant].last_used_at = now;
     std::erase_if(buckets_, [&](const auto& b) {
-        return now - b.second.last_asked > kForgetTenant && now >= b.second.until;
+        return now - b.second.last_used_at > kForgetTenant && now >= b.second.lease_expires_at;
     });
     for (auto& [tenant, bucket] : buckets_) {
-        const double rate = bucket.asked / span;
-        bucket.asked = 0;
+        const double rate = bucket.requests_since_report / span;
+        bucket.requests_since_report = 0;
         // Quick up, slow down: a share that was wanted is wanted again.
-        bucket.per_s = rate > bucket.per_s ? (rate + bucket.per_s) / 2 : bucket.per_s * 0.9 + rate * 0.1;
-        const bool leased = now < bucket.until;
-        const auto left = std::chrono::duration_cast<std::chrono::milliseconds>(bucket.until - now).count();
-        out.push_back({tenant, bucket.per_s, leased ? bucket.rate : 0.0,
+        bucket.smoothed_rate = rate > bucket.smoothed_rate ? (rate + bucket.smoothed_rate) / 2
+                                                           : bucket.smoothed_rate * 0.9 + rate * 0.1;
+        const bool leased = now < bucket.lease_expires_at;
+        const auto left =
+            std::chrono::duration_cast<std::chrono::milliseconds>(bucket.lease_expires_at - now).count();
+        out.push_back({tenant, bucket.smoothed_rate, leased ? bucket.leased_rate : 0.0,
                        leased ? static_cast<std::uint32_t>(left) : 0u});
     }
     return out;
 }
 
-}  // namespace martenford::scales
+}  // namespace martenford::quota
--- a/src/quota/quota.h
+++ b/src/quota/quota.h
@@ -11,114 +11,115 @@
 
 #include "core/scheduler.h"
 
-namespace martenford::scales {
+namespace martenford::quota {
 
 /// What a stall tells of one tenant.
-struct Demand {
+struct QuotaDemand {
     std::string tenant;
-    double per_s = 0;           ///< requests a second that were asked of it lately
-    double held = 0;            ///< requests a second that its lease allows it now
-    std::uint32_t held_ms = 0;  ///< for how much longer
+    double rate_per_s = 0;                 ///< requests a second that were asked of it lately
+    double leased_rate_per_s = 0;          ///< requests a second that its lease allows it now
+    std::uint32_t lease_remaining_ms = 0;  ///< for how much longer
 };
 
-struct Grant {
+struct QuotaLease {
     std::string tenant;
-    double per_s = 0;
+    double rate_per_s = 0;
     double burst = 0;  ///< requests at once on top
     std::uint32_t lease_ms = 0;
 };
 
 /// What a tenant may do over all stalls.
 struct Quota {
-    double per_s = 0;
+    double rate_per_s = 0;
     double burst = 0;
 };
 
 /// The granting side. Every guildhall hears the demands; the leader alone grants.
-class Grantor {
+class QuotaAllocator {
   public:
     struct Options {
         Duration lease = 2600ms;  ///< outlasts an election and a round of announcements
         // A new leader raises nothing at first. What the last one granted it knows from the stalls that hear
         // both; the lease of one that hears it alone is a share of a rate, runs out soon, and is within the
         // rule's slack.
-        Duration settle = 200ms;    ///< from when it leads
-        Duration listened = 300ms;  ///< from when it first heard a stall
-        Duration forget = 4s;       ///< a stall that hasn't asked for so long has no share
+        Duration settle_after_election = 200ms;  ///< from when it leads
+        Duration min_listening_time = 300ms;     ///< from when it first heard a stall
+        Duration forget_after = 4s;              ///< a stall that hasn't asked for so long has no share
         // The rule's figures: in any window a tenant may have (rate x window + burst) x (1 + overshoot) +
         // slack.
         Duration window = 5s;
         double overshoot = 0.1, slack = 20;
-        double kept = 0.8;  ///< of an even share, for a stall that is known and not heard
-        double slack_used =
+        double unheard_share = 0.8;  ///< of an even share, for a stall that is known and not heard
+        double usable_slack =
             0.7;  ///< of what the rule allows beyond the quota; the rest is for floors and chance
     };
-    explicit Grantor(const Options& options) : options_(options) {}
+    explicit QuotaAllocator(const Options& options) : options_(options) {}
 
     /// What a stall (by node and life) tells; heard by every guildhall. `taken` is the number of the last
-    /// answer of this grantor that it has taken in.
-    void heard(Time now, const std::string& stall, std::uint64_t taken, const std::vector<Demand>& demands);
+    /// answer of this allocator that it has taken in.
+    void report_demand(Time now, const std::string& stall, std::uint64_t taken,
+                       const std::vector<QuotaDemand>& demands);
     /// The number of the answer that grant() gives next or gave last.
-    std::uint64_t number() const { return number_; }
+    std::uint64_t response_number() const { return response_number_; }
     /// The leader's answer to it: shares for what it asked for.
     /// `stalls` are known, of which `silent` were not heard within their lease: for those an even share is
     /// kept, since they may be cut off and serve on by it.
-    std::vector<Grant> grant(Time now, Time leading_since, const std::string& stall,
-                             const std::map<std::string, Quota>& quotas, std::size_t stalls,
-                             std::size_t silent);
+    std::vector<QuotaLease> allocate(Time now, Time leading_since, const std::string& stall,
+                                     const std::map<std::string, Quota>& quotas, std::size_t stalls,
+                                     std::size_t silent);
 
   private:
     struct Share {
-        double wanted = 0;
-        double out = 0;      // the most that it may hold until `until`
-        double granted = 0;  // last, in the answer of this number
-        std::uint64_t number = 0;
-        Time until{};
-        Time heard{};
+        double wanted_rate = 0;
+        double outstanding_rate = 0;  // the most that it may hold until `until`
+        double granted_rate = 0;      // last, in the answer of this number
+        std::uint64_t response_number = 0;
+        Time expires_at{};
+        Time reported_at{};
     };
     Options options_;
-    std::uint64_t number_ = 0;
+    std::uint64_t response_number_ = 0;
     Time listening_since_{};
-    std::map<std::string, std::map<std::string, Share>> by_tenant_;  // tenant, stall
+    std::map<std::string, std::map<std::string, Share>> shares_by_tenant_;  // tenant, stall
 };
 
 /// The stall's side: one bucket a tenant.
-class Scale {
+class QuotaLimiter {
   public:
     /// Of a stall that has no lease: a part of an even share, small enough that as many as may be cut off at
     /// once stay within the rule's overshoot beside the others' leases.
-    struct Floor {
-        double kept =
-            0.8;  ///< for `keep` after its last lease: the grantor keeps as much for those that it knows
-        Duration keep = 14s;  ///< shorter than the registry remember a stall that is not heard
-        double share = 0.25;  ///< later, and before its first lease
-        double burst = 1;     ///< at least
+    struct FallbackShare {
+        double after_lease =
+            0.8;  ///< for `keep` after its last lease: the allocator keeps as much for those that it knows
+        Duration after_lease_for = 14s;  ///< shorter than the registry remember a stall that is not heard
+        double otherwise = 0.25;         ///< later, and before its first lease
+        double min_burst = 1;            ///< at least
     };
-    explicit Scale(const Floor& floor) : floor_(floor) {}
+    explicit QuotaLimiter(const FallbackShare& floor) : fallback_(floor) {}
     /// Whether a request of this tenant may be taken now; counts it as asked for. `stalls`: how many there
     /// are, as far as is known. A quota of 0 is no limit.
-    bool admits(Time now, const std::string& tenant, const Quota& quota, std::size_t stalls);
+    bool admit(Time now, const std::string& tenant, const Quota& quota, std::size_t stalls);
     /// `asked`: when the question was sent that this answers. A lease counts from then, so that one that is
-    /// read late, after a freeze or a jam, ends when its grantor holds it for ended.
-    void granted(Time now, const std::vector<Grant>& grants, Time asked);
+    /// read late, after a freeze or a jam, ends when its allocator holds it for ended.
+    void apply_leases(Time now, const std::vector<QuotaLease>& grants, Time asked);
     /// To be told: of each tenant that has a quota, whether it asked or not.
-    std::vector<Demand> demands(Time now, const std::vector<std::string>& tenants);
+    std::vector<QuotaDemand> demands(Time now, const std::vector<std::string>& tenants);
     /// When a tenant that is refused now may be taken again.
-    Duration until_next(Time now, const std::string& tenant);
+    Duration time_until_next(Time now, const std::string& tenant);
 
   private:
     struct Bucket {
-        double tokens = 0, rate = 0, burst = 0;
-        Time filled{}, until{};
-        double asked = 0;  // since the last demands()
-        double per_s = 0;  // smoothed
-        Time last_asked{};
-        double floor_rate = 0, floor_burst = 1;
+        double tokens = 0, leased_rate = 0, leased_burst = 0;
+        Time refilled_at{}, lease_expires_at{};
+        double requests_since_report = 0;  // since the last demands()
+        double smoothed_rate = 0;          // smoothed
+        Time last_used_at{};
+        double fallback_rate = 0, fallback_burst = 1;
     };
-    void fill(Time now, Bucket& bucket);
-    Floor floor_;
-    Time told_{};
+    void refill(Time now, Bucket& bucket);
+    FallbackShare fallback_;
+    Time reported_at_{};
     std::unordered_map<std::string, Bucket> buckets_;
 };
 
-}  // namespace martenford::scales
+}  // namespace martenford::quota
--- a/src/stall/dialects.cpp
+++ b/src/stall/dialects.cpp
@@ -124,10 +124,10 @@
         }
     }
     if (tenant &&
-        !scale_.admits(Loop::monotonic(), tenant->name, {tenant->rate_per_s, tenant->burst}, stalls_())) {
+        !scale_.admit(Loop::monotonic(), tenant->name, {tenant->rate_per_s, tenant->burst}, stalls_())) {
         ++figures_.over_quota;
         return TurnAway{http::status::too_many_requests, true,
-                        std::max(kComeBack, scale_.until_next(Loop::monotonic(), tenant->name))};
+                        std::max(kComeBack, scale_.time_until_next(Loop::monotonic(), tenant->name))};
     }
     auto left = whole_number(head[kTimeRemaining]);
     if (!head[kTimeRemaining].empty() && (!left || *left < 1 || *left > kMostTimeMs))
--- a/src/stall/dialects.h
+++ b/src/stall/dialects.h
@@ -12,7 +12,7 @@
 #include "core/loop.h"
 #include "http1/dialect.h"
 #include "quay/quay.h"
-#include "scales/scales.h"
+#include "quota/quota.h"
 #include "tollgate/tollgate.h"
 
 namespace martenford::stall {
@@ -27,8 +27,8 @@
 class OutboundFront : public FrontDialect {
   public:
     /// `stalls` tells how many there are.
-    OutboundFront(const boot::Settings& settings, quay::Quay& quay, scales::Scale& scale, Figures& figures,
-                  std::function<std::size_t()> stalls)
+    OutboundFront(const boot::Settings& settings, quay::Quay& quay, quota::QuotaLimiter& scale,
+                  Figures& figures, std::function<std::size_t()> stalls)
         : settings_(settings), quay_(quay), scale_(scale), figures_(figures), stalls_(std::move(stalls)) {}
     void serve(std::shared_ptr<const charter::Charter> charter);
     /// A gate knows a newer version in which the answer to this request differs: it is planned anew, now or
@@ -55,7 +55,7 @@
 
     const boot::Settings& settings_;
     quay::Quay& quay_;
-    scales::Scale& scale_;
+    quota::QuotaLimiter& scale_;
     Figures& figures_;
     std::function<std::size_t()> stalls_;
     FrontLimits limits_;
--- a/src/stall/stall.cpp
+++ b/src/stall/stall.cpp
@@ -84,10 +84,10 @@
           life_(drawn()),
           quay_({settings.zone}, drawn()),
           gate_({settings.bounds.drain}),
-          scale_({}),
+          quota_limiter_({}),
           hop_back_(quay_, outbound_, loop_),
           endpoint_back_(gate_),
-          outbound_(settings, quay_, scale_, figures_, [this] { return view_.entries().size(); }),
+          outbound_(settings, quay_, quota_limiter_, figures_, [this] { return view_.entries().size(); }),
           inbound_(settings, gate_, life_, [this] { return outbound_.charter(); }),
           tally_(counters_, {}),
           gate_tally_(gate_counters_, {}),
@@ -177,7 +177,7 @@
             [this, address] {
                 Guildhall& up = guildhalls_.at(address);
                 up.answered = loop_.now();
-                announce_to(up, scale_demands());
+                announce_to(up, quota_demands());
                 poll(up);
             },
             [this, address] { lost(address); });
@@ -194,17 +194,17 @@
         guildhall.dialer->send(passage::Poll{guildhall.epoch, guildhall.seq,
                                              std::max(version_, guildhall.passed_over), guildhall.wants});
     }
-    void announce_to(Guildhall& guildhall, const std::vector<scales::Demand>& demands) {
+    void announce_to(Guildhall& guildhall, const std::vector<quota::QuotaDemand>& demands) {
         // A life's connections end with it: only this process's own clock can come back.
         const auto asked = static_cast<std::uint64_t>(loop_.now().time_since_epoch().count());
         guildhall.dialer->send(passage::Announce{registration_, demands, guildhall.taken, version_, asked});
     }
     void announce() {
         announced_ = loop_.now();
-        const auto demands = scale_demands();
+        const auto demands = quota_demands();
         for (auto& [address, guildhall] : guildhalls_) announce_to(guildhall, demands);
     }
-    std::vector<scales::Demand> scale_demands() {
+    std::vector<quota::QuotaDemand> quota_demands() {
         // Told anew at most so often: what is asked for is a rate.
         if (const Time now = loop_.now(); now - demanded_ >= kAnnounce / 2) {
             demanded_ = now;
@@ -213,7 +213,7 @@
                 for (const auto& tenant : charter->tenants())
                     if (tenant.rate_per_s > 0) tenants.push_back(tenant.name);
             }
-            demands_ = scale_.demands(now, tenants);
+            demands_ = quota_limiter_.demands(now, tenants);
         }
         return demands_;
     }
@@ -224,7 +224,7 @@
         if (auto* grants = std::get_if<passage::Grants>(&message)) {
             guildhall.taken = grants->number;
             const Time asked{Duration{static_cast<Duration::rep>(grants->asked)}};
-            if (grants->leads && asked <= now) scale_.granted(now, grants->grants, asked);
+            if (grants->leads && asked <= now) quota_limiter_.apply_leases(now, grants->grants, asked);
         } else if (auto* news = std::get_if<passage::News>(&message)) {
             guildhall.answered = now;
             guildhall.in_touch = news->in_touch;
@@ -483,7 +483,7 @@
     Figures figures_;
     quay::Quay quay_;
     tollgate::Tollgate gate_;
-    scales::Scale scale_;
+    quota::QuotaLimiter quota_limiter_;
     HopBack hop_back_;
     EndpointBack endpoint_back_;
     OutboundFront outbound_;
@@ -503,7 +503,7 @@
     std::int64_t last_seq_ = -1;
     Time beat_at_{}, announced_{}, demanded_{}, figured_{};
     int unreached_ = 0, draining_ = 0, probes_ = 0;
-    std::vector<scales::Demand> demands_;
+    std::vector<quota::QuotaDemand> demands_;
     std::set<std::string> past_;
     std::deque<std::string> past_order_;
     std::uint32_t version_ = 0;
--- a/tests/mesh/hop_world.h
+++ b/tests/mesh/hop_world.h
@@ -327,7 +327,7 @@
         : random_(seed),
           quay_({"z"}, seed),
           hop_back_(quay_, outbound_, loop_),
-          outbound_(settings_, quay_, scale_, figures_, [] { return std::size_t{3}; }),
+          outbound_(settings_, quay_, quota_limiter_, figures_, [] { return std::size_t{3}; }),
           tally_(counters_, {}),
           hops_(loop_, hop_back_, back_limits(), 64, 0, counters_),
           engine_(loop_, hops_, back_limits(), std::make_unique<Lent<quay::Quay>>(quay_), tally_),
@@ -463,7 +463,7 @@
     Counters counters_;
     stall::Figures figures_;
     quay::Quay quay_;
-    scales::Scale scale_{{}};
+    quota::QuotaLimiter quota_limiter_{{}};
     stall::HopBack hop_back_;
     stall::OutboundFront outbound_;
     Tally tally_;
--- a/tests/mesh/raft_membership_test.cpp
+++ b/tests/mesh/raft_membership_test.cpp
@@ -6,8 +6,8 @@
 #include <memory>
 #include <set>
 
+#include "quota/quota.h"
 #include "raft/raft_node.h"
-#include "scales/scales.h"
 
 using namespace martenford;
 using namespace martenford::raft;
@@ -265,18 +265,18 @@
 }
 
 TEST_CASE("a quota's lease that is read late counts from its question") {
-    const scales::Quota quota{100, 10};
-    scales::Scale late({}), prompt({});
+    const quota::Quota quota{100, 10};
+    quota::QuotaLimiter late({}), prompt({});
     const Time asked{10s}, read{12500ms};
-    prompt.granted(asked, {{"t", 100, 10, 2600}}, asked);
-    late.granted(read, {{"t", 100, 10, 2600}}, asked);
-    const auto held = [&](scales::Scale& scale, Time now) {
-        scale.admits(now, "t", quota, 10);
+    prompt.apply_leases(asked, {{"t", 100, 10, 2600}}, asked);
+    late.apply_leases(read, {{"t", 100, 10, 2600}}, asked);
+    const auto held = [&](quota::QuotaLimiter& scale, Time now) {
+        scale.admit(now, "t", quota, 10);
         const auto demands = scale.demands(now, {"t"});
-        return demands.front().held_ms;
+        return demands.front().lease_remaining_ms;
     };
     CHECK(held(late, read) <= 100);
-    late.granted(read + 1s, {{"t", 100, 10, 2600}}, asked);
+    late.apply_leases(read + 1s, {{"t", 100, 10, 2600}}, asked);
     CHECK(held(late, read + 1s) == 0);
     CHECK(held(prompt, asked) == 2600);
 }
--- a/tests/mesh/registry_quota_test.cpp
+++ b/tests/mesh/registry_quota_test.cpp
@@ -4,12 +4,12 @@
 #include <deque>
 
 #include "policy/mechanics.h"
+#include "quota/quota.h"
 #include "registry/registry.h"
-#include "scales/scales.h"
 
 using namespace martenford;
 using namespace martenford::registry;
-using namespace martenford::scales;
+using namespace martenford::quota;
 
 namespace {
 
@@ -87,9 +87,9 @@
     for (std::uint64_t seed = 1; seed <= 20; ++seed) {
         CAPTURE(seed);
         loftfront::Random random(seed);
-        std::vector<Scale> stalls(12, Scale({}));
+        std::vector<QuotaLimiter> stalls(12, QuotaLimiter({}));
         std::vector<std::uint64_t> taken(12);
-        std::vector<Grantor> leaders(2, Grantor({}));
+        std::vector<QuotaAllocator> leaders(2, QuotaAllocator({}));
         Time now{10s}, since = now;
         std::size_t leader = 0;
         std::deque<Time> admitted;
@@ -103,19 +103,20 @@
             for (std::size_t i = 0; i < stalls.size(); ++i) {
                 // Twenty times the quota is asked for.
                 for (int k = 0; k < 2; ++k) {
-                    if (random.unit() < 0.4 && stalls[i].admits(now, "t", {50, 50}, 12))
+                    if (random.unit() < 0.4 && stalls[i].admit(now, "t", {50, 50}, 12))
                         admitted.push_back(now);
                 }
                 if ((step + static_cast<int>(i) * 4) % 50 != 0 || random.unit() < 0.1) continue;
                 const auto demands = stalls[i].demands(now, {"t"});
                 const std::string name = "s" + std::to_string(i);
-                for (auto& grantor : leaders)
-                    grantor.heard(now, name, &grantor == &leaders[leader] ? taken[i] : 0, demands);
+                for (auto& allocator : leaders)
+                    allocator.report_demand(now, name, &allocator == &leaders[leader] ? taken[i] : 0,
+                                            demands);
                 if (now < since) continue;
-                const auto grants = leaders[leader].grant(now, since, name, quotas, 12, 0);
+                const auto grants = leaders[leader].allocate(now, since, name, quotas, 12, 0);
                 if (random.unit() < 0.1) continue;  // the answer is lost
-                stalls[i].granted(now, grants, now);
-                taken[i] = leaders[leader].number();
+                stalls[i].apply_leases(now, grants, now);
+                taken[i] = leaders[leader].response_number();
             }
             while (!admitted.empty() && admitted.front() <= now - 5s) admitted.pop_front();
             if (step > 600) most = std::max(most, admitted.size());
@@ -128,25 +129,25 @@
 }
 
 TEST_CASE("quotas: a stall that nobody tells anything falls to its floor when its lease ends") {
-    Scale scale({});
+    QuotaLimiter scale({});
     Time now{10s};
-    scale.granted(now, {{"t", 100, 10, 1600}}, now);
+    scale.apply_leases(now, {{"t", 100, 10, 1600}}, now);
     int admitted = 0;
-    for (int i = 0; i < 160; ++i, now += 10ms) admitted += scale.admits(now, "t", {100, 10}, 12);
+    for (int i = 0; i < 160; ++i, now += 10ms) admitted += scale.admit(now, "t", {100, 10}, 12);
     CHECK(admitted >= 150);
     now += 30s;
     admitted = 0;
-    for (int i = 0; i < 1000; ++i, now += 10ms) admitted += scale.admits(now, "t", {100, 10}, 12);
+    for (int i = 0; i < 1000; ++i, now += 10ms) admitted += scale.admit(now, "t", {100, 10}, 12);
     CHECK(admitted >= 20);  // a quarter of an even share of 100 a second, for 10 s
     CHECK(admitted <= 25);
-    CHECK(scale.admits(now, "unlimited", {0, 0}, 12));
+    CHECK(scale.admit(now, "unlimited", {0, 0}, 12));
 }
 
 TEST_CASE("quotas: stalls that are cut off serve on by what is kept for them, within the rule") {
     const std::map<std::string, Quota> quotas{{"t", {50, 50}}};
-    std::vector<Scale> stalls(12, Scale({}));
+    std::vector<QuotaLimiter> stalls(12, QuotaLimiter({}));
     std::vector<std::uint64_t> taken(12);
-    Grantor leader({});
+    QuotaAllocator leader({});
     Time now{10s};
     const Time since = now, cut = now + 10s;
     std::deque<Time> admitted;
@@ -154,16 +155,16 @@
     for (int step = 0; step < 2400; ++step, now += 10ms) {
         for (std::size_t i = 0; i < stalls.size(); ++i) {
             const bool away = i < 4 && now >= cut;
-            if (step % 2 == 0 && stalls[i].admits(now, "t", {50, 50}, 12)) {
+            if (step % 2 == 0 && stalls[i].admit(now, "t", {50, 50}, 12)) {
                 admitted.push_back(now);
                 by_cut += away;
             }
             if ((step + static_cast<int>(i) * 4) % 50 != 0 || away) continue;
             const std::string name = "s" + std::to_string(i);
-            leader.heard(now, name, taken[i], stalls[i].demands(now, {"t"}));
-            stalls[i].granted(now, leader.grant(now, since, name, quotas, 12, now >= cut + 1600ms ? 4 : 0),
-                              now);
-            taken[i] = leader.number();
+            leader.report_demand(now, name, taken[i], stalls[i].demands(now, {"t"}));
+            stalls[i].apply_leases(
+                now, leader.allocate(now, since, name, quotas, 12, now >= cut + 1600ms ? 4 : 0), now);
+            taken[i] = leader.response_number();
         }
         while (!admitted.empty() && admitted.front() <= now - 5s) admitted.pop_front();
         most = std::max(most, admitted.size());
--- a/tools/hollow/hollow_stall.cpp
+++ b/tools/hollow/hollow_stall.cpp
@@ -27,7 +27,7 @@
       options_(options),
       gauge_(gauge),
       quay_(quay::Quay::Options{options.zone}, drawn()),
-      scale_({}),
+      quota_limiter_({}),
       intake_(kIntakePatience),
       ticker_(loop),
       intake_timer_(loop) {
@@ -97,7 +97,7 @@
             for (const auto& tenant : charter_->tenants())
                 if (tenant.rate_per_s > 0) tenants.push_back(tenant.name);
         }
-        demands_ = scale_.demands(now, tenants);
+        demands_ = quota_limiter_.demands(now, tenants);
     }
     const auto asked = static_cast<std::uint64_t>(loop_.now().time_since_epoch().count());
     guildhall.dialer->send(passage::Announce{registration_, demands_, guildhall.taken, version_, asked});
@@ -114,7 +114,7 @@
     if (auto* grants = std::get_if<passage::Grants>(&message)) {
         guildhall.taken = grants->number;
         const Time asked{Duration{static_cast<Duration::rep>(grants->asked)}};
-        if (grants->leads && asked <= now) scale_.granted(now, grants->grants, asked);
+        if (grants->leads && asked <= now) quota_limiter_.apply_leases(now, grants->grants, asked);
     } else if (auto* news = std::get_if<passage::News>(&message)) {
         guildhall.answered = now;
         guildhall.in_touch = news->in_touch;
--- a/tools/hollow/hollow_stall.h
+++ b/tools/hollow/hollow_stall.h
@@ -1,5 +1,5 @@
 // A hollow node: the control side of a stall without its requests. The objects are the stall's own (registry,
-// berths, scales, charter, the passage's connections); what joins them follows src/stall/stall.cpp, and a run
+// berths, quotas, charter, the passage's connections); what joins them follows src/stall/stall.cpp, and a run
 // of both side by side shows whether it still does (docs/CAPACITY.md).
 #pragma once
 
@@ -16,8 +16,8 @@
 #include "passage/channel.h"
 #include "quay/berths.h"
 #include "quay/quay.h"
+#include "quota/quota.h"
 #include "registry/registry.h"
-#include "scales/scales.h"
 #include "stall/intake.h"
 
 namespace martenford::hollow {
@@ -69,9 +69,9 @@
     registry::RegistryView view_;
     quay::Berths berths_;
     quay::Quay quay_;
-    scales::Scale scale_;
+    quota::QuotaLimiter quota_limiter_;
     std::shared_ptr<const charter::Charter> charter_;
-    std::vector<scales::Demand> demands_;
+    std::vector<quota::QuotaDemand> demands_;
     std::set<std::string> silent_;
     registry::ProxyRegistration registration_;
     std::uint32_t version_ = 0, endpoints_ = 0;
