--- a/benchmarks/register_report.cpp
+++ b/benchmarks/register_report.cpp
@@ -14,8 +14,8 @@
 #include <variant>
 #include <vector>
 
-#include "charter/charter.h"
 #include "durable_store/durable_store.h"
+#include "mesh_config/mesh_config.h"
 #include "passage/messages.h"
 
 using namespace martenford;
@@ -26,12 +26,12 @@
 constexpr std::size_t kHistory = 4096;
 
 std::string configuration(std::uint32_t version) {
-    charter::Json out{{"version", charter::text_of(version)},
-                      {"limits", {{"max_header_bytes", 16384}, {"max_body_bytes", 67108864}}},
-                      {"base_version", charter::text_of(version - 1)}};
+    mesh_config::Json out{{"version", mesh_config::text_of(version)},
+                          {"limits", {{"max_header_bytes", 16384}, {"max_body_bytes", 67108864}}},
+                          {"base_version", mesh_config::text_of(version - 1)}};
     std::uint64_t drawn = 1;
     const auto name = [&](const char* kind) {
-        drawn = charter::digest(kind, drawn);
+        drawn = mesh_config::digest(kind, drawn);
         char text[24];
         std::snprintf(text, sizeof text, "%s%07x", kind, static_cast<unsigned>(drawn & 0xfffffff));
         return std::string(text);
@@ -46,11 +46,11 @@
                                    {"tls", false}});
     }
     for (int i = 0; i < kHosts; ++i) {
-        charter::Json listener{{"host", name("jepu") + ".example"}};
+        mesh_config::Json listener{{"host", name("jepu") + ".example"}};
         for (int k = 0; k < kRoutes / kHosts; ++k) {
             // One time-out follows the version: what a change is most often.
-            charter::Json action{{"timeout_ms", i + k == 0 ? 1000 + version % 1000 : 3000},
-                                 {"max_attempts", 2}};
+            mesh_config::Json action{{"timeout_ms", i + k == 0 ? 1000 + version % 1000 : 3000},
+                                     {"max_attempts", 2}};
             const auto at = static_cast<std::size_t>(i * kRoutes / kHosts + k) % services.size();
             if (k % 3) {
                 action["service"] = services[at];
@@ -110,7 +110,7 @@
     if (!::mkdtemp(folder.data())) return 1;
     passage::Word word{1, configuration(1), {}};
     for (std::size_t i = 0; i < kHistory; ++i)
-        word.history.push_back({static_cast<std::uint32_t>(i * 3), charter::digest("x", i)});
+        word.history.push_back({static_cast<std::uint32_t>(i * 3), mesh_config::digest("x", i)});
     raft::PersistentState disk;
     disk.self_id = 1;
     for (std::uint64_t i = 1; i <= 5; ++i)
@@ -135,7 +135,7 @@
     Cost checked, encoded, decoded, proposed, committed, voted;
     for (int i = 0; i < kChanges; ++i) {
         const std::string next = configuration(static_cast<std::uint32_t>(i) + 2);
-        checked.add([&] { charter::read_config(charter::Json::parse(next)); });
+        checked.add([&] { mesh_config::read_config(mesh_config::Json::parse(next)); });
         word.document = next;
         std::string value;
         encoded.add([&] { value = passage::encode(word); });
--- a/src/assay/assay.cpp
+++ b/src/assay/assay.cpp
@@ -7,11 +7,11 @@
 #include <map>
 #include <sstream>
 
-#include "charter/explain.h"
+#include "mesh_config/explain.h"
 
 namespace {
 
-using namespace martenford::charter;
+using namespace martenford::mesh_config;
 
 constexpr int kInvalid = 1, kUsage = 2;
 
@@ -44,7 +44,7 @@
 /// Tells what is wrong with it; nothing where it is valid.
 std::optional<Config> checked(const std::string& path, const Json& json) {
     auto config = read_config(json);
-    if (const auto* problem = std::get_if<Problem>(&config)) {
+    if (const auto* problem = std::get_if<ConfigError>(&config)) {
         std::cerr << path << ": " << problem->text() << "\n";
         return std::nullopt;
     }
@@ -77,7 +77,7 @@
         const auto by = read_file(change);
         if (!by) return kUsage;
         const auto whole = modified(*json, *by);
-        if (const auto* problem = std::get_if<Problem>(&whole)) {
+        if (const auto* problem = std::get_if<ConfigError>(&whole)) {
             std::cerr << change << ": " << problem->text() << "\n";
             return kInvalid;
         }
@@ -93,8 +93,8 @@
         return told.found ? 0 : kInvalid;
     }
     if (!key.empty()) {
-        const Charter charter(0, *config);
-        const Tenant* tenant = charter.holder(key);
+        const RouteTable routes(0, *config);
+        const Tenant* tenant = routes.tenant_by_key(key);
         std::cout << (tenant ? "tenant " + tenant->name : "nobody's: 401") << "\n";
         return tenant ? 0 : kInvalid;
     }
--- a/src/boot/settings.cpp
+++ b/src/boot/settings.cpp
@@ -6,14 +6,14 @@
 #include <cstdlib>
 #include <limits>
 
-#include "charter/described.h"
+#include "mesh_config/described.h"
 
 namespace martenford::boot {
 
 namespace {
 
-using charter::Json;
-using charter::Problem;
+using mesh_config::ConfigError;
+using mesh_config::Json;
 
 // ---- the file, field by field
 
@@ -73,12 +73,13 @@
 }
 
 /// One text "name=value" of `bounds`.
-std::optional<Problem> read_bound(const std::string& text, Bounds& to, const std::string& path) {
+std::optional<ConfigError> read_bound(const std::string& text, Bounds& to, const std::string& path) {
     const auto equals = text.find('=');
-    if (equals == text.npos) return Problem{path, "name=value is wanted, not '" + text + "'"};
+    if (equals == text.npos) return ConfigError{path, "name=value is wanted, not '" + text + "'"};
     const std::string name = text.substr(0, equals), value = text.substr(equals + 1);
     if (name == "revocation_closed") {
-        if (value != "true" && value != "false") return Problem{path, "true or false is wanted for " + name};
+        if (value != "true" && value != "false")
+            return ConfigError{path, "true or false is wanted for " + name};
         to.revocation_closed = value == "true";
         return std::nullopt;
     }
@@ -107,36 +108,36 @@
     for (const Time& time : kTimes) {
         if (name != time.name) continue;
         const auto read = number(value);
-        if (!read || *read > 1e9) return Problem{path, "a number is wanted for " + name};
+        if (!read || *read > 1e9) return ConfigError{path, "a number is wanted for " + name};
         to.*time.to = std::chrono::duration_cast<Duration>(
             std::chrono::duration<double, std::milli>(*read * time.unit));
     }
     for (const Figure& figure : kFigures) {
         if (name != figure.name) continue;
         const auto read = number(value);
-        if (!read) return Problem{path, "a number is wanted for " + name};
+        if (!read) return ConfigError{path, "a number is wanted for " + name};
         to.*figure.to = *read;
     }
     return std::nullopt;
 }
 
-std::optional<Problem> read_address(const std::string& text, std::optional<Address>& to,
-                                    const std::string& path) {
+std::optional<ConfigError> read_address(const std::string& text, std::optional<Address>& to,
+                                        const std::string& path) {
     to = parse_address(text);
-    if (!to) return Problem{path, "ip:port is wanted, not '" + text + "'"};
+    if (!to) return ConfigError{path, "ip:port is wanted, not '" + text + "'"};
     return std::nullopt;
 }
 
-std::optional<Problem> settle(const File& file, Settings& to) {
-    if (file.node_name.empty()) return Problem{"node_name", "it is missing"};
-    if (file.ip_address.empty()) return Problem{"ip_address", "it is missing"};
+std::optional<ConfigError> settle(const File& file, Settings& to) {
+    if (file.node_name.empty()) return ConfigError{"node_name", "it is missing"};
+    if (file.ip_address.empty()) return ConfigError{"ip_address", "it is missing"};
     if (file.internal_ports.size() != 2 || file.internal_ports[0] < 1 || file.internal_ports[1] > 65535 ||
         file.internal_ports[0] > file.internal_ports[1])
-        return Problem{"internal_ports", "a first and a last port are wanted"};
+        return ConfigError{"internal_ports", "a first and a last port are wanted"};
     if (file.limits.file_descriptors < 256 || file.limits.memory_mb < 8)
-        return Problem{"limits", "too small to run in"};
+        return ConfigError{"limits", "too small to run in"};
     if (file.beat_interval_ms < 1 || file.beat_interval_ms > 3'600'000)
-        return Problem{"beat_interval_ms", "it must be from 1 to 3600000"};
+        return ConfigError{"beat_interval_ms", "it must be from 1 to 3600000"};
     to.node_name = file.node_name;
     to.ip_address = file.ip_address;
     to.zone = file.zone;
@@ -151,8 +152,8 @@
                   {"regions", file.fault_tolerance.regions, &FaultTolerance::regions}};
     for (const auto& loss : losses) {
         if (loss.from < 0 || loss.from > kMostLost)
-            return Problem{std::string("fault_tolerance.") + loss.name,
-                           "it must be from 0 to " + std::to_string(kMostLost)};
+            return ConfigError{std::string("fault_tolerance.") + loss.name,
+                               "it must be from 0 to " + std::to_string(kMostLost)};
         to.fault_tolerance.*loss.to = static_cast<std::size_t>(loss.from);
     }
     to.data_directory = file.data_directory;
@@ -200,7 +201,7 @@
                        std::string(error.description())};
     }
     File file;
-    auto problem = charter::read(json_of(table), file, "");
+    auto problem = mesh_config::read(json_of(table), file, "");
     Settings settings;
     if (!problem) problem = settle(file, settings);
     if (!problem) return settings;
--- a/src/guildhall/clerk.cpp
+++ b/src/guildhall/clerk.cpp
@@ -6,7 +6,7 @@
 
 namespace martenford::guildhall {
 
-using charter::Json;
+using mesh_config::Json;
 
 namespace {
 // A call that is undecided for so long is told that nothing was done: callers go on after a second of
@@ -61,7 +61,7 @@
     Job job;
     job.call = call;
     job.body = body;
-    job.digest = charter::digest(body, call == Call::Replace ? 1 : 2);
+    job.digest = mesh_config::digest(body, call == Call::Replace ? 1 : 2);
     job.respond = std::move(respond);
     job.came = now;
     held_ += body.size();
@@ -100,12 +100,12 @@
     // What is proposed may be this very call, sent before; and one at a time is decided.
     if (!is_settled()) return;
     if (job.next && job.next->first == word_stamp_) return propose(now, job);
-    const auto read = charter::parse_object(job.body);
+    const auto read = mesh_config::parse_object(job.body);
     if (!read) return refuse(now, job, 400, "the body is no JSON object", "no JSON");
     const Json& change = *read;
     const auto text = [&](const char* field) {
         const auto it = change.find(field);
-        return it != change.end() && it->is_string() ? charter::parse_version(it->get<std::string>())
+        return it != change.end() && it->is_string() ? mesh_config::parse_version(it->get<std::string>())
                                                      : std::nullopt;
     };
     const auto version = text("version");
@@ -123,22 +123,22 @@
         }
     }
     if (base != held.version)
-        return refuse(now, job, 412, "version " + charter::text_of(held.version) + " is in place",
+        return refuse(now, job, 412, "version " + mesh_config::text_of(held.version) + " is in place",
                       "another version is in place");
     if (*version <= held.version)
-        return refuse(now, job, 400, "version is not above " + charter::text_of(held.version),
+        return refuse(now, job, 400, "version is not above " + mesh_config::text_of(held.version),
                       "its version is not above");
-    std::variant<Json, charter::Problem> whole = change;
+    std::variant<Json, mesh_config::ConfigError> whole = change;
     if (job.call == Call::Modify) {
         const Json document =
             held.document.empty() ? Json::object() : Json::parse(held.document, nullptr, false);
-        whole = charter::modified(document, change);
+        whole = mesh_config::modified(document, change);
     }
-    if (const auto* problem = std::get_if<charter::Problem>(&whole))
+    if (const auto* problem = std::get_if<mesh_config::ConfigError>(&whole))
         return refuse(now, job, 400, problem->text());
     const Json& document = std::get<Json>(whole);
-    const auto config = charter::read_config(document);
-    if (const auto* problem = std::get_if<charter::Problem>(&config))
+    const auto config = mesh_config::read_config(document);
+    if (const auto* problem = std::get_if<mesh_config::ConfigError>(&config))
         return refuse(now, job, 400, problem->text());
     passage::Word next{*version, document.dump(), held.history, held.forgotten};
     if (next.document.size() > passage::kMostDocument)
--- a/src/guildhall/clerk.h
+++ b/src/guildhall/clerk.h
@@ -10,7 +10,7 @@
 #include <utility>
 
 #include "calls/calls.h"
-#include "charter/charter.h"
+#include "mesh_config/mesh_config.h"
 #include "passage/messages.h"
 #include "raft/raft_node.h"
 
--- a/src/guildhall/guildhall.cpp
+++ b/src/guildhall/guildhall.cpp
@@ -82,10 +82,11 @@
                     [this](auto channel) { accepted(std::move(channel)); }) {
         clerk_.on_decided = [](bool taken, std::uint32_t version, const std::string& why) {
             if (taken) {
-                ring(Event::CharterTaken, "configuration taken", {{"version", charter::text_of(version)}});
+                ring(Event::CharterTaken, "configuration taken",
+                     {{"version", mesh_config::text_of(version)}});
             } else {
                 ring(Event::CharterRefused, "configuration refused",
-                     {{"version", charter::text_of(version)}, {"why", why}});
+                     {{"version", mesh_config::text_of(version)}, {"why", why}});
             }
         };
         clerk_.control_of = [this](const raft::Member& leader) {
@@ -282,10 +283,10 @@
         if (word.version != quota_version_) {
             quota_version_ = word.version;
             quotas_.clear();
-            const auto document = charter::Json::parse(word.document, nullptr, false);
+            const auto document = mesh_config::Json::parse(word.document, nullptr, false);
             if (!document.is_discarded()) {
-                const auto config = charter::read_config(document);
-                if (const auto* read = std::get_if<charter::Config>(&config)) {
+                const auto config = mesh_config::read_config(document);
+                if (const auto* read = std::get_if<mesh_config::Config>(&config)) {
                     for (const auto& tenant : read->tenants)
                         quotas_[tenant.name] = {tenant.rate_per_s, tenant.burst};
                 }
@@ -470,7 +471,7 @@
         for (const Address& seed : settings.seeds) {
             const std::string address =
                 seed.address().to_string() + ":" + std::to_string(settings.first_port);
-            const raft::Member member{charter::digest(address, 1) | 1, address};
+            const raft::Member member{mesh_config::digest(address, 1) | 1, address};
             disk.last_entry.voters.push_back(member);
             if (address == own) disk.self_id = member.id;
         }
--- a/src/mesh_config/described.h
+++ b/src/mesh_config/described.h
@@ -11,15 +11,15 @@
 #include <type_traits>
 #include <vector>
 
-namespace martenford::charter {
+namespace martenford::mesh_config {
 
 using Json = nlohmann::ordered_json;
 
 /// What is wrong, and where: "listeners[2].rule_set[0].route_action.timeout_ms".
-struct Problem {
+struct ConfigError {
     std::string path;
-    std::string what;
-    std::string text() const { return path.empty() ? what : path + ": " + what; }
+    std::string message;
+    std::string text() const { return path.empty() ? message : path + ": " + message; }
 };
 
 template <class T>
@@ -27,37 +27,37 @@
 
 // One overload for each kind of field. A field that is absent keeps its default; one of another type is a
 // problem, one that the struct does not know is passed over.
-inline std::optional<Problem> read(const Json& from, std::string& to, const std::string& path) {
-    if (!from.is_string()) return Problem{path, "a text is wanted"};
+inline std::optional<ConfigError> read(const Json& from, std::string& to, const std::string& path) {
+    if (!from.is_string()) return ConfigError{path, "a text is wanted"};
     to = from.get<std::string>();
     return std::nullopt;
 }
-inline std::optional<Problem> read(const Json& from, bool& to, const std::string& path) {
-    if (!from.is_boolean()) return Problem{path, "true or false is wanted"};
+inline std::optional<ConfigError> read(const Json& from, bool& to, const std::string& path) {
+    if (!from.is_boolean()) return ConfigError{path, "true or false is wanted"};
     to = from.get<bool>();
     return std::nullopt;
 }
-inline std::optional<Problem> read(const Json& from, std::int64_t& to, const std::string& path) {
+inline std::optional<ConfigError> read(const Json& from, std::int64_t& to, const std::string& path) {
     if (from.is_number_unsigned() && from.get<std::uint64_t>() > INT64_MAX)
-        return Problem{path, "it is too large"};
-    if (!from.is_number_integer()) return Problem{path, "a whole number is wanted"};
+        return ConfigError{path, "it is too large"};
+    if (!from.is_number_integer()) return ConfigError{path, "a whole number is wanted"};
     to = from.get<std::int64_t>();
     return std::nullopt;
 }
-inline std::optional<Problem> read(const Json& from, double& to, const std::string& path) {
-    if (!from.is_number()) return Problem{path, "a number is wanted"};
+inline std::optional<ConfigError> read(const Json& from, double& to, const std::string& path) {
+    if (!from.is_number()) return ConfigError{path, "a number is wanted"};
     to = from.get<double>();
     return std::nullopt;
 }
 template <Described T>
-std::optional<Problem> read(const Json& from, T& to, const std::string& path);
+std::optional<ConfigError> read(const Json& from, T& to, const std::string& path);
 template <class T>
-std::optional<Problem> read(const Json& from, std::optional<T>& to, const std::string& path) {
+std::optional<ConfigError> read(const Json& from, std::optional<T>& to, const std::string& path) {
     return read(from, to.emplace(), path);
 }
 template <class T>
-std::optional<Problem> read(const Json& from, std::vector<T>& to, const std::string& path) {
-    if (!from.is_array()) return Problem{path, "a list is wanted"};
+std::optional<ConfigError> read(const Json& from, std::vector<T>& to, const std::string& path) {
+    if (!from.is_array()) return ConfigError{path, "a list is wanted"};
     to.clear();
     for (std::size_t i = 0; i < from.size(); ++i) {
         if (auto problem = read(from[i], to.emplace_back(), path + "[" + std::to_string(i) + "]"))
@@ -66,9 +66,9 @@
     return std::nullopt;
 }
 template <Described T>
-std::optional<Problem> read(const Json& from, T& to, const std::string& path) {
-    if (!from.is_object()) return Problem{path, "an object is wanted"};
-    std::optional<Problem> problem;
+std::optional<ConfigError> read(const Json& from, T& to, const std::string& path) {
+    if (!from.is_object()) return ConfigError{path, "an object is wanted"};
+    std::optional<ConfigError> problem;
     boost::mp11::mp_for_each<boost::describe::describe_members<T, boost::describe::mod_public>>(
         [&](auto member) {
             if (problem) return;
@@ -79,4 +79,4 @@
     return problem;
 }
 
-}  // namespace martenford::charter
+}  // namespace martenford::mesh_config
--- a/src/mesh_config/explain.cpp
+++ b/src/mesh_config/explain.cpp
@@ -1,11 +1,11 @@
-#include "charter/explain.h"
+#include "mesh_config/explain.h"
 
 #include <algorithm>
 #include <map>
 #include <set>
 #include <sstream>
 
-namespace martenford::charter {
+namespace martenford::mesh_config {
 
 namespace {
 
@@ -129,10 +129,10 @@
     return out.str();
 }
 
-RouteTold explain_route(const Config& config, std::string_view host, std::string_view path) {
-    const Charter charter(0, config);
+RouteExplanation explain_route(const Config& config, std::string_view host, std::string_view path) {
+    const RouteTable routes(0, config);
     std::ostringstream out;
-    const Route* taken = charter.route(host, path);
+    const Route* taken = routes.route(host, path);
     if (!taken) {
         const bool known = std::any_of(config.listeners.begin(), config.listeners.end(),
                                        [&](const Listener& l) { return l.host == host; });
@@ -208,4 +208,4 @@
     return out;
 }
 
-}  // namespace martenford::charter
+}  // namespace martenford::mesh_config
--- a/src/mesh_config/mesh_config.cpp
+++ b/src/mesh_config/mesh_config.cpp
@@ -1,4 +1,4 @@
-#include "charter/charter.h"
+#include "mesh_config/mesh_config.h"
 
 #include <algorithm>
 #include <cctype>
@@ -8,7 +8,7 @@
 #define XXH_INLINE_ALL
 #include <xxhash.h>
 
-namespace martenford::charter {
+namespace martenford::mesh_config {
 
 namespace {
 
@@ -29,37 +29,40 @@
     return std::nullopt;
 }
 
-std::optional<Problem> check_rule(const Rule& rule, const std::string& path,
-                                  const std::set<std::string>& services) {
-    if (rule.name.empty()) return Problem{path + ".name", "a route needs a name"};
-    if (!kind_of(rule.route_kind)) return Problem{path + ".route_kind", "unknown: '" + rule.route_kind + "'"};
+std::optional<ConfigError> check_rule(const Rule& rule, const std::string& path,
+                                      const std::set<std::string>& services) {
+    if (rule.name.empty()) return ConfigError{path + ".name", "a route needs a name"};
+    if (!kind_of(rule.route_kind))
+        return ConfigError{path + ".route_kind", "unknown: '" + rule.route_kind + "'"};
     const std::string& prefix = rule.matcher.path_prefix;
     if (prefix.empty() || prefix.front() != '/')
-        return Problem{path + ".matcher.path_prefix", "it does not begin with a slash"};
-    if (prefix.back() != '/') return Problem{path + ".matcher.path_prefix", "it does not end with a slash"};
+        return ConfigError{path + ".matcher.path_prefix", "it does not begin with a slash"};
+    if (prefix.back() != '/')
+        return ConfigError{path + ".matcher.path_prefix", "it does not end with a slash"};
     const Action& action = rule.route_action;
     const std::string at = path + ".route_action";
-    if (action.timeout_ms <= 0) return Problem{at + ".timeout_ms", "it must be over 0"};
-    if (action.timeout_ms > kLongestTimeoutMs) return Problem{at + ".timeout_ms", "it is over ten minutes"};
+    if (action.timeout_ms <= 0) return ConfigError{at + ".timeout_ms", "it must be over 0"};
+    if (action.timeout_ms > kLongestTimeoutMs)
+        return ConfigError{at + ".timeout_ms", "it is over ten minutes"};
     if (action.max_attempts < 1 || action.max_attempts > kMostAttempts)
-        return Problem{at + ".max_attempts", "it must be from 1 to 1000"};
-    if (rule.target_latency_ms < 0) return Problem{path + ".target_latency_ms", "it must not be under 0"};
+        return ConfigError{at + ".max_attempts", "it must be from 1 to 1000"};
+    if (rule.target_latency_ms < 0) return ConfigError{path + ".target_latency_ms", "it must not be under 0"};
     if (action.service.has_value() == action.weighted_split.has_value())
-        return Problem{at, "one of service and weighted_split is wanted"};
+        return ConfigError{at, "one of service and weighted_split is wanted"};
     if (action.service) {
         if (!services.contains(*action.service))
-            return Problem{at + ".service", "unknown service '" + *action.service + "'"};
+            return ConfigError{at + ".service", "unknown service '" + *action.service + "'"};
         return std::nullopt;
     }
     std::int64_t sum = 0;
     for (const Split& split : *action.weighted_split) {
         if (!services.contains(split.service))
-            return Problem{at + ".weighted_split", "unknown service '" + split.service + "'"};
+            return ConfigError{at + ".weighted_split", "unknown service '" + split.service + "'"};
         if (split.weight < 0 || split.weight > 1'000'000)
-            return Problem{at + ".weighted_split", "a weight must be from 0 to 1000000"};
+            return ConfigError{at + ".weighted_split", "a weight must be from 0 to 1000000"};
         sum += split.weight;
     }
-    if (sum == 0) return Problem{at + ".weighted_split", "the weights are 0 in sum"};
+    if (sum == 0) return ConfigError{at + ".weighted_split", "the weights are 0 in sum"};
     return std::nullopt;
 }
 
@@ -100,47 +103,48 @@
     return read;
 }
 
-std::variant<Config, Problem> read_config(const Json& document) {
+std::variant<Config, ConfigError> read_config(const Json& document) {
     Config config;
     if (auto problem = read(document, config, "")) return *problem;
-    if (!parse_version(config.version)) return Problem{"version", "eight hexadecimal digits are wanted"};
+    if (!parse_version(config.version)) return ConfigError{"version", "eight hexadecimal digits are wanted"};
     if (!document.contains("listeners") || !document.contains("clusters"))
-        return Problem{"", "listeners and clusters are wanted"};
+        return ConfigError{"", "listeners and clusters are wanted"};
     const Limits& limits = config.limits;
     if (limits.max_header_bytes < 1 || limits.max_body_bytes < 0 || limits.header_timeout_ms < 1 ||
         limits.idle_timeout_ms < 1)
-        return Problem{"limits", "a limit is out of range"};
+        return ConfigError{"limits", "a limit is out of range"};
     std::set<std::string> services, names, places, tenants, keys;
     for (const Cluster& cluster : config.clusters) {
-        if (cluster.name.empty()) return Problem{"clusters", "a service needs a name"};
+        if (cluster.name.empty()) return ConfigError{"clusters", "a service needs a name"};
         if (!services.insert(cluster.name).second)
-            return Problem{"clusters", "'" + cluster.name + "' stands twice"};
-        if (cluster.max_connections < 0) return Problem{"clusters", "max_connections must not be under 0"};
+            return ConfigError{"clusters", "'" + cluster.name + "' stands twice"};
+        if (cluster.max_connections < 0)
+            return ConfigError{"clusters", "max_connections must not be under 0"};
     }
     for (std::size_t i = 0; i < config.listeners.size(); ++i) {
         const Listener& listener = config.listeners[i];
         const std::string at = "listeners[" + std::to_string(i) + "]";
-        if (listener.host.empty()) return Problem{at + ".host", "a host is wanted"};
+        if (listener.host.empty()) return ConfigError{at + ".host", "a host is wanted"};
         for (std::size_t k = 0; k < listener.rule_set.size(); ++k) {
             const Rule& rule = listener.rule_set[k];
             const std::string path = at + ".rule_set[" + std::to_string(k) + "]";
             if (auto problem = check_rule(rule, path, services)) return *problem;
             if (!names.insert(rule.name).second)
-                return Problem{path + ".name", "'" + rule.name + "' stands twice"};
+                return ConfigError{path + ".name", "'" + rule.name + "' stands twice"};
             if (!places.insert(lower(listener.host) + " " + rule.matcher.path_prefix).second)
-                return Problem{path + ".matcher.path_prefix", "another route has this host and prefix"};
+                return ConfigError{path + ".matcher.path_prefix", "another route has this host and prefix"};
         }
     }
     for (const Tenant& tenant : config.tenants) {
-        if (tenant.name.empty()) return Problem{"tenants", "a tenant needs a name"};
+        if (tenant.name.empty()) return ConfigError{"tenants", "a tenant needs a name"};
         if (!tenants.insert(tenant.name).second)
-            return Problem{"tenants", "'" + tenant.name + "' stands twice"};
+            return ConfigError{"tenants", "'" + tenant.name + "' stands twice"};
         if (tenant.rate_per_s < 0 || tenant.burst < 0)
-            return Problem{"tenants", "a rate must not be under 0"};
+            return ConfigError{"tenants", "a rate must not be under 0"};
         for (const std::string& key : tenant.api_keys) {
-            if (key.empty()) return Problem{"tenants", "a key is empty"};
+            if (key.empty()) return ConfigError{"tenants", "a key is empty"};
             if (!keys.insert(key).second)
-                return Problem{"tenants", "a key of '" + tenant.name + "' stands twice"};
+                return ConfigError{"tenants", "a key of '" + tenant.name + "' stands twice"};
         }
     }
     return config;
@@ -193,20 +197,20 @@
 
 }  // namespace
 
-std::variant<Json, Problem> modified(const Json& document, const Json& change) {
-    if (!change.is_object()) return Problem{"", "an object is wanted"};
+std::variant<Json, ConfigError> modified(const Json& document, const Json& change) {
+    if (!change.is_object()) return ConfigError{"", "an object is wanted"};
     Json out = document;
     // What is named wrongly shows as a type error of the library: turned into a problem at this edge.
     try {
         const Json upserts = change.value("upserts", Json::object());
         const Json removals = change.value("removals", Json::object());
-        if (!upserts.is_object()) return Problem{"upserts", "an object is wanted"};
-        if (!removals.is_object()) return Problem{"removals", "an object is wanted"};
+        if (!upserts.is_object()) return ConfigError{"upserts", "an object is wanted"};
+        if (!removals.is_object()) return ConfigError{"removals", "an object is wanted"};
         for (const auto& [what, names] : removals.items()) {
             const bool routes = what == "routes" || what == "rules";
             const std::string list = what == "services" ? "clusters" : what;
             if (!routes && list != "clusters" && list != "tenants" && list != "listeners")
-                return Problem{"removals." + what, "unknown"};
+                return ConfigError{"removals." + what, "unknown"};
             for (const Json& name : names) {
                 if (routes) {
                     remove_route(out["listeners"], name.get<std::string>());
@@ -236,11 +240,11 @@
             } else if (what == "limits") {
                 out["limits"].update(items);
             } else {
-                return Problem{"upserts." + what, "unknown"};
+                return ConfigError{"upserts." + what, "unknown"};
             }
         }
     } catch (const nlohmann::json::exception& error) {
-        return Problem{"", std::string("the change can't be read: ") + error.what()};
+        return ConfigError{"", std::string("the change can't be read: ") + error.what()};
     }
     out["version"] = change.value("version", Json());
     if (change.contains("base_version")) out["base_version"] = change["base_version"];
@@ -256,7 +260,7 @@
     return services.back().first;
 }
 
-Charter::Charter(Version version, const Config& config)
+RouteTable::RouteTable(Version version, const Config& config)
     : version_(version), limits_(config.limits), tenants_(config.tenants) {
     for (const Cluster& cluster : config.clusters) clusters_.emplace(cluster.name, cluster);
     for (std::size_t i = 0; i < tenants_.size(); ++i) {
@@ -289,7 +293,7 @@
     }
 }
 
-const Route* Charter::route(std::string_view host, std::string_view path) const {
+const Route* RouteTable::route(std::string_view host, std::string_view path) const {
     if (const auto colon = host.find(':'); colon != host.npos) host = host.substr(0, colon);
     path = path.substr(0, path.find('?'));
     const auto found_host = routes_.find(lower(host));
@@ -305,20 +309,20 @@
     return nullptr;
 }
 
-const Tenant* Charter::holder(std::string_view key) const {
+const Tenant* RouteTable::tenant_by_key(std::string_view key) const {
     const auto found = keys_.find(std::string(key));
     return found == keys_.end() ? nullptr : &tenants_[found->second];
 }
 
-const Tenant* Charter::tenant(std::string_view name) const {
+const Tenant* RouteTable::tenant(std::string_view name) const {
     const auto found =
         std::find_if(tenants_.begin(), tenants_.end(), [&](const Tenant& t) { return t.name == name; });
     return found == tenants_.end() ? nullptr : &*found;
 }
 
-const Cluster* Charter::cluster(std::string_view name) const {
+const Cluster* RouteTable::cluster(std::string_view name) const {
     const auto found = clusters_.find(std::string(name));
     return found == clusters_.end() ? nullptr : &found->second;
 }
 
-}  // namespace martenford::charter
+}  // namespace martenford::mesh_config
--- a/src/mesh_config/mesh_config.h
+++ b/src/mesh_config/mesh_config.h
@@ -12,9 +12,9 @@
 #include <variant>
 #include <vector>
 
-#include "charter/described.h"
+#include "mesh_config/described.h"
 
-namespace martenford::charter {
+namespace martenford::mesh_config {
 
 using Version = std::uint32_t;
 /// "0000000c", as versions are written.
@@ -102,11 +102,11 @@
 /// Reads a whole configuration and checks all that can be said without knowing the one in place: names,
 /// bounds, that routes go to services there are. A configuration of any size is read once; work grows with it
 /// linearly.
-std::variant<Config, Problem> read_config(const Json& document);
+std::variant<Config, ConfigError> read_config(const Json& document);
 
 /// The document with a change by names done to it: `upserts` are added or replace what has their name,
 /// `removals` go. Routes are named whatever their host. The version is the change's.
-std::variant<Json, Problem> modified(const Json& document, const Json& change);
+std::variant<Json, ConfigError> modified(const Json& document, const Json& change);
 
 // ---- as a request meets it -------------------------------------------------------------------------
 
@@ -116,18 +116,18 @@
     std::string name;
     Kind kind = Kind::NonIdempotent;
     bool keyless = false;
-    std::int64_t aim_ms = 0, priority = 0, timeout_ms = 0, max_attempts = 1;
+    std::int64_t latency_target_ms = 0, priority = 0, timeout_ms = 0, max_attempts = 1;
     std::vector<std::pair<std::string, std::uint64_t>> services;  ///< with the sum of weights up to each
     /// The service for a request with this id: the same wherever and whenever it is asked.
     const std::string& service_for(std::string_view id) const;
-    bool repeatable() const { return kind != Kind::NonIdempotent; }
+    bool idempotent() const { return kind != Kind::NonIdempotent; }
 };
 
 /// One version, ready for look-ups.
-class Charter {
+class RouteTable {
   public:
     /// The document has passed read_config().
-    Charter(Version version, const Config& config);
+    RouteTable(Version version, const Config& config);
 
     Version version() const { return version_; }
     const Limits& limits() const { return limits_; }
@@ -135,7 +135,7 @@
     /// may carry a port, the path a query.
     const Route* route(std::string_view host, std::string_view path) const;
     bool has_tenants() const { return !tenants_.empty(); }
-    const Tenant* holder(std::string_view key) const;
+    const Tenant* tenant_by_key(std::string_view key) const;
     const Tenant* tenant(std::string_view name) const;
     const std::vector<Tenant>& tenants() const { return tenants_; }
     const Cluster* cluster(std::string_view name) const;
@@ -158,4 +158,4 @@
 /// 64 bits that are the same everywhere: for splits and placement.
 std::uint64_t digest(std::string_view text, std::uint64_t seed = 0);
 
-}  // namespace martenford::charter
+}  // namespace martenford::mesh_config
--- a/src/stall/dialects.cpp
+++ b/src/stall/dialects.cpp
@@ -75,8 +75,8 @@
 
 // ---- clients --------------------------------------------------------------------------------------
 
-void OutboundFront::serve(std::shared_ptr<const charter::Charter> charter) {
-    charter_ = std::move(charter);
+void OutboundFront::serve(std::shared_ptr<const mesh_config::RouteTable> routes) {
+    charter_ = std::move(routes);
     const auto& told = charter_->limits();
     limits_.head_time = std::chrono::milliseconds(told.header_timeout_ms);
     limits_.idle_time = std::chrono::milliseconds(told.idle_timeout_ms);
@@ -115,9 +115,9 @@
         ++figures_.no_route;
         return TurnAway{http::status::not_found};
     }
-    const charter::Tenant* tenant = nullptr;
+    const mesh_config::Tenant* tenant = nullptr;
     if (charter_->has_tenants() && !route->keyless) {
-        tenant = charter_->holder(view(head[kApiKey]));
+        tenant = charter_->tenant_by_key(view(head[kApiKey]));
         if (!tenant) {
             ++figures_.no_key;
             return TurnAway{http::status::unauthorized};
@@ -144,27 +144,30 @@
     request.id = std::string(view(id));
     request.deadline = arrived + std::chrono::milliseconds(most) -
                        std::min<Duration>(kWayBack, std::chrono::milliseconds(most) / 4);
-    request.write = !route->repeatable();
+    request.write = !route->idempotent();
     quay::Plan plan = plan_for(*route, request.id, tenant);
-    plan.aim_end = arrived + std::chrono::milliseconds(route->aim_ms > 0 ? route->aim_ms : most) - kWayBack;
+    plan.aim_end = arrived +
+                   std::chrono::milliseconds(route->latency_target_ms > 0 ? route->latency_target_ms : most) -
+                   kWayBack;
     quay_.prepare(request.id, std::move(plan));
     return request;
 }
 
-quay::Plan OutboundFront::plan_for(const charter::Route& route, const std::string& id,
-                                   const charter::Tenant* tenant) const {
+quay::Plan OutboundFront::plan_for(const mesh_config::Route& route, const std::string& id,
+                                   const mesh_config::Tenant* tenant) const {
     quay::Plan plan;
     plan.service = route.service_for(id);
     plan.kind = static_cast<std::uint32_t>(
-        charter::digest(route.name, tenant ? static_cast<std::uint64_t>(tenant->priority) : 0) & 0xffffff);
-    plan.repeatable = route.repeatable();
+        mesh_config::digest(route.name, tenant ? static_cast<std::uint64_t>(tenant->priority) : 0) &
+        0xffffff);
+    plan.repeatable = route.idempotent();
     plan.max_attempts = route.max_attempts;
     plan.priority = (tenant ? tenant->priority * 1000 : 0) + std::clamp<std::int64_t>(route.priority, 0, 999);
     plan.version = charter_->version();
     return plan;
 }
 
-void OutboundFront::outdated(const HttpMessage& message, charter::Version newer) {
+void OutboundFront::outdated(const HttpMessage& message, mesh_config::Version newer) {
     Behind behind{newer, std::string(message.field(kAttemptId)), std::string(message.field("Host")),
                   std::string(view(message.head.target())), std::string(message.field(kTenantName))};
     quay_.outdated(behind.id);
@@ -225,7 +228,7 @@
         const auto wait = whole_number(head[kRefused]);
         quay_.hint(from, loop_.now(), std::chrono::milliseconds(wait.value_or(1000)));
         const auto newer = whole_number(head[kVersion]);
-        if (message && newer) outbound_.outdated(*message, static_cast<charter::Version>(*newer));
+        if (message && newer) outbound_.outdated(*message, static_cast<mesh_config::Version>(*newer));
         return Status::Full;
     }
     if (!head[kFailed].empty()) {
@@ -270,7 +273,7 @@
         }
         return word;
     }
-    charter::Version version = 0;
+    mesh_config::Version version = 0;
     std::from_chars(parts[7].data(), parts[7].data() + parts[7].size(), version);
     if (decides_otherwise(head, toll, version)) {
         return TurnAway{http::status::service_unavailable,
@@ -292,14 +295,14 @@
 
 /// Whether a newer configuration than the caller's wants it elsewhere, treated otherwise, or not at all.
 bool HopFront::decides_otherwise(const Fields& head, const tollgate::Toll& toll,
-                                 charter::Version version) const {
-    const auto* charter = in_force_();
-    if (!charter || charter->version() <= version) return false;
-    const auto* route = charter->route(view(head[http::field::host]), view(head.target()));
+                                 mesh_config::Version version) const {
+    const auto* routes = in_force_();
+    if (!routes || routes->version() <= version) return false;
+    const auto* route = routes->route(view(head[http::field::host]), view(head.target()));
     const auto tenant = view(head[kTenantName]);
-    return !route || route->repeatable() != toll.repeatable ||
+    return !route || route->idempotent() != toll.repeatable ||
            route->service_for(toll.attempt_id) != settings_.service ||
-           (!tenant.empty() && !charter->tenant(tenant));
+           (!tenant.empty() && !routes->tenant(tenant));
 }
 
 void HopFront::write(const Answer& answer, const RequestId& id, http::response_header<>& head) {
--- a/src/stall/dialects.h
+++ b/src/stall/dialects.h
@@ -8,9 +8,9 @@
 #include <string>
 
 #include "boot/settings.h"
-#include "charter/charter.h"
 #include "core/loop.h"
 #include "http1/dialect.h"
+#include "mesh_config/mesh_config.h"
 #include "quay/quay.h"
 #include "quota/quota.h"
 #include "tollgate/tollgate.h"
@@ -30,13 +30,13 @@
     OutboundFront(const boot::Settings& settings, quay::Quay& quay, quota::QuotaLimiter& scale,
                   Figures& figures, std::function<std::size_t()> stalls)
         : settings_(settings), quay_(quay), scale_(scale), figures_(figures), stalls_(std::move(stalls)) {}
-    void serve(std::shared_ptr<const charter::Charter> charter);
+    void serve(std::shared_ptr<const mesh_config::RouteTable> routes);
     /// A gate knows a newer version in which the answer to this request differs: it is planned anew, now or
     /// when that version is served.
-    void outdated(const HttpMessage& message, charter::Version newer);
+    void outdated(const HttpMessage& message, mesh_config::Version newer);
     /// Called once requests that waited for a version have been planned by it.
     void on_replanned(std::function<void()> told) { replanned_ = std::move(told); }
-    const charter::Charter* charter() const { return charter_.get(); }
+    const mesh_config::RouteTable* charter() const { return charter_.get(); }
 
     const FrontLimits& limits() const override { return limits_; }
     DrainTimes drain_times() const override;
@@ -46,11 +46,11 @@
   private:
     /// Of a request that waits for a version.
     struct Behind {
-        charter::Version newer = 0;
+        mesh_config::Version newer = 0;
         std::string id, host, target, tenant;
     };
-    quay::Plan plan_for(const charter::Route& route, const std::string& id,
-                        const charter::Tenant* tenant) const;
+    quay::Plan plan_for(const mesh_config::Route& route, const std::string& id,
+                        const mesh_config::Tenant* tenant) const;
     void replan(const Behind& behind);
 
     const boot::Settings& settings_;
@@ -59,7 +59,7 @@
     Figures& figures_;
     std::function<std::size_t()> stalls_;
     FrontLimits limits_;
-    std::shared_ptr<const charter::Charter> charter_;
+    std::shared_ptr<const mesh_config::RouteTable> charter_;
     std::vector<Behind> behind_;
     std::function<void()> replanned_;
 };
@@ -98,7 +98,7 @@
 class HopFront : public FrontDialect {
   public:
     /// The configuration in force here.
-    using InForce = std::function<const charter::Charter*()>;
+    using InForce = std::function<const mesh_config::RouteTable*()>;
     /// `life` of this process: what it has handed on is known in it alone.
     HopFront(const boot::Settings& settings, tollgate::Tollgate& gate, std::uint64_t life, InForce in_force)
         : settings_(settings), gate_(gate), life_(life), in_force_(std::move(in_force)) {
@@ -114,7 +114,8 @@
   private:
     const boot::Settings& settings_;
     tollgate::Tollgate& gate_;
-    bool decides_otherwise(const Fields& head, const tollgate::Toll& toll, charter::Version version) const;
+    bool decides_otherwise(const Fields& head, const tollgate::Toll& toll,
+                           mesh_config::Version version) const;
 
     const std::uint64_t life_;
     const InForce in_force_;
--- a/src/stall/stall.cpp
+++ b/src/stall/stall.cpp
@@ -14,11 +14,11 @@
 #include "bell/bell.h"
 #include "boot/settings.h"
 #include "calls/calls.h"
-#include "charter/charter.h"
 #include "core/engine.h"
 #include "core/tally.h"
 #include "http1/back.h"
 #include "http1/front.h"
+#include "mesh_config/mesh_config.h"
 #include "passage/channel.h"
 #include "quay/berths.h"
 #include "stall/dialects.h"
@@ -209,8 +209,8 @@
         if (const Time now = loop_.now(); now - demanded_ >= kAnnounce / 2) {
             demanded_ = now;
             std::vector<std::string> tenants;
-            if (const auto* charter = outbound_.charter()) {
-                for (const auto& tenant : charter->tenants())
+            if (const auto* routes = outbound_.charter()) {
+                for (const auto& tenant : routes->tenants())
                     if (tenant.rate_per_s > 0) tenants.push_back(tenant.name);
             }
             demands_ = quota_limiter_.demands(now, tenants);
@@ -250,19 +250,19 @@
     }
 
     void serve(std::uint32_t version, const std::string& document) {
-        const auto json = charter::Json::parse(document, nullptr, false);
+        const auto json = mesh_config::Json::parse(document, nullptr, false);
         if (json.is_discarded()) return;
-        const auto config = charter::read_config(json);
-        if (const auto* read = std::get_if<charter::Config>(&config)) {
+        const auto config = mesh_config::read_config(json);
+        if (const auto* read = std::get_if<mesh_config::Config>(&config)) {
             version_ = version;
-            outbound_.serve(std::make_shared<const charter::Charter>(version, *read));
+            outbound_.serve(std::make_shared<const mesh_config::RouteTable>(version, *read));
             if (const auto* cluster = outbound_.charter()->cluster(settings_.service);
                 cluster && !cluster->health_path.empty())
                 endpoint_back_.ask_health_at(cluster->health_path);
             find_endpoint();
             demanded_ = {};  // tenants that are new have no share yet
             announce();
-            ring(Event::CharterServed, "serves by", {{"version", charter::text_of(version)}});
+            ring(Event::CharterServed, "serves by", {{"version", mesh_config::text_of(version)}});
         }
     }
 
@@ -291,15 +291,15 @@
     // ---- the endpoint beside it
 
     calls::Response beat(const calls::Call& call) {
-        const auto json = charter::Json::parse(call.body, nullptr, false);
+        const auto json = mesh_config::Json::parse(call.body, nullptr, false);
         if (json.is_discarded() || !json.is_object()) return {400, R"({"error":"no JSON object"})"};
-        const auto info = json.value("node_info", charter::Json::object());
-        const auto status = json.value("status", charter::Json::object());
+        const auto info = json.value("node_info", mesh_config::Json::object());
+        const auto status = json.value("status", mesh_config::Json::object());
         std::string address, service, state;
         std::int64_t slots = 0, seq = 0, cold = 0;
-        const auto want = [](const charter::Json& from, const char* name, auto& to) {
+        const auto want = [](const mesh_config::Json& from, const char* name, auto& to) {
             const auto it = from.find(name);
-            return it != from.end() && !charter::read(*it, to, name);
+            return it != from.end() && !mesh_config::read(*it, to, name);
         };
         if (!info.is_object() || !status.is_object() || !want(json, "address", address) ||
             !want(info, "service", service) || !want(info, "slots", slots) || !want(status, "state", state) ||
@@ -424,7 +424,7 @@
         if (in_touch != in_touch_) {
             in_touch_ = in_touch;
             ring(in_touch ? Event::BackInTouch : Event::OutOfTouch, in_touch ? "in touch" : "out of touch",
-                 {{"version", charter::text_of(version_)}});
+                 {{"version", mesh_config::text_of(version_)}});
         }
         const auto patience = Duration{
             static_cast<Duration::rep>(kBeatsMissed * static_cast<double>(settings_.beat_interval.count()))};
--- a/tests/mesh/clerk_test.cpp
+++ b/tests/mesh/clerk_test.cpp
@@ -156,7 +156,7 @@
     "refused") {
     Core core;
     const std::size_t leader = core.leader();
-    const auto version = [](std::uint32_t i) { return charter::text_of(i * 3); };
+    const auto version = [](std::uint32_t i) { return mesh_config::text_of(i * 3); };
     constexpr std::uint32_t kChanges = 4200;
     for (std::uint32_t i = 1; i <= kChanges; ++i)
         REQUIRE(core.call(leader, "", "replace", config(version(i), version(i - 1))) == 200);
--- a/tests/mesh/explain_test.cpp
+++ b/tests/mesh/explain_test.cpp
@@ -1,11 +1,11 @@
 // assay's explanations, as a transcript.
-#include "charter/explain.h"
+#include "mesh_config/explain.h"
 
 #include <doctest/doctest.h>
 
 #include "approved.h"
 
-using namespace martenford::charter;
+using namespace martenford::mesh_config;
 
 namespace {
 
--- a/tests/mesh/hollow_test.cpp
+++ b/tests/mesh/hollow_test.cpp
@@ -4,9 +4,9 @@
 
 #include <cmath>
 
-#include "charter/charter.h"
 #include "figures.h"
 #include "hollow_stall.h"
+#include "mesh_config/mesh_config.h"
 
 using namespace martenford;
 using namespace martenford::hollow;
@@ -28,8 +28,8 @@
 
 TEST_CASE("the configurations that are put have the size that was asked for, and differ") {
     const Shape shape{71, 100, 12};
-    const auto read = charter::read_config(charter::Json::parse(configuration(shape, 2, 1)));
-    const auto* config = std::get_if<charter::Config>(&read);
+    const auto read = mesh_config::read_config(mesh_config::Json::parse(configuration(shape, 2, 1)));
+    const auto* config = std::get_if<mesh_config::Config>(&read);
     REQUIRE(config);
     std::size_t routes = 0;
     for (const auto& listener : config->listeners) routes += listener.rule_set.size();
@@ -37,7 +37,8 @@
     CHECK(config->clusters.size() == 71);
     CHECK(config->tenants.size() == 12);
     CHECK(config->listeners[0].rule_set[0].route_action.timeout_ms !=
-          std::get<charter::Config>(charter::read_config(charter::Json::parse(configuration(shape, 3, 2))))
+          std::get<mesh_config::Config>(
+              mesh_config::read_config(mesh_config::Json::parse(configuration(shape, 3, 2))))
               .listeners[0]
               .rule_set[0]
               .route_action.timeout_ms);
--- a/tests/mesh/hop_world.h
+++ b/tests/mesh/hop_world.h
@@ -308,7 +308,7 @@
     }
     Endpoint endpoint;
     boot::Settings own;
-    std::shared_ptr<const charter::Charter> in_force;
+    std::shared_ptr<const mesh_config::RouteTable> in_force;
     Counters counters;
     tollgate::Tollgate toll;
     stall::EndpointBack back;
@@ -348,11 +348,11 @@
         }
     }
     /// A configuration in which what must not run twice goes to service `once_to`.
-    static std::shared_ptr<const charter::Charter> version(charter::Version number,
-                                                           const std::string& once_to = "s") {
-        charter::Config config;
+    static std::shared_ptr<const mesh_config::RouteTable> version(mesh_config::Version number,
+                                                                  const std::string& once_to = "s") {
+        mesh_config::Config config;
         config.clusters = {{"s", "/health", 100}, {"t", "/health", 100}};
-        charter::Rule repeats, once;
+        mesh_config::Rule repeats, once;
         repeats.name = "r";
         repeats.route_kind = "idempotent";
         repeats.matcher.path_prefix = "/r/";
@@ -363,9 +363,9 @@
         once.route_action = {once_to, std::nullopt, 400, 3};
         repeats.target_latency_ms = once.target_latency_ms = 300;
         config.listeners = {{"h", {repeats, once}}};
-        return std::make_shared<const charter::Charter>(number, config);
+        return std::make_shared<const mesh_config::RouteTable>(number, config);
     }
-    void serve(std::shared_ptr<const charter::Charter> charter) { outbound_.serve(std::move(charter)); }
+    void serve(std::shared_ptr<const mesh_config::RouteTable> routes) { outbound_.serve(std::move(routes)); }
     static std::string request_text(const std::string& id, bool repeatable, const std::string& more = "") {
         return "POST " + std::string(repeatable ? "/r/" : "/o/") +
                "x HTTP/1.1\r\nHost: h\r\nAttempt-Id: " + id + "\r\nTime-Remaining: 350\r\n" +
--- a/tests/mesh/orders_test.cpp
+++ b/tests/mesh/orders_test.cpp
@@ -17,7 +17,7 @@
 
 namespace {
 
-using Version = charter::Version;
+using Version = mesh_config::Version;
 
 struct Order {
     Version version = 0, base = 0;
@@ -49,10 +49,11 @@
     Version acknowledged() const { return acknowledged_; }
     /// A configuration was read by a call that was sent when `acknowledged` was the newest.
     void was_read(const std::string& document, Version acknowledged) {
-        const auto json = charter::Json::parse(document);
+        const auto json = mesh_config::Json::parse(document);
         const auto order = json["limits"]["idle_timeout_ms"].get<std::size_t>() - 1;
         const Order& found = orders.at(order);
-        check(found.valid && json["version"] == charter::text_of(found.version), "read: not as sent", order);
+        check(found.valid && json["version"] == mesh_config::text_of(found.version), "read: not as sent",
+              order);
         check(found.version >= acknowledged, "read: older than what was acknowledged", order);
         in_force_.insert(order);
     }
@@ -266,8 +267,8 @@
 
     Order drawn(int who, Version base, Version version, bool valid) {
         const std::string mark = std::to_string(history.orders.size() + 1);
-        const std::string head = R"({"version":")" + charter::text_of(version) + R"(","base_version":")" +
-                                 charter::text_of(base) + R"(",)";
+        const std::string head = R"({"version":")" + mesh_config::text_of(version) + R"(","base_version":")" +
+                                 mesh_config::text_of(base) + R"(",)";
         const std::string limits = R"("limits":{"idle_timeout_ms":)" + mark + R"(,"max_body_bytes":)" +
                                    std::to_string(valid ? who : -1) + "}";
         const bool whole = base == 0 || chance(50);
@@ -328,8 +329,8 @@
             if (status == 200) known(call.who, history.orders[*call.order].version);
         } else if (status == 200) {
             history.was_read(reply.response.body, call.acknowledged);
-            known(call.who, *charter::parse_version(
-                                charter::Json::parse(reply.response.body)["version"].get<std::string>()));
+            known(call.who, *mesh_config::parse_version(
+                                mesh_config::Json::parse(reply.response.body)["version"].get<std::string>()));
         }
         calls_.erase(found);
     }
--- a/tests/mesh/rig/play.cpp
+++ b/tests/mesh/rig/play.cpp
@@ -9,16 +9,16 @@
 #include <random>
 #include <sstream>
 
-#include "charter/described.h"
 #include "mesh/rig/link_cuts.h"
 #include "mesh/rig/processes.h"
 #include "mesh/rig/standins.h"
+#include "mesh_config/described.h"
 
 namespace martenford::rig {
 
 namespace {
 
-using charter::Json;
+using mesh_config::Json;
 
 constexpr std::size_t kStalls = 6;
 constexpr Duration kGrace = 3s, kCatchUp = 2s;
--- a/tests/mesh/store_test.cpp
+++ b/tests/mesh/store_test.cpp
@@ -7,8 +7,8 @@
 #include <fstream>
 
 #include "boot/settings.h"
-#include "charter/charter.h"
 #include "durable_store/durable_store.h"
+#include "mesh_config/mesh_config.h"
 #include "passage/messages.h"
 
 using namespace martenford;
@@ -218,14 +218,14 @@
 }
 
 TEST_CASE("routes: the longest prefix, by host, and splits that stay with an id") {
-    const auto json = charter::Json::parse(
+    const auto json = mesh_config::Json::parse(
         R"({"version":"1","base_version":"0","listeners":[{"host":"H.example","rule_set":[
         {"name":"short","route_kind":"idempotent","matcher":{"path_prefix":"/a/"},"route_action":{"weighted_split":[{"service":"x","weight":90},{"service":"y","weight":10}],"timeout_ms":1}},
         {"name":"long","route_kind":"download","matcher":{"path_prefix":"/a/b/"},"route_action":{"service":"x","timeout_ms":1}}]}],
         "clusters":[{"name":"x"},{"name":"y"}]})");
-    const auto config = charter::read_config(json);
-    REQUIRE(std::holds_alternative<charter::Config>(config));
-    const charter::Charter held(1, std::get<charter::Config>(config));
+    const auto config = mesh_config::read_config(json);
+    REQUIRE(std::holds_alternative<mesh_config::Config>(config));
+    const mesh_config::RouteTable held(1, std::get<mesh_config::Config>(config));
     CHECK(held.route("h.example:80", "/a/c?x=/a/b/")->name == "short");
     CHECK(held.route("h.example", "/a/b/c")->name == "long");
     CHECK(held.route("h.example", "/a") == nullptr);
--- a/tools/hollow/figures.cpp
+++ b/tools/hollow/figures.cpp
@@ -5,7 +5,7 @@
 #include <cstdio>
 #include <limits>
 
-#include "charter/charter.h"
+#include "mesh_config/mesh_config.h"
 
 namespace martenford::hollow {
 
@@ -88,8 +88,8 @@
 }
 
 std::string configuration(const Shape& shape, std::uint32_t version, std::uint32_t base) {
-    using charter::Json;
-    Json out = {{"version", charter::text_of(version)}, {"base_version", charter::text_of(base)}};
+    using mesh_config::Json;
+    Json out = {{"version", mesh_config::text_of(version)}, {"base_version", mesh_config::text_of(base)}};
     out["limits"] = {{"max_header_bytes", 16384},
                      {"max_body_bytes", 67108864},
                      {"header_timeout_ms", 3000},
--- a/tools/hollow/hollow_stall.cpp
+++ b/tools/hollow/hollow_stall.cpp
@@ -93,8 +93,8 @@
     if (const Time now = loop_.now(); now - demanded_ >= kAnnounce / 2) {
         demanded_ = now;
         std::vector<std::string> tenants;
-        if (charter_) {
-            for (const auto& tenant : charter_->tenants())
+        if (routes_) {
+            for (const auto& tenant : routes_->tenants())
                 if (tenant.rate_per_s > 0) tenants.push_back(tenant.name);
         }
         demands_ = quota_limiter_.demands(now, tenants);
@@ -139,13 +139,13 @@
 }
 
 void HollowStall::serve(std::uint32_t version, const std::string& document) {
-    const auto json = charter::Json::parse(document, nullptr, false);
+    const auto json = mesh_config::Json::parse(document, nullptr, false);
     if (json.is_discarded()) return;
-    const auto config = charter::read_config(json);
-    const auto* read = std::get_if<charter::Config>(&config);
+    const auto config = mesh_config::read_config(json);
+    const auto* read = std::get_if<mesh_config::Config>(&config);
     if (!read) return;
     version_ = version;
-    charter_ = std::make_shared<const charter::Charter>(version, *read);
+    routes_ = std::make_shared<const mesh_config::RouteTable>(version, *read);
     gauge_.served_at_ns.store(std::chrono::nanoseconds(loop_.now().time_since_epoch()).count(),
                               std::memory_order_relaxed);
     gauge_.version.store(version, std::memory_order_release);
--- a/tools/hollow/hollow_stall.h
+++ b/tools/hollow/hollow_stall.h
@@ -1,5 +1,5 @@
 // A hollow node: the control side of a stall without its requests. The objects are the stall's own (registry,
-// berths, quotas, charter, the passage's connections); what joins them follows src/stall/stall.cpp, and a run
+// berths, quotas, routes, the passage's connections); what joins them follows src/stall/stall.cpp, and a run
 // of both side by side shows whether it still does (docs/CAPACITY.md).
 #pragma once
 
@@ -11,8 +11,8 @@
 #include <string>
 #include <vector>
 
-#include "charter/charter.h"
 #include "core/loop.h"
+#include "mesh_config/mesh_config.h"
 #include "passage/channel.h"
 #include "quay/berths.h"
 #include "quay/quay.h"
@@ -70,7 +70,7 @@
     quay::Berths berths_;
     quay::Quay quay_;
     quota::QuotaLimiter quota_limiter_;
-    std::shared_ptr<const charter::Charter> charter_;
+    std::shared_ptr<const mesh_config::RouteTable> routes_;
     std::vector<quota::QuotaDemand> demands_;
     std::set<std::string> silent_;
     registry::ProxyRegistration registration_;
