--- a/src/config_service/config_service.cpp
+++ b/src/config_service/config_service.cpp
@@ -1,10 +1,10 @@
-#include "guildhall/clerk.h"
+#include "config_service/config_service.h"
 
 #include <algorithm>
 #include <utility>
 #include <vector>
 
-namespace martenford::guildhall {
+namespace martenford::config_service {
 
 using mesh_config::Json;
 
@@ -29,62 +29,63 @@
 }
 }  // namespace
 
-const passage::Word& Clerk::word() {
-    const raft::LogEntry& committed = moot_.persistent_state().committed_entry;
-    if (committed.position != word_stamp_) {
+const passage::Word& ConfigService::record() {
+    const raft::LogEntry& committed = raft_.persistent_state().committed_entry;
+    if (committed.position != record_position_) {
         // A new term's entry most often has the value that was there.
         auto read = passage::decode_word(committed.value);
-        readable_ = read.has_value();
-        if (read) word_ = std::move(*read);
-        word_stamp_ = committed.position;
+        record_readable_ = read.has_value();
+        if (read) record_ = std::move(*read);
+        record_position_ = committed.position;
     }
-    return word_;
+    return record_;
 }
 
-calls::Response Clerk::elsewhere(Time now, Call call) const {
-    const auto leader = moot_.leader();
-    if (leader && moot_.role() != raft::RaftNode::Role::Leader && moot_.has_quorum_contact(now, 1s) &&
-        control_of) {
+calls::Response ConfigService::redirect_to_leader(Time now, Call call) const {
+    const auto leader = raft_.leader();
+    if (leader && raft_.role() != raft::RaftNode::Role::Leader && raft_.has_quorum_contact(now, 1s) &&
+        control_address_of) {
         return {307, "",
-                control_of(*leader) + (call == Call::Read      ? "/v1/configuration/read"
-                                       : call == Call::Replace ? "/v1/configuration/replace"
-                                                               : "/v1/configuration/modify")};
+                control_address_of(*leader) + (call == Call::Read      ? "/v1/configuration/read"
+                                               : call == Call::Replace ? "/v1/configuration/replace"
+                                                                       : "/v1/configuration/modify")};
     }
     return unclear("no leader is known");
 }
 
-void Clerk::take(Time now, Call call, const std::string& body, calls::Respond respond) {
-    if (moot_.role() != raft::RaftNode::Role::Leader) return respond(elsewhere(now, call));
+void ConfigService::submit(Time now, Call call, const std::string& body, calls::Respond respond) {
+    if (raft_.role() != raft::RaftNode::Role::Leader) return respond(redirect_to_leader(now, call));
     if (body.size() > kMostBody) return respond(refusal(413, "the body is too long"));
-    if (jobs_.size() >= kMostJobs || held_ + body.size() > kMostHeld)
+    if (pending_calls_.size() >= kMostJobs || pending_bytes_ + body.size() > kMostHeld)
         return respond(unclear("too many calls wait"));
-    Job job;
+    PendingCall job;
     job.call = call;
     job.body = body;
     job.digest = mesh_config::digest(body, call == Call::Replace ? 1 : 2);
     job.respond = std::move(respond);
-    job.came = now;
-    held_ += body.size();
-    jobs_.push_back(std::move(job));
-    settle(now);
+    job.received_at = now;
+    pending_bytes_ += body.size();
+    pending_calls_.push_back(std::move(job));
+    process_pending(now);
 }
 
-void Clerk::answer_when_confirmed(Time now, Job& job, calls::Response answer) {
+void ConfigService::answer_when_confirmed(Time now, PendingCall& job, calls::Response answer) {
     job.answer = std::move(answer);
-    job.confirmation = moot_.request_read_index(now);
+    job.read_round = raft_.request_read_index(now);
 }
 
-void Clerk::refuse(Time now, Job& job, unsigned status, const std::string& why, const std::string& logged) {
+void ConfigService::reject(Time now, PendingCall& job, unsigned status, const std::string& why,
+                           const std::string& logged) {
     if (on_decided) on_decided(false, job.version, logged.empty() ? why : logged);
     answer_when_confirmed(now, job, refusal(status, why));
 }
 
 /// Here, on a leader that has all that was committed. What depends on which version is current is answered
 /// only once a majority has said that it still leads.
-void Clerk::decide(Time now, Job& job) {
-    const passage::Word& held = word();
-    job.term = moot_.persistent_state().term;
-    if (!readable_) return answer_when_confirmed(now, job, unclear("what is in place can't be read"));
+void ConfigService::decide(Time now, PendingCall& job) {
+    const passage::Word& held = record();
+    job.term = raft_.persistent_state().term;
+    if (!record_readable_) return answer_when_confirmed(now, job, unclear("what is in place can't be read"));
     if (job.call == Call::Read) {
         if (held.version == 0)
             return answer_when_confirmed(now, job, refusal(404, "no configuration has been taken yet"));
@@ -93,15 +94,15 @@
     // Before it is read at all: a call that was taken stays taken, whatever is thought of it now.
     if (std::any_of(held.history.begin(), held.history.end(),
                     [&](const auto& taken) { return taken.digest == job.digest; })) {
-        job.holds = word_stamp_;
-        job.repeated = true;
+        job.committed_by = record_position_;
+        job.already_applied = true;
         return;
     }
     // What is proposed may be this very call, sent before; and one at a time is decided.
-    if (!is_settled()) return;
-    if (job.next && job.next->first == word_stamp_) return propose(now, job);
+    if (!has_no_uncommitted_entry()) return;
+    if (job.next_record && job.next_record->first == record_position_) return propose(now, job);
     const auto read = mesh_config::parse_object(job.body);
-    if (!read) return refuse(now, job, 400, "the body is no JSON object", "no JSON");
+    if (!read) return reject(now, job, 400, "the body is no JSON object", "no JSON");
     const Json& change = *read;
     const auto text = [&](const char* field) {
         const auto it = change.find(field);
@@ -109,7 +110,7 @@
                                                      : std::nullopt;
     };
     const auto version = text("version");
-    if (!version) return refuse(now, job, 400, "version: eight hexadecimal digits are wanted", "version");
+    if (!version) return reject(now, job, 400, "version: eight hexadecimal digits are wanted", "version");
     job.version = *version;
     if (*version <= held.forgotten)
         return answer_when_confirmed(now, job, unclear("too long ago to tell whether it was taken"));
@@ -119,14 +120,14 @@
         if (named) {
             base = *named;
         } else if (change["base_version"] != 0) {
-            return refuse(now, job, 400, "base_version: eight hexadecimal digits are wanted", "base_version");
+            return reject(now, job, 400, "base_version: eight hexadecimal digits are wanted", "base_version");
         }
     }
     if (base != held.version)
-        return refuse(now, job, 412, "version " + mesh_config::text_of(held.version) + " is in place",
+        return reject(now, job, 412, "version " + mesh_config::text_of(held.version) + " is in place",
                       "another version is in place");
     if (*version <= held.version)
-        return refuse(now, job, 400, "version is not above " + mesh_config::text_of(held.version),
+        return reject(now, job, 400, "version is not above " + mesh_config::text_of(held.version),
                       "its version is not above");
     std::variant<Json, mesh_config::ConfigError> whole = change;
     if (job.call == Call::Modify) {
@@ -135,73 +136,73 @@
         whole = mesh_config::modified(document, change);
     }
     if (const auto* problem = std::get_if<mesh_config::ConfigError>(&whole))
-        return refuse(now, job, 400, problem->text());
+        return reject(now, job, 400, problem->text());
     const Json& document = std::get<Json>(whole);
     const auto config = mesh_config::read_config(document);
     if (const auto* problem = std::get_if<mesh_config::ConfigError>(&config))
-        return refuse(now, job, 400, problem->text());
+        return reject(now, job, 400, problem->text());
     passage::Word next{*version, document.dump(), held.history, held.forgotten};
     if (next.document.size() > passage::kMostDocument)
-        return refuse(now, job, 413, "the configuration is too long");
+        return reject(now, job, 413, "the configuration is too long");
     next.history.push_back({*version, job.digest});
     if (const auto size = next.history.size(); size > kMostHistory) {
         const auto kept = next.history.begin() + static_cast<std::ptrdiff_t>(size - kMostHistory);
         next.forgotten = std::prev(kept)->version;
         next.history.erase(next.history.begin(), kept);
     }
-    job.next = {word_stamp_, passage::encode(next)};
+    job.next_record = {record_position_, passage::encode(next)};
     propose(now, job);
 }
 
-void Clerk::propose(Time now, Job& job) {
-    job.holds = moot_.propose(now, job.next->second);
-    if (!job.holds) return;  // not now: the value is kept, so that nothing is read twice
-    job.next.reset();
-    held_ -= std::exchange(job.body, {}).size();
+void ConfigService::propose(Time now, PendingCall& job) {
+    job.committed_by = raft_.propose(now, job.next_record->second);
+    if (!job.committed_by) return;  // not now: the value is kept, so that nothing is read twice
+    job.next_record.reset();
+    pending_bytes_ -= std::exchange(job.body, {}).size();
 }
 
-std::optional<calls::Response> Clerk::look_at(Time now, Job& job) {
-    if (!job.holds && !job.confirmation) {
-        if (moot_.role() != raft::RaftNode::Role::Leader) return elsewhere(now, job.call);
-        if (moot_.has_leader_lease(now)) decide(now, job);
+std::optional<calls::Response> ConfigService::poll_call(Time now, PendingCall& job) {
+    if (!job.committed_by && !job.read_round) {
+        if (raft_.role() != raft::RaftNode::Role::Leader) return redirect_to_leader(now, job.call);
+        if (raft_.has_leader_lease(now)) decide(now, job);
     }
     // What the register holds now may be on no disk yet, not even here: a core of one commits by itself, and
     // an answer that speaks of it, be it a refusal, would outlive it.
-    const bool is_written = !moot_.has_output();
-    if (job.holds) {
+    const bool is_written = !raft_.has_output();
+    if (job.committed_by) {
         // Committed in the term in which it was proposed, or never by us: then nothing clear can be said.
-        if (!moot_.may_still_commit(*job.holds))
+        if (!raft_.may_still_commit(*job.committed_by))
             return unclear("the lead was lost; it may be in force or not");
-        if (is_written && moot_.is_durable(*job.holds)) {
-            if (on_decided && !job.repeated) on_decided(true, job.version, "");
+        if (is_written && raft_.is_durable(*job.committed_by)) {
+            if (on_decided && !job.already_applied) on_decided(true, job.version, "");
             return calls::Response{200, "{}"};
         }
-        if (now - job.came >= kLongest) return unclear("undecided; it may be in force or not");
+        if (now - job.received_at >= kLongest) return unclear("undecided; it may be in force or not");
         return std::nullopt;
     }
-    if (job.confirmation) {
+    if (job.read_round) {
         // A confirmation of another term says nothing about what was current in this one.
-        if (!moot_.may_still_commit({job.term, 0})) return elsewhere(now, job.call);
-        if (is_written && moot_.is_read_confirmed(*job.confirmation)) return std::move(job.answer);
+        if (!raft_.may_still_commit({job.term, 0})) return redirect_to_leader(now, job.call);
+        if (is_written && raft_.is_read_confirmed(*job.read_round)) return std::move(job.answer);
     }
-    if (now - job.came >= kUndecided) return unclear("undecided; nothing was done");
+    if (now - job.received_at >= kUndecided) return unclear("undecided; nothing was done");
     return std::nullopt;
 }
 
-void Clerk::settle(Time now) {
+void ConfigService::process_pending(Time now) {
     std::vector<std::pair<calls::Respond, calls::Response>> answers;
-    for (auto job = jobs_.begin(); job != jobs_.end();) {
-        auto answer = look_at(now, *job);
+    for (auto job = pending_calls_.begin(); job != pending_calls_.end();) {
+        auto answer = poll_call(now, *job);
         if (!answer) {
             ++job;
             continue;
         }
-        held_ -= job->body.size();
+        pending_bytes_ -= job->body.size();
         answers.emplace_back(std::move(job->respond), std::move(*answer));
-        job = jobs_.erase(job);
+        job = pending_calls_.erase(job);
     }
     // Last, since an answer may bring the next call with it.
     for (auto& [respond, answer] : answers) respond(std::move(answer));
 }
 
-}  // namespace martenford::guildhall
+}  // namespace martenford::config_service
--- a/src/config_service/config_service.h
+++ b/src/config_service/config_service.h
@@ -14,68 +14,69 @@
 #include "passage/messages.h"
 #include "raft/raft_node.h"
 
-namespace martenford::guildhall {
+namespace martenford::config_service {
 
-class Clerk {
+class ConfigService {
   public:
-    explicit Clerk(raft::RaftNode& raft) : moot_(raft) {}
+    explicit ConfigService(raft::RaftNode& raft) : raft_(raft) {}
 
     void replace(Time now, const std::string& body, calls::Respond respond) {
-        take(now, Call::Replace, body, std::move(respond));
+        submit(now, Call::Replace, body, std::move(respond));
     }
     void modify(Time now, const std::string& body, calls::Respond respond) {
-        take(now, Call::Modify, body, std::move(respond));
+        submit(now, Call::Modify, body, std::move(respond));
     }
-    void read(Time now, calls::Respond respond) { take(now, Call::Read, "", std::move(respond)); }
+    void read(Time now, calls::Respond respond) { submit(now, Call::Read, "", std::move(respond)); }
     /// After each turn of the register, once what it gave is on disk and out: looks at every call, in the
     /// order in which they came, and answers what can be answered now.
-    void settle(Time now);
+    void process_pending(Time now);
     /// The newest word that is known to be committed.
-    const passage::Word& word();
+    const passage::Word& record();
     /// What is refused or taken, for the log.
     std::function<void(bool taken, std::uint32_t version, const std::string& why)> on_decided;
     /// The leader's `control` address, for a 307.
-    std::function<std::string(const raft::Member&)> control_of;
+    std::function<std::string(const raft::Member&)> control_address_of;
 
   private:
     enum class Call { Replace, Modify, Read };
     /// One call. Undecided at first; then it waits for one of three things, or is answered.
-    struct Job {
+    struct PendingCall {
         Call call = Call::Read;
         std::string body;
         std::uint64_t digest = 0;  ///< of the call's kind and body
         calls::Respond respond;
-        Time came{};
+        Time received_at{};
         std::uint32_t version = 0;
         raft::Term term = 0;  ///< in which it was decided
         /// A new word, made from the committed one with the first stamp: the register takes it, or not yet.
-        std::optional<std::pair<raft::LogPosition, std::string>> next;
+        std::optional<std::pair<raft::LogPosition, std::string>> next_record;
         /// The entry that holds the call's change: 200 once it is durable.
-        std::optional<raft::LogPosition> holds;
-        bool repeated = false;  ///< it was found there: no change of its own
+        std::optional<raft::LogPosition> committed_by;
+        bool already_applied = false;  ///< it was found there: no change of its own
         /// An answer that depends on what is current: given once a majority has said that this one still
         /// leads.
-        std::optional<std::uint64_t> confirmation;
+        std::optional<std::uint64_t> read_round;
         calls::Response answer;
     };
-    void take(Time now, Call call, const std::string& body, calls::Respond respond);
-    std::optional<calls::Response> look_at(Time now, Job& job);
-    void decide(Time now, Job& job);
-    void propose(Time now, Job& job);
-    void refuse(Time now, Job& job, unsigned status, const std::string& why, const std::string& logged = "");
-    void answer_when_confirmed(Time now, Job& job, calls::Response answer);
-    calls::Response elsewhere(Time now, Call call) const;
-    bool is_settled() const {
-        return moot_.persistent_state().committed_entry.position ==
-               moot_.persistent_state().last_entry.position;
+    void submit(Time now, Call call, const std::string& body, calls::Respond respond);
+    std::optional<calls::Response> poll_call(Time now, PendingCall& job);
+    void decide(Time now, PendingCall& job);
+    void propose(Time now, PendingCall& job);
+    void reject(Time now, PendingCall& job, unsigned status, const std::string& why,
+                const std::string& logged = "");
+    void answer_when_confirmed(Time now, PendingCall& job, calls::Response answer);
+    calls::Response redirect_to_leader(Time now, Call call) const;
+    bool has_no_uncommitted_entry() const {
+        return raft_.persistent_state().committed_entry.position ==
+               raft_.persistent_state().last_entry.position;
     }
 
-    raft::RaftNode& moot_;
-    std::deque<Job> jobs_;
-    std::size_t held_ = 0;  // bytes of bodies in jobs_
-    raft::LogPosition word_stamp_;
-    bool readable_ = true;
-    passage::Word word_;
+    raft::RaftNode& raft_;
+    std::deque<PendingCall> pending_calls_;
+    std::size_t pending_bytes_ = 0;  // bytes of bodies in jobs_
+    raft::LogPosition record_position_;
+    bool record_readable_ = true;
+    passage::Word record_;
 };
 
-}  // namespace martenford::guildhall
+}  // namespace martenford::config_service
--- a/src/guildhall/guildhall.cpp
+++ b/src/guildhall/guildhall.cpp
@@ -14,8 +14,8 @@
 #include "bell/bell.h"
 #include "boot/settings.h"
 #include "calls/calls.h"
+#include "config_service/config_service.h"
 #include "durable_store/durable_store.h"
-#include "guildhall/clerk.h"
 #include "passage/channel.h"
 #include "quota/quota.h"
 #include "registry/registry.h"
@@ -53,7 +53,7 @@
           store_(std::move(store)),
           self_{disk.self_id, own_address(settings), settings.zone, settings.region, settings.loss_counted},
           raft_(self_, std::move(disk), raft_options(settings), drawn()),
-          clerk_(raft_),
+          config_service_(raft_),
           registry_(drawn(), {}),
           quota_allocator_(quota_options(settings)),
           signals_(loop_.io(), SIGTERM, SIGINT),
@@ -64,23 +64,23 @@
           counter_(loop_,
                    {{calls::Name::Replace,
                      [this](auto&& call, auto respond) {
-                         clerk_.replace(loop_.now(), call.body, respond);
+                         config_service_.replace(loop_.now(), call.body, respond);
                          turn();
                      }},
                     {calls::Name::Modify,
                      [this](auto&& call, auto respond) {
-                         clerk_.modify(loop_.now(), call.body, respond);
+                         config_service_.modify(loop_.now(), call.body, respond);
                          turn();
                      }},
                     {calls::Name::Read,
                      [this](auto&&, auto respond) {
-                         clerk_.read(loop_.now(), respond);
+                         config_service_.read(loop_.now(), respond);
                          turn();
                      }}},
                    kMostCallers, counters_),
           listener_(loop_, *parse_address(self_.address),
                     [this](auto channel) { accepted(std::move(channel)); }) {
-        clerk_.on_decided = [](bool taken, std::uint32_t version, const std::string& why) {
+        config_service_.on_decided = [](bool taken, std::uint32_t version, const std::string& why) {
             if (taken) {
                 ring(Event::CharterTaken, "configuration taken",
                      {{"version", mesh_config::text_of(version)}});
@@ -89,7 +89,7 @@
                      {{"version", mesh_config::text_of(version)}, {"why", why}});
             }
         };
-        clerk_.control_of = [this](const raft::Member& leader) {
+        config_service_.control_address_of = [this](const raft::Member& leader) {
             const auto address = parse_address(leader.address);
             const auto port = settings_.control->port();
             return "http://" + address->address().to_string() + ":" + std::to_string(port);
@@ -279,7 +279,7 @@
     }
 
     const std::map<std::string, quota::Quota>& quotas() {
-        const auto& word = clerk_.word();
+        const auto& word = config_service_.record();
         if (word.version != quota_version_) {
             quota_version_ = word.version;
             quotas_.clear();
@@ -296,13 +296,13 @@
     }
 
     bool has_news(const passage::Poll& poll) {
-        const auto version = clerk_.word().version;
+        const auto version = config_service_.record().version;
         return poll.epoch != registry_.epoch() || poll.seq != registry_.seq() || version > poll.version;
     }
     void answer(Caller& caller) {
         const Time now = loop_.now();
         const passage::Poll poll = *std::exchange(caller.poll, std::nullopt);
-        const auto& word = clerk_.word();
+        const auto& word = config_service_.record();
         passage::News out;
         out.rolls = registry_.delta_since(poll.epoch, poll.seq);
         out.version = word.version;
@@ -368,11 +368,11 @@
         do {
             save();
             send();
-            if (const auto version = clerk_.word().version; version != told_version_) {
+            if (const auto version = config_service_.record().version; version != told_version_) {
                 told_version_ = version;
                 tell(loop_.now());
             }
-            clerk_.settle(loop_.now());
+            config_service_.process_pending(loop_.now());
         } while (raft_.has_output() && !unsaved_);
         turning_ = false;
         report();
@@ -435,7 +435,7 @@
     std::unique_ptr<durable_store::DurableStore> store_;
     raft::Member self_;
     raft::RaftNode raft_;
-    Clerk clerk_;
+    config_service::ConfigService config_service_;
     registry::Registry registry_;
     quota::QuotaAllocator quota_allocator_;
     std::map<std::string, quota::Quota> quotas_;
--- a/tests/mesh/config_service_repeated_calls_test.cpp
+++ b/tests/mesh/config_service_repeated_calls_test.cpp
@@ -11,7 +11,7 @@
 #include <random>
 #include <set>
 
-#include "guildhall/clerk.h"
+#include "config_service/config_service.h"
 
 using namespace martenford;
 
@@ -131,7 +131,7 @@
         raft::Member self;
         raft::PersistentState disk;  // what is on it
         std::unique_ptr<raft::RaftNode> raft;
-        std::unique_ptr<guildhall::Clerk> clerk;
+        std::unique_ptr<config_service::ConfigService> config_service;
         std::uint64_t life = 0;
     };
     struct Letter {
@@ -162,12 +162,14 @@
         const auto disk = passage::disk_of(passage::records_of(machine.disk));
         REQUIRE(disk);
         machine.raft = std::make_unique<raft::RaftNode>(machine.self, *disk, raft::RaftOptions{}, random_());
-        machine.clerk = std::make_unique<guildhall::Clerk>(*machine.raft);
-        machine.clerk->control_of = [](const raft::Member& member) { return std::to_string(member.id); };
+        machine.config_service = std::make_unique<config_service::ConfigService>(*machine.raft);
+        machine.config_service->control_address_of = [](const raft::Member& member) {
+            return std::to_string(member.id);
+        };
         ++machine.life;
     }
     void stop(Machine& machine) {
-        machine.clerk.reset();
+        machine.config_service.reset();
         machine.raft.reset();
     }
     /// As guildhall's turn(): to disk, out, then to those who wait. Now and then the power goes in between.
@@ -185,7 +187,7 @@
                 for (unsigned copies = chance(loss_) ? 0 : chance(doubled_) ? 2 : 1; copies > 0; --copies)
                     letters_.push_back({now_ + delay(), from, to, message});
             }
-            machine.clerk->settle(now_);
+            machine.config_service->process_pending(now_);
         } while (machine.raft->has_output());
     }
     Duration delay() { return Duration{chance(late_) ? below(1500) * 1'000'000 : below(20) * 1'000'000}; }
@@ -305,10 +307,11 @@
             if (chance(answers_lost_)) return;
             replies_.push_back({now_ + delay(), id, attempt, std::move(response)});
         };
-        if (!call.order) return machine.clerk->read(now_, respond), turn(machine);
+        if (!call.order) return machine.config_service->read(now_, respond), turn(machine);
         const std::string& body = history.orders[*call.order].body;
         const bool whole = body.find("upserts") == body.npos;
-        whole ? machine.clerk->replace(now_, body, respond) : machine.clerk->modify(now_, body, respond);
+        whole ? machine.config_service->replace(now_, body, respond)
+              : machine.config_service->modify(now_, body, respond);
         turn(machine);
     }
     void seen(const Reply& reply) {
--- a/tests/mesh/config_service_test.cpp
+++ b/tests/mesh/config_service_test.cpp
@@ -1,5 +1,5 @@
 // The operator's calls on a core of three in virtual time, as whole exchanges.
-#include "guildhall/clerk.h"
+#include "config_service/config_service.h"
 
 #include <doctest/doctest.h>
 
@@ -25,8 +25,8 @@
             disk.last_entry.voters = disk.committed_entry.voters = voters;
             auto& machine = machines_[i];
             machine.raft = std::make_unique<raft::RaftNode>(voters[i], disk, raft::RaftOptions{}, i + 11);
-            machine.clerk = std::make_unique<guildhall::Clerk>(*machine.raft);
-            machine.clerk->control_of = [](const raft::Member& m) {
+            machine.config_service = std::make_unique<config_service::ConfigService>(*machine.raft);
+            machine.config_service->control_address_of = [](const raft::Member& m) {
                 return "http://" + m.address.substr(0, m.address.find(':')) + ":8000";
             };
         }
@@ -51,10 +51,10 @@
                   const std::string& body = "") {
         std::optional<calls::Response> answer;
         const auto respond = [&answer](calls::Response&& response) { answer = std::move(response); };
-        guildhall::Clerk& clerk = *machines_[at].clerk;
-        if (what == "replace") clerk.replace(now_, body, respond);
-        if (what == "modify") clerk.modify(now_, body, respond);
-        if (what == "read") clerk.read(now_, respond);
+        config_service::ConfigService& config_service = *machines_[at].config_service;
+        if (what == "replace") config_service.replace(now_, body, respond);
+        if (what == "modify") config_service.modify(now_, body, respond);
+        if (what == "read") config_service.read(now_, respond);
         for (int i = 0; i < 600 && !answer; ++i) run(10ms);
         transcript += who + ": " + what + (body.empty() ? "" : " " + body) + "\n";
         if (!answer) {
@@ -74,7 +74,7 @@
   private:
     struct Machine {
         std::unique_ptr<raft::RaftNode> raft;
-        std::unique_ptr<guildhall::Clerk> clerk;
+        std::unique_ptr<config_service::ConfigService> config_service;
         bool cut = false;
     };
     void deliver() {
@@ -89,7 +89,7 @@
                     more = true;
                 }
             }
-            for (auto& machine : machines_) machine.clerk->settle(now_);
+            for (auto& machine : machines_) machine.config_service->process_pending(now_);
         }
     }
     Time now_{1s};
--- a/tests/mesh/raft_node_test.cpp
+++ b/tests/mesh/raft_node_test.cpp
@@ -161,7 +161,8 @@
                 REQUIRE_MESSAGE(fresh, "two leaders in one term");
             }
             // All that was ever acknowledged is in what the newest leader has. One before it may still count
-            // on its lease: what it says of what is current waits for a majority's word (the clerk's tests).
+            // on its lease: what it says of what is current waits for a majority's word (the config_service's
+            // tests).
             const bool newest = std::none_of(machines_.begin(), machines_.end(), [&](const Machine& m) {
                 return m.raft && m.raft->persistent_state().term > raft->persistent_state().term &&
                        m.raft->has_leader_lease(now_);
--- a/tests/mesh/register_explorer.cpp
+++ b/tests/mesh/register_explorer.cpp
@@ -739,7 +739,7 @@
         }
     }
 
-    // -- the clerk, in short: values are the tokens of all orders
+    // -- the config_service, in short: values are the tokens of all orders
     void settle(std::size_t i) {
         Machine& m = machines_[i];
         RaftNode& raft = *m.raft;
