--- a/benchmarks/register_report.cpp
+++ b/benchmarks/register_report.cpp
@@ -16,7 +16,7 @@
 
 #include "durable_store/durable_store.h"
 #include "mesh_config/mesh_config.h"
-#include "passage/messages.h"
+#include "rpc/messages.h"
 
 using namespace martenford;
 
@@ -108,28 +108,28 @@
 int main(int argc, char** argv) {
     std::string folder = std::string(argc > 1 ? argv[1] : ".") + "/register-report-XXXXXX";
     if (!::mkdtemp(folder.data())) return 1;
-    passage::Word word{1, configuration(1), {}};
+    rpc::ConfigRecord word{1, configuration(1), {}};
     for (std::size_t i = 0; i < kHistory; ++i)
-        word.history.push_back({static_cast<std::uint32_t>(i * 3), mesh_config::digest("x", i)});
+        word.accepted_changes.push_back({static_cast<std::uint32_t>(i * 3), mesh_config::digest("x", i)});
     raft::PersistentState disk;
     disk.self_id = 1;
     for (std::uint64_t i = 1; i <= 5; ++i)
         disk.last_entry.voters.push_back({i, "10.128.0." + std::to_string(i) + ":7000"});
-    disk.last_entry.value = passage::encode(word);
+    disk.last_entry.value = rpc::encode(word);
     disk.committed_entry = disk.last_entry;
     raft::Message message;
-    const auto heartbeat = passage::encode(passage::Message{message}).size();
+    const auto heartbeat = rpc::encode(rpc::Message{message}).size();
     message.entry = disk.last_entry;
     std::printf("document %zu bytes, of the history %zu digests, word %zu bytes\n", word.document.size(),
-                word.history.size(), disk.last_entry.value.size());
+                word.accepted_changes.size(), disk.last_entry.value.size());
     std::printf("on the wire: an entry %zu bytes, a heartbeat without one %zu\n",
-                passage::encode(passage::Message{message}).size(), heartbeat);
+                rpc::encode(rpc::Message{message}).size(), heartbeat);
 
     auto opened = durable_store::DurableStore::open(folder, 96 * 1024 * 1024);
     if (!std::holds_alternative<std::unique_ptr<durable_store::DurableStore>>(opened)) return 1;
     const auto store = std::get<std::unique_ptr<durable_store::DurableStore>>(std::move(opened));
     const auto save = [&] {
-        if (!std::holds_alternative<std::monostate>(store->save(passage::records_of(disk)))) std::abort();
+        if (!std::holds_alternative<std::monostate>(store->save(rpc::records_of(disk)))) std::abort();
     };
     save();
     Cost checked, encoded, decoded, proposed, committed, voted;
@@ -138,8 +138,8 @@
         checked.add([&] { mesh_config::read_config(mesh_config::Json::parse(next)); });
         word.document = next;
         std::string value;
-        encoded.add([&] { value = passage::encode(word); });
-        decoded.add([&] { passage::decode_word(value); });
+        encoded.add([&] { value = rpc::encode(word); });
+        decoded.add([&] { rpc::decode_word(value); });
         disk.last_entry.position.index++;
         disk.last_entry.value = std::move(value);
         proposed.add(save);
--- a/src/config_service/config_service.cpp
+++ b/src/config_service/config_service.cpp
@@ -18,7 +18,7 @@
 constexpr std::size_t kMostJobs = 64;                      // calls that wait
 constexpr std::size_t kMostHeld = 32 * 1024 * 1024;        // bytes of their bodies
 constexpr std::size_t kMostHistory = 4096;                 // two days at 2,200 changes a day; 12 bytes each
-constexpr std::size_t kMostBody = passage::kMostDocument;  // a longer one could not be sent to the others
+constexpr std::size_t kMostBody = rpc::kMaxDocumentBytes;  // a longer one could not be sent to the others
 constexpr Duration kComeBack = 300ms;
 
 calls::Response refusal(unsigned status, const std::string& why) {
@@ -29,11 +29,11 @@
 }
 }  // namespace
 
-const passage::Word& ConfigService::record() {
+const rpc::ConfigRecord& ConfigService::record() {
     const raft::LogEntry& committed = raft_.persistent_state().committed_entry;
     if (committed.position != record_position_) {
         // A new term's entry most often has the value that was there.
-        auto read = passage::decode_word(committed.value);
+        auto read = rpc::decode_word(committed.value);
         record_readable_ = read.has_value();
         if (read) record_ = std::move(*read);
         record_position_ = committed.position;
@@ -83,7 +83,7 @@
 /// Here, on a leader that has all that was committed. What depends on which version is current is answered
 /// only once a majority has said that it still leads.
 void ConfigService::decide(Time now, PendingCall& job) {
-    const passage::Word& held = record();
+    const rpc::ConfigRecord& held = record();
     job.term = raft_.persistent_state().term;
     if (!record_readable_) return answer_when_confirmed(now, job, unclear("what is in place can't be read"));
     if (job.call == Call::Read) {
@@ -92,7 +92,7 @@
         return answer_when_confirmed(now, job, {200, held.document});
     }
     // Before it is read at all: a call that was taken stays taken, whatever is thought of it now.
-    if (std::any_of(held.history.begin(), held.history.end(),
+    if (std::any_of(held.accepted_changes.begin(), held.accepted_changes.end(),
                     [&](const auto& taken) { return taken.digest == job.digest; })) {
         job.committed_by = record_position_;
         job.already_applied = true;
@@ -112,7 +112,7 @@
     const auto version = text("version");
     if (!version) return reject(now, job, 400, "version: eight hexadecimal digits are wanted", "version");
     job.version = *version;
-    if (*version <= held.forgotten)
+    if (*version <= held.forgotten_up_to)
         return answer_when_confirmed(now, job, unclear("too long ago to tell whether it was taken"));
     std::uint32_t base = 0;
     if (change.contains("base_version")) {
@@ -141,16 +141,16 @@
     const auto config = mesh_config::read_config(document);
     if (const auto* problem = std::get_if<mesh_config::ConfigError>(&config))
         return reject(now, job, 400, problem->text());
-    passage::Word next{*version, document.dump(), held.history, held.forgotten};
-    if (next.document.size() > passage::kMostDocument)
+    rpc::ConfigRecord next{*version, document.dump(), held.accepted_changes, held.forgotten_up_to};
+    if (next.document.size() > rpc::kMaxDocumentBytes)
         return reject(now, job, 413, "the configuration is too long");
-    next.history.push_back({*version, job.digest});
-    if (const auto size = next.history.size(); size > kMostHistory) {
-        const auto kept = next.history.begin() + static_cast<std::ptrdiff_t>(size - kMostHistory);
-        next.forgotten = std::prev(kept)->version;
-        next.history.erase(next.history.begin(), kept);
+    next.accepted_changes.push_back({*version, job.digest});
+    if (const auto size = next.accepted_changes.size(); size > kMostHistory) {
+        const auto kept = next.accepted_changes.begin() + static_cast<std::ptrdiff_t>(size - kMostHistory);
+        next.forgotten_up_to = std::prev(kept)->version;
+        next.accepted_changes.erase(next.accepted_changes.begin(), kept);
     }
-    job.next_record = {record_position_, passage::encode(next)};
+    job.next_record = {record_position_, rpc::encode(next)};
     propose(now, job);
 }
 
--- a/src/config_service/config_service.h
+++ b/src/config_service/config_service.h
@@ -11,8 +11,8 @@
 
 #include "calls/calls.h"
 #include "mesh_config/mesh_config.h"
-#include "passage/messages.h"
 #include "raft/raft_node.h"
+#include "rpc/messages.h"
 
 namespace martenford::config_service {
 
@@ -30,8 +30,8 @@
     /// After each turn of the register, once what it gave is on disk and out: looks at every call, in the
     /// order in which they came, and answers what can be answered now.
     void process_pending(Time now);
-    /// The newest word that is known to be committed.
-    const passage::Word& record();
+    /// The newest record that is known to be committed.
+    const rpc::ConfigRecord& record();
     /// What is refused or taken, for the log.
     std::function<void(bool taken, std::uint32_t version, const std::string& why)> on_decided;
     /// The leader's `control` address, for a 307.
@@ -48,7 +48,7 @@
         Time received_at{};
         std::uint32_t version = 0;
         raft::Term term = 0;  ///< in which it was decided
-        /// A new word, made from the committed one with the first stamp: the register takes it, or not yet.
+        /// A new record, made from the committed one with the first stamp: the register takes it, or not yet.
         std::optional<std::pair<raft::LogPosition, std::string>> next_record;
         /// The entry that holds the call's change: 200 once it is durable.
         std::optional<raft::LogPosition> committed_by;
@@ -76,7 +76,7 @@
     std::size_t pending_bytes_ = 0;  // bytes of bodies in jobs_
     raft::LogPosition record_position_;
     bool record_readable_ = true;
-    passage::Word record_;
+    rpc::ConfigRecord record_;
 };
 
 }  // namespace martenford::config_service
--- a/src/guildhall/guildhall.cpp
+++ b/src/guildhall/guildhall.cpp
@@ -16,9 +16,9 @@
 #include "calls/calls.h"
 #include "config_service/config_service.h"
 #include "durable_store/durable_store.h"
-#include "passage/channel.h"
 #include "quota/quota.h"
 #include "registry/registry.h"
+#include "rpc/channel.h"
 
 namespace martenford::guildhall {
 namespace {
@@ -32,7 +32,7 @@
 constexpr Duration kPollWait = 900ms;  // a poll without news is answered after this
 constexpr Duration kGather = 15ms;     // news are gathered for so long before they are told
 constexpr Duration kHello = 500ms;
-constexpr Duration kInTouch = 700ms;  // a leader's word older than this: out of touch
+constexpr Duration kInTouch = 700ms;  // a leader's record older than this: out of touch
 constexpr Duration kForgetPeer = 20s;
 constexpr Duration kSaveAgain = 200ms;  // after a failed write
 constexpr Duration kLongestLeave = 2s;  // for giving place and copy away before the end
@@ -136,13 +136,13 @@
 
   private:
     struct Peer {
-        std::unique_ptr<passage::Dialer> dialer;
+        std::unique_ptr<rpc::ReconnectingClient> client;
         std::optional<raft::Member> member;
         Time heard{};
     };
     struct Caller {  // a connection to us
-        std::shared_ptr<passage::Channel> channel;
-        std::optional<passage::Poll> poll;
+        std::shared_ptr<rpc::Channel> channel;
+        std::optional<rpc::WatchRequest> poll;
         Time polled{};
     };
 
@@ -182,8 +182,8 @@
         if (!to) return;
         Peer& peer = peers_[address];
         peer.heard = loop_.now();
-        peer.dialer = std::make_unique<passage::Dialer>(
-            loop_, *to, [this, address](passage::Message&& message) { heard(address, std::move(message)); },
+        peer.client = std::make_unique<rpc::ReconnectingClient>(
+            loop_, *to, [this, address](rpc::Message&& message) { heard(address, std::move(message)); },
             [this, address] { hello(address); }, [] {});
     }
     void know(const raft::Member& member) {
@@ -193,7 +193,7 @@
     }
     void hello(const std::string& address) {
         if (const auto peer = peers_.find(address); peer != peers_.end())
-            peer->second.dialer->send(passage::Hello{self_, guildhalls()});
+            peer->second.client->send(rpc::Hello{self_, guildhalls()});
     }
     /// Those that were heard of lately, and the voters.
     std::vector<raft::Member> guildhalls() const {
@@ -209,20 +209,20 @@
         return out;
     }
 
-    void accepted(std::shared_ptr<passage::Channel> channel) {
+    void accepted(std::shared_ptr<rpc::Channel> channel) {
         if (callers_.size() >= kMostCallers * 8) return channel->close();
         const auto key = ++last_caller_;
         callers_[key] = Caller{channel, std::nullopt, {}};
-        channel->start([this, key](passage::Message&& message) { called(key, std::move(message)); },
+        channel->start([this, key](rpc::Message&& message) { called(key, std::move(message)); },
                        [this, key] { callers_.erase(key); });
     }
 
     /// On a connection that we dialled.
-    void heard(const std::string& address, passage::Message&& message) {
+    void heard(const std::string& address, rpc::Message&& message) {
         const Time now = loop_.now();
         const auto peer = peers_.find(address);
         if (peer == peers_.end()) return;
-        if (auto* hello = std::get_if<passage::Hello>(&message)) {
+        if (auto* hello = std::get_if<rpc::Hello>(&message)) {
             peer->second.heard = now;
             peer->second.member = hello->member;
             met(*hello);
@@ -232,7 +232,7 @@
             turn();
         }
     }
-    void met(const passage::Hello& hello) {
+    void met(const rpc::Hello& hello) {
         const Time now = loop_.now();
         if (hello.member.address == self_.address && hello.member.id != self_.id) return;
         know(hello.member);
@@ -241,37 +241,38 @@
             peer->second.heard = now;
         }
         raft_.add_known_member(now, hello.member);
-        for (const raft::Member& other : hello.guildhalls) dial(other.address);
+        for (const raft::Member& other : hello.controllers) dial(other.address);
     }
 
     /// On a connection that another dialled.
-    void called(std::uint64_t key, passage::Message&& message) {
+    void called(std::uint64_t key, rpc::Message&& message) {
         const Time now = loop_.now();
         const auto caller = callers_.find(key);
         if (caller == callers_.end()) return;
         const auto channel = caller->second.channel;
-        if (auto* hello = std::get_if<passage::Hello>(&message)) {
+        if (auto* hello = std::get_if<rpc::Hello>(&message)) {
             met(*hello);
-            channel->send(passage::Hello{self_, guildhalls()});
+            channel->send(rpc::Hello{self_, guildhalls()});
         } else if (auto* raft = std::get_if<raft::Message>(&message)) {
             if (raft->to == self_.id) by_id_[raft->from.id] = raft->from.address;
             raft_.receive(now, *raft);
             turn();
-        } else if (auto* announce = std::get_if<passage::Announce>(&message)) {
-            if (registry_.renew_lease(now, announce->place)) news();
-            quota_allocator_.report_demand(now, announce->place.node, announce->taken, announce->demands);
-            passage::Grants grants;
+        } else if (auto* announce = std::get_if<rpc::RegisterRequest>(&message)) {
+            if (registry_.renew_lease(now, announce->registration)) news();
+            quota_allocator_.report_demand(now, announce->registration.node, announce->applied_response,
+                                           announce->demands);
+            rpc::RegisterResponse grants;
             if (raft_.has_leader_lease(now)) {
-                grants.leads = true;
-                grants.grants =
-                    quota_allocator_.allocate(now, *raft_.leader_since(), announce->place.node, quotas(),
-                                              registry_.size(), registry_.size() - registry_.live_count());
+                grants.from_leader = true;
+                grants.quota_leases = quota_allocator_.allocate(
+                    now, *raft_.leader_since(), announce->registration.node, quotas(), registry_.size(),
+                    registry_.size() - registry_.live_count());
             }
-            grants.number = quota_allocator_.response_number();
-            grants.asked = announce->asked;
-            grants.stalls = static_cast<std::uint32_t>(registry_.live_count());
+            grants.response_number = quota_allocator_.response_number();
+            grants.request_sent_at = announce->sent_at;
+            grants.live_proxies = static_cast<std::uint32_t>(registry_.live_count());
             channel->send(grants);
-        } else if (auto* poll = std::get_if<passage::Poll>(&message)) {
+        } else if (auto* poll = std::get_if<rpc::WatchRequest>(&message)) {
             caller->second.poll = *poll;
             caller->second.polled = now;
             if (has_news(*poll)) answer(caller->second);
@@ -279,11 +280,11 @@
     }
 
     const std::map<std::string, quota::Quota>& quotas() {
-        const auto& word = config_service_.record();
-        if (word.version != quota_version_) {
-            quota_version_ = word.version;
+        const auto& record = config_service_.record();
+        if (record.version != quota_version_) {
+            quota_version_ = record.version;
             quotas_.clear();
-            const auto document = mesh_config::Json::parse(word.document, nullptr, false);
+            const auto document = mesh_config::Json::parse(record.document, nullptr, false);
             if (!document.is_discarded()) {
                 const auto config = mesh_config::read_config(document);
                 if (const auto* read = std::get_if<mesh_config::Config>(&config)) {
@@ -295,20 +296,21 @@
         return quotas_;
     }
 
-    bool has_news(const passage::Poll& poll) {
+    bool has_news(const rpc::WatchRequest& poll) {
         const auto version = config_service_.record().version;
-        return poll.epoch != registry_.epoch() || poll.seq != registry_.seq() || version > poll.version;
+        return poll.epoch != registry_.epoch() || poll.seq != registry_.seq() ||
+               version > poll.config_version;
     }
     void answer(Caller& caller) {
         const Time now = loop_.now();
-        const passage::Poll poll = *std::exchange(caller.poll, std::nullopt);
-        const auto& word = config_service_.record();
-        passage::News out;
-        out.rolls = registry_.delta_since(poll.epoch, poll.seq);
-        out.version = word.version;
-        if (poll.wants_config && word.version > poll.version) out.config = word.document;
-        out.in_touch = raft_.has_quorum_contact(now, kInTouch);
-        out.guildhalls = guildhalls();
+        const rpc::WatchRequest poll = *std::exchange(caller.poll, std::nullopt);
+        const auto& record = config_service_.record();
+        rpc::WatchResponse out;
+        out.registry = registry_.delta_since(poll.epoch, poll.seq);
+        out.config_version = record.version;
+        if (poll.wants_config && record.version > poll.config_version) out.config = record.document;
+        out.has_quorum_contact = raft_.has_quorum_contact(now, kInTouch);
+        out.controllers = guildhalls();
         caller.channel->send(out);
     }
     /// Tells those who wait, a moment later: what comes together is told together.
@@ -381,7 +383,7 @@
         unsaved_ |= raft_.take_persist_request();
         if (!unsaved_) return;
         if (const Time now = loop_.now(); now >= save_again_) {
-            const auto saved = store_->save(passage::records_of(raft_.persistent_state()));
+            const auto saved = store_->save(rpc::records_of(raft_.persistent_state()));
             if (const auto* trouble = std::get_if<durable_store::StorageError>(&saved)) {
                 ring(Event::DiskTrouble, "not written", {{"what", trouble->message}});
                 save_again_ = loop_.now() + kSaveAgain;
@@ -401,7 +403,7 @@
             }
             if (to.empty()) continue;
             dial(to);
-            if (const auto peer = peers_.find(to); peer != peers_.end()) peer->second.dialer->send(message);
+            if (const auto peer = peers_.find(to); peer != peers_.end()) peer->second.client->send(message);
         }
     }
     void report() {
@@ -450,7 +452,7 @@
     asio::signal_set signals_, hangups_;
     Timer ticker_, gather_, ending_;
     calls::Counter counter_;
-    passage::Listener listener_;
+    rpc::Listener listener_;
 };
 
 /// What this machine's disk holds; a machine whose disk is empty or damaged is a new member.
@@ -459,7 +461,7 @@
     const durable_store::LoadResult found = store.load();
     if (found.damaged) ring(Event::DiskDamaged, "a record is damaged");
     if (!found.damaged && !found.records.empty()) {
-        if (auto disk = passage::disk_of(found.records); disk && disk->self_id != 0) return *disk;
+        if (auto disk = rpc::disk_of(found.records); disk && disk->self_id != 0) return *disk;
         ring(Event::DiskDamaged, "the records don't belong together");
     }
     raft::PersistentState disk;
@@ -479,7 +481,7 @@
     } else {
         ring(Event::FreshMember, "a new member without a vote");
     }
-    const auto saved = store.save(passage::records_of(disk));
+    const auto saved = store.save(rpc::records_of(disk));
     if (const auto* trouble = std::get_if<durable_store::StorageError>(&saved)) return *trouble;
     return disk;
 }
--- a/src/rpc/channel.cpp
+++ b/src/rpc/channel.cpp
@@ -1,4 +1,4 @@
-#include "passage/channel.h"
+#include "rpc/channel.h"
 
 #include <netinet/tcp.h>
 
@@ -8,7 +8,7 @@
 #include <boost/asio/write.hpp>
 #include <utility>
 
-namespace martenford::passage {
+namespace martenford::rpc {
 
 using boost::system::error_code;
 
@@ -24,7 +24,7 @@
 }  // namespace
 
 Channel::Channel(Loop& loop, asio::ip::tcp::socket socket)
-    : loop_(loop), socket_(std::move(socket)), heard_at_(loop.now()) {
+    : loop_(loop), socket_(std::move(socket)), last_received_at_(loop.now()) {
     error_code ignored;
     peer_ = socket_.remote_endpoint(ignored);
     socket_.set_option(asio::ip::tcp::no_delay(true), ignored);
@@ -34,27 +34,27 @@
                        ignored);
 }
 
-void Channel::start(Heard heard, Closed closed) {
-    heard_ = std::move(heard);
-    closed_ = std::move(closed);
+void Channel::start(OnMessage heard, OnClosed closed) {
+    on_message_ = std::move(heard);
+    on_closed_ = std::move(closed);
     buffer_.resize(kReadSize);
     read();
 }
 
 std::shared_ptr<const std::string> Channel::frame(const Message& message) {
-    return std::make_shared<const std::string>(framing::frame_of(encode(message), kMostMessage));
+    return std::make_shared<const std::string>(framing::frame_of(encode(message), kMaxMessageBytes));
 }
 
 void Channel::send_frame(std::shared_ptr<const std::string> frame) {
-    if (!open_) return;
-    queued_ += frame->size();
+    if (!is_open_) return;
+    queued_bytes_ += frame->size();
     queue_.push_back(std::move(frame));
-    if (queued_ > kMostQueued) return fail();
+    if (queued_bytes_ > kMostQueued) return fail();
     if (!writing_) write();
 }
 
 void Channel::write() {
-    if (queue_.empty() || !open_) return;
+    if (queue_.empty() || !is_open_) return;
     writing_ = true;
     std::vector<asio::const_buffer> buffers;
     for (std::size_t i = 0; i < queue_.size() && i < kMostFrames; ++i)
@@ -63,10 +63,10 @@
     asio::async_write(socket_, buffers,
                       [self = shared_from_this(), count](const error_code& error, std::size_t) {
                           self->writing_ = false;
-                          if (!self->open_) return;
+                          if (!self->is_open_) return;
                           if (error) return self->fail();
                           for (std::size_t i = 0; i < count; ++i) {
-                              self->queued_ -= self->queue_.front()->size();
+                              self->queued_bytes_ -= self->queue_.front()->size();
                               self->queue_.pop_front();
                           }
                           self->write();
@@ -76,16 +76,16 @@
 void Channel::read() {
     socket_.async_read_some(asio::buffer(buffer_),
                             [self = shared_from_this()](const error_code& error, std::size_t size) {
-                                if (!self->open_) return;
+                                if (!self->is_open_) return;
                                 if (error) return self->fail();
-                                self->heard_at_ = self->loop_.now();
+                                self->last_received_at_ = self->loop_.now();
                                 try {
                                     self->reader_.feed(std::string_view(self->buffer_).substr(0, size));
                                     while (const auto bytes = self->reader_.next()) {
                                         auto message = decode(*bytes);
                                         if (!message) return self->fail();
-                                        self->heard_(std::move(*message));
-                                        if (!self->open_) return;
+                                        self->on_message_(std::move(*message));
+                                        if (!self->is_open_) return;
                                     }
                                 } catch (const framing::FrameError&) {
                                     return self->fail();
@@ -96,44 +96,44 @@
 
 void Channel::fail() {
     const auto self = shared_from_this();
-    const auto closed = std::exchange(closed_, nullptr);
+    const auto closed = std::exchange(on_closed_, nullptr);
     close();
     if (closed) closed();
 }
 
 void Channel::close() {
-    if (!std::exchange(open_, false)) return;
+    if (!std::exchange(is_open_, false)) return;
     error_code ignored;
     socket_.close(ignored);
-    closed_ = nullptr;
+    on_closed_ = nullptr;
     // What is heard may be running now; the last handler lets it go.
-    loop_.add(loop_.now(), [self = shared_from_this()] { self->heard_ = nullptr; });
+    loop_.add(loop_.now(), [self = shared_from_this()] { self->on_message_ = nullptr; });
 }
 
-Dialer::Dialer(Loop& loop, const Address& to, Channel::Heard heard, std::function<void()> up,
-               std::function<void()> down)
+ReconnectingClient::ReconnectingClient(Loop& loop, const Address& to, Channel::OnMessage heard,
+                                       std::function<void()> up, std::function<void()> down)
     : loop_(loop),
-      to_(to),
-      heard_(std::move(heard)),
-      up_(std::move(up)),
-      down_(std::move(down)),
-      limit_(loop),
+      address_(to),
+      on_message_(std::move(heard)),
+      on_connected_(std::move(up)),
+      on_disconnected_(std::move(down)),
+      attempt_timer_(loop),
       pause_(kPauseLeast) {
     dial();
 }
 
-Dialer::~Dialer() {
+ReconnectingClient::~ReconnectingClient() {
     end_attempts();
     if (channel_) channel_->close();
 }
 
-void Dialer::end_attempts() {
+void ReconnectingClient::end_attempts() {
     error_code ignored;
     for (const Socket& attempt : attempts_) attempt->close(ignored);
     attempts_.clear();
 }
 
-void Dialer::dial() {
+void ReconnectingClient::dial() {
     if (attempts_.size() >= kMostAttempts) {
         error_code ignored;
         attempts_.front()->close(ignored);
@@ -141,45 +141,45 @@
     }
     const auto socket = std::make_shared<asio::ip::tcp::socket>(loop_.io());
     attempts_.push_back(socket);
-    limit_.set(loop_.now() + kDialTime, [this] { again(); });
-    socket->async_connect(to_, [this, socket](const error_code& error) {
+    attempt_timer_.set(loop_.now() + kDialTime, [this] { schedule_dial(); });
+    socket->async_connect(address_, [this, socket](const error_code& error) {
         if (error == asio::error::operation_aborted) return;  // this one may be gone
         const auto own = std::find(attempts_.begin(), attempts_.end(), socket);
         if (own == attempts_.end()) return;
         if (error) {
             const bool last = socket == attempts_.back();
             attempts_.erase(own);
-            if (last) again();  // an older one that ends changes nothing
+            if (last) schedule_dial();  // an older one that ends changes nothing
             return;
         }
-        limit_.cancel();
+        attempt_timer_.cancel();
         pause_ = kPauseLeast;
         attempts_.erase(own);
         channel_ = std::make_shared<Channel>(loop_, std::move(*socket));
         end_attempts();
-        channel_->start(heard_, [this] {
-            if (down_) down_();
-            again();
+        channel_->start(on_message_, [this] {
+            if (on_disconnected_) on_disconnected_();
+            schedule_dial();
         });
-        if (up_) up_();
+        if (on_connected_) on_connected_();
     });
 }
 
-void Dialer::renew() {
+void ReconnectingClient::reconnect() {
     if (!channel_) return;
     channel_->close();
-    if (down_) down_();
-    again();
+    if (on_disconnected_) on_disconnected_();
+    schedule_dial();
 }
 
-void Dialer::again() {
+void ReconnectingClient::schedule_dial() {
     channel_.reset();
-    limit_.set(loop_.now() + pause_, [this] { dial(); });
+    attempt_timer_.set(loop_.now() + pause_, [this] { dial(); });
     pause_ = std::min(kPauseMost, pause_ * 2);
 }
 
 Listener::Listener(Loop& loop, const Address& at, std::function<void(std::shared_ptr<Channel>)> accepted)
-    : loop_(loop), accepted_(std::move(accepted)), acceptor_(loop.io()), again_(loop) {
+    : loop_(loop), on_accepted_(std::move(accepted)), acceptor_(loop.io()), retry_timer_(loop) {
     acceptor_.open(at.protocol());
     acceptor_.set_option(asio::socket_base::reuse_address(true));
     acceptor_.bind(at);
@@ -190,10 +190,10 @@
 void Listener::accept() {
     acceptor_.async_accept([this](const error_code& error, asio::ip::tcp::socket socket) {
         if (error == asio::error::operation_aborted) return;
-        if (error) return again_.set(loop_.now() + kAcceptAgain, [this] { accept(); });
-        accepted_(std::make_shared<Channel>(loop_, std::move(socket)));
+        if (error) return retry_timer_.set(loop_.now() + kAcceptAgain, [this] { accept(); });
+        on_accepted_(std::make_shared<Channel>(loop_, std::move(socket)));
         accept();
     });
 }
 
-}  // namespace martenford::passage
+}  // namespace martenford::rpc
--- a/src/rpc/channel.h
+++ b/src/rpc/channel.h
@@ -11,27 +11,27 @@
 #include "core/address.h"
 #include "core/loop.h"
 #include "framing/frame.h"
-#include "passage/messages.h"
+#include "rpc/messages.h"
 
-namespace martenford::passage {
+namespace martenford::rpc {
 
 /// One connection. Closes itself where the peer doesn't speak as agreed, doesn't read (kMostQueued bytes
 /// wait) or doesn't acknowledge for a second (TCP_USER_TIMEOUT).
 class Channel : public std::enable_shared_from_this<Channel> {
   public:
-    using Heard = std::function<void(Message&&)>;
-    using Closed = std::function<void()>;
+    using OnMessage = std::function<void(Message&&)>;
+    using OnClosed = std::function<void()>;
 
     Channel(Loop& loop, asio::ip::tcp::socket socket);
-    void start(Heard heard, Closed closed);
+    void start(OnMessage heard, OnClosed closed);
     void send(const Message& message) { send_frame(frame(message)); }
     /// The bytes of a message, for one that goes to many.
     static std::shared_ptr<const std::string> frame(const Message& message);
     void send_frame(std::shared_ptr<const std::string> frame);
     /// Calls nothing any more.
     void close();
-    bool open() const { return open_; }
-    Time heard_at() const { return heard_at_; }
+    bool is_open() const { return is_open_; }
+    Time last_received_at() const { return last_received_at_; }
     Address peer() const { return peer_; }
 
   private:
@@ -42,47 +42,47 @@
     Loop& loop_;
     asio::ip::tcp::socket socket_;
     Address peer_;
-    framing::FrameReader reader_{kMostMessage};
+    framing::FrameReader reader_{kMaxMessageBytes};
     std::string buffer_;
     std::deque<std::shared_ptr<const std::string>> queue_;
-    std::size_t queued_ = 0;
-    bool open_ = true, writing_ = false;
-    Time heard_at_{};
-    Heard heard_;
-    Closed closed_;
+    std::size_t queued_bytes_ = 0;
+    bool is_open_ = true, writing_ = false;
+    Time last_received_at_{};
+    OnMessage on_message_;
+    OnClosed on_closed_;
 };
 
 /// Keeps a connection to one address: dials again, with a pause, whenever it ends. An attempt that takes long
 /// goes on beside the next ones: behind a link whose queue is longer than the time for one, none would ever
 /// come up; and one whose opening packet was lost is not waited for.
-class Dialer {
+class ReconnectingClient {
   public:
-    Dialer(Loop& loop, const Address& to, Channel::Heard heard, std::function<void()> up,
-           std::function<void()> down);
-    ~Dialer();
-    const Address& address() const { return to_; }
-    bool up() const { return channel_ && channel_->open(); }
+    ReconnectingClient(Loop& loop, const Address& to, Channel::OnMessage heard, std::function<void()> up,
+                       std::function<void()> down);
+    ~ReconnectingClient();
+    const Address& address() const { return address_; }
+    bool is_connected() const { return channel_ && channel_->is_open(); }
     /// Dropped where there is no connection.
     void send(const Message& message) {
-        if (up()) channel_->send(message);
+        if (is_connected()) channel_->send(message);
     }
     /// Ends the connection, and dials anew after the pause.
-    void renew();
-    Time heard_at() const { return channel_ ? channel_->heard_at() : Time{}; }
+    void reconnect();
+    Time last_received_at() const { return channel_ ? channel_->last_received_at() : Time{}; }
 
   private:
     using Socket = std::shared_ptr<asio::ip::tcp::socket>;
     void dial();
-    void again();
+    void schedule_dial();
     void end_attempts();
 
     Loop& loop_;
-    const Address to_;
-    Channel::Heard heard_;
-    std::function<void()> up_, down_;
+    const Address address_;
+    Channel::OnMessage on_message_;
+    std::function<void()> on_connected_, on_disconnected_;
     std::deque<Socket> attempts_;  // the oldest first
     std::shared_ptr<Channel> channel_;
-    Timer limit_;
+    Timer attempt_timer_;
     Duration pause_;
 };
 
@@ -95,9 +95,9 @@
   private:
     void accept();
     Loop& loop_;
-    std::function<void(std::shared_ptr<Channel>)> accepted_;
+    std::function<void(std::shared_ptr<Channel>)> on_accepted_;
     asio::ip::tcp::acceptor acceptor_;
-    Timer again_;
+    Timer retry_timer_;
 };
 
-}  // namespace martenford::passage
+}  // namespace martenford::rpc
--- a/src/rpc/messages.cpp
+++ b/src/rpc/messages.cpp
@@ -1,4 +1,4 @@
-#include "passage/messages.h"
+#include "rpc/messages.h"
 
 #include <capnp/message.h>
 #include <capnp/serialize.h>
@@ -12,9 +12,9 @@
 #define XXH_INLINE_ALL
 #include <xxhash.h>
 
-#include "passage/wire.capnp.h"
+#include "rpc/wire.capnp.h"
 
-namespace martenford::passage {
+namespace martenford::rpc {
 
 namespace {
 
@@ -127,7 +127,7 @@
     void operator()(const Hello& from) {
         auto out = to.initHello();
         put(out.initMember(), from.member);
-        put_all(out.initGuildhalls(static_cast<unsigned>(from.guildhalls.size())), from.guildhalls);
+        put_all(out.initGuildhalls(static_cast<unsigned>(from.controllers.size())), from.controllers);
     }
     void operator()(const raft::Message& from) {
         auto out = to.initMoot();
@@ -147,43 +147,43 @@
         out.setAsk(from.contact_sequence);
         if (from.entry) put(out.initEntry(), *from.entry);
     }
-    void operator()(const Announce& from) {
+    void operator()(const RegisterRequest& from) {
         auto out = to.initAnnounce();
-        put(out.initPlace(), from.place);
+        put(out.initPlace(), from.registration);
         put_all(out.initDemands(static_cast<unsigned>(from.demands.size())), from.demands);
-        out.setTaken(from.taken);
-        out.setVersion(from.version);
-        out.setAsked(from.asked);
+        out.setTaken(from.applied_response);
+        out.setVersion(from.config_version);
+        out.setAsked(from.sent_at);
     }
-    void operator()(const Grants& from) {
+    void operator()(const RegisterResponse& from) {
         auto out = to.initGrants();
-        out.setNumber(from.number);
-        put_all(out.initGrants(static_cast<unsigned>(from.grants.size())), from.grants);
-        out.setLeads(from.leads);
-        out.setStalls(from.stalls);
-        out.setAsked(from.asked);
+        out.setNumber(from.response_number);
+        put_all(out.initGrants(static_cast<unsigned>(from.quota_leases.size())), from.quota_leases);
+        out.setLeads(from.from_leader);
+        out.setStalls(from.live_proxies);
+        out.setAsked(from.request_sent_at);
     }
-    void operator()(const Poll& from) {
+    void operator()(const WatchRequest& from) {
         auto out = to.initPoll();
         out.setEpoch(from.epoch);
         out.setSeq(from.seq);
-        out.setVersion(from.version);
+        out.setVersion(from.config_version);
         out.setWantsConfig(from.wants_config);
     }
-    void operator()(const News& from) {
+    void operator()(const WatchResponse& from) {
         auto out = to.initNews();
-        out.setEpoch(from.rolls.epoch);
-        out.setSeq(from.rolls.seq);
-        out.setWhole(from.rolls.is_snapshot);
-        put_all(out.initPlaces(static_cast<unsigned>(from.rolls.registrations.size())),
-                from.rolls.registrations);
-        auto gone = out.initGone(static_cast<unsigned>(from.rolls.removed_nodes.size()));
-        for (unsigned i = 0; i < from.rolls.removed_nodes.size(); ++i)
-            gone.set(i, from.rolls.removed_nodes[i]);
-        out.setVersion(from.version);
+        out.setEpoch(from.registry.epoch);
+        out.setSeq(from.registry.seq);
+        out.setWhole(from.registry.is_snapshot);
+        put_all(out.initPlaces(static_cast<unsigned>(from.registry.registrations.size())),
+                from.registry.registrations);
+        auto gone = out.initGone(static_cast<unsigned>(from.registry.removed_nodes.size()));
+        for (unsigned i = 0; i < from.registry.removed_nodes.size(); ++i)
+            gone.set(i, from.registry.removed_nodes[i]);
+        out.setVersion(from.config_version);
         out.setConfig(data(from.config));
-        out.setInTouch(from.in_touch);
-        put_all(out.initGuildhalls(static_cast<unsigned>(from.guildhalls.size())), from.guildhalls);
+        out.setInTouch(from.has_quorum_contact);
+        put_all(out.initGuildhalls(static_cast<unsigned>(from.controllers.size())), from.controllers);
     }
 };
 
@@ -203,7 +203,7 @@
     std::memcpy(words.begin(), from.data(), from.size());
     try {
         capnp::ReaderOptions options;
-        options.traversalLimitInWords = kMostMessage;
+        options.traversalLimitInWords = kMaxMessageBytes;
         capnp::FlatArrayMessageReader message(words, options);
         return read(message.getRoot<Root>());
     } catch (const kj::Exception&) {
@@ -248,27 +248,28 @@
             }
             case wire::Envelope::ANNOUNCE: {
                 const auto from = in.getAnnounce();
-                return Announce{get(from.getPlace()), get_all(from.getDemands()), from.getTaken(),
-                                from.getVersion(), from.getAsked()};
+                return RegisterRequest{get(from.getPlace()), get_all(from.getDemands()), from.getTaken(),
+                                       from.getVersion(), from.getAsked()};
             }
             case wire::Envelope::GRANTS: {
                 const auto from = in.getGrants();
-                return Grants{from.getNumber(), get_all(from.getGrants()), from.getLeads(), from.getStalls(),
-                              from.getAsked()};
+                return RegisterResponse{from.getNumber(), get_all(from.getGrants()), from.getLeads(),
+                                        from.getStalls(), from.getAsked()};
             }
             case wire::Envelope::POLL: {
                 const auto from = in.getPoll();
-                return Poll{from.getEpoch(), from.getSeq(), from.getVersion(), from.getWantsConfig()};
+                return WatchRequest{from.getEpoch(), from.getSeq(), from.getVersion(), from.getWantsConfig()};
             }
             case wire::Envelope::NEWS: {
                 const auto from = in.getNews();
-                News out;
-                out.rolls = {from.getEpoch(), from.getSeq(), from.getWhole(), get_all(from.getPlaces()), {}};
-                for (const auto node : from.getGone()) out.rolls.removed_nodes.push_back(text(node));
-                out.version = from.getVersion();
+                WatchResponse out;
+                out.registry = {
+                    from.getEpoch(), from.getSeq(), from.getWhole(), get_all(from.getPlaces()), {}};
+                for (const auto node : from.getGone()) out.registry.removed_nodes.push_back(text(node));
+                out.config_version = from.getVersion();
                 out.config = bytes(from.getConfig());
-                out.in_touch = from.getInTouch();
-                out.guildhalls = get_all(from.getGuildhalls());
+                out.has_quorum_contact = from.getInTouch();
+                out.controllers = get_all(from.getGuildhalls());
                 return out;
             }
         }
@@ -291,7 +292,7 @@
 }
 std::optional<std::string> unpacked(capnp::Data::Reader from) {
     const auto size = ZSTD_getFrameContentSize(from.begin(), from.size());
-    if (size > kMostDocument) return std::nullopt;  // and the library's two error codes, which are larger
+    if (size > kMaxDocumentBytes) return std::nullopt;  // and the library's two error codes, which are larger
     std::string to(size, '\0');
     if (ZSTD_decompress(to.data(), to.size(), from.begin(), from.size()) != size) return std::nullopt;
     return to;
@@ -299,43 +300,45 @@
 
 }  // namespace
 
-std::string encode(const Word& word) {
+std::string encode(const ConfigRecord& record) {
     capnp::MallocMessageBuilder builder;
     auto out = builder.initRoot<wire::Word>();
-    out.setVersion(word.version);
-    out.setPacked(data(packed(word.document)));
-    out.setForgotten(word.forgotten);
-    const auto size = static_cast<unsigned>(word.history.size());
+    out.setVersion(record.version);
+    out.setPacked(data(packed(record.document)));
+    out.setForgotten(record.forgotten_up_to);
+    const auto size = static_cast<unsigned>(record.accepted_changes.size());
     auto versions = out.initVersions(size);
     auto digests = out.initDigests(size);
     for (unsigned i = 0; i < size; ++i) {
-        versions.set(i, word.history[i].version);
-        digests.set(i, word.history[i].digest);
+        versions.set(i, record.accepted_changes[i].version);
+        digests.set(i, record.accepted_changes[i].digest);
     }
     return flat(builder);
 }
 
-std::optional<Word> decode_word(std::string_view from) {
-    if (from.empty()) return Word{};
-    auto word = parsed<wire::Word>(from, [](wire::Word::Reader in) -> std::optional<Word> {
-        Word word{in.getVersion(), "", {}, in.getForgotten()};
+std::optional<ConfigRecord> decode_word(std::string_view from) {
+    if (from.empty()) return ConfigRecord{};
+    auto record = parsed<wire::Word>(from, [](wire::Word::Reader in) -> std::optional<ConfigRecord> {
+        ConfigRecord record{in.getVersion(), "", {}, in.getForgotten()};
         if (!in.hasPacked()) {  // a program before wrote it
-            word.document = bytes(in.getDocument());
+            record.document = bytes(in.getDocument());
             for (const auto taken : in.getHistory())
-                word.history.push_back({taken.getVersion(), taken.getDigest()});
+                record.accepted_changes.push_back({taken.getVersion(), taken.getDigest()});
             // It kept the last 500 and did not say whether there were more.
-            if (!word.history.empty()) word.forgotten = word.history.front().version - 1;
-            return word;
+            if (!record.accepted_changes.empty())
+                record.forgotten_up_to = record.accepted_changes.front().version - 1;
+            return record;
         }
         auto document = unpacked(in.getPacked());
         const auto versions = in.getVersions();
         const auto digests = in.getDigests();
         if (!document || versions.size() != digests.size()) return std::nullopt;
-        word.document = std::move(*document);
-        for (unsigned i = 0; i < versions.size(); ++i) word.history.push_back({versions[i], digests[i]});
-        return word;
+        record.document = std::move(*document);
+        for (unsigned i = 0; i < versions.size(); ++i)
+            record.accepted_changes.push_back({versions[i], digests[i]});
+        return record;
     });
-    return word ? std::move(*word) : std::nullopt;
+    return record ? std::move(*record) : std::nullopt;
 }
 
 std::string encode(const raft::PersistentState& disk) {
@@ -406,4 +409,4 @@
     return disk;
 }
 
-}  // namespace martenford::passage
+}  // namespace martenford::rpc
--- a/src/rpc/wire.capnp
+++ b/src/rpc/wire.capnp
@@ -1,7 +1,7 @@
 # Messages between the mesh's own processes. A field is never taken away and never changes its meaning.
 @0xd1a7c0ffee5ca1e5;
 using Cxx = import "/capnp/c++.capnp";
-$Cxx.namespace("martenford::passage::wire");
+$Cxx.namespace("martenford::rpc::wire");
 
 struct Member { id @0 :UInt64; address @1 :Text; zone @2 :Text; region @3 :Text; counts @4 :Bool = true; }
 struct Stamp { term @0 :UInt64; index @1 :UInt64; }
--- a/src/stall/stall.cpp
+++ b/src/stall/stall.cpp
@@ -19,8 +19,8 @@
 #include "http1/back.h"
 #include "http1/front.h"
 #include "mesh_config/mesh_config.h"
-#include "passage/channel.h"
 #include "quay/berths.h"
+#include "rpc/channel.h"
 #include "stall/dialects.h"
 #include "stall/intake.h"
 
@@ -153,7 +153,7 @@
 
   private:
     struct Guildhall {
-        std::unique_ptr<passage::Dialer> dialer;
+        std::unique_ptr<rpc::ReconnectingClient> client;
         std::uint64_t epoch = 0, seq = 0, taken = 0;
         bool in_touch = false, polled = false, wants = false;
         std::uint32_t passed_over = 0;  // a version that it offered and that was not taken
@@ -172,8 +172,8 @@
         if (!to || guildhalls_.size() >= kMostGuildhalls) return;
         Guildhall& guildhall = guildhalls_[address];
         guildhall.named = guildhall.answered = loop_.now();
-        guildhall.dialer = std::make_unique<passage::Dialer>(
-            loop_, *to, [this, address](passage::Message&& message) { heard(address, std::move(message)); },
+        guildhall.client = std::make_unique<rpc::ReconnectingClient>(
+            loop_, *to, [this, address](rpc::Message&& message) { heard(address, std::move(message)); },
             [this, address] {
                 Guildhall& up = guildhalls_.at(address);
                 up.answered = loop_.now();
@@ -189,15 +189,16 @@
         apply(view_.remove_controller(address));
     }
     void poll(Guildhall& guildhall) {
-        if (!guildhall.dialer->up()) return;
+        if (!guildhall.client->is_connected()) return;
         guildhall.polled = true;
-        guildhall.dialer->send(passage::Poll{guildhall.epoch, guildhall.seq,
-                                             std::max(version_, guildhall.passed_over), guildhall.wants});
+        guildhall.client->send(rpc::WatchRequest{guildhall.epoch, guildhall.seq,
+                                                 std::max(version_, guildhall.passed_over), guildhall.wants});
     }
     void announce_to(Guildhall& guildhall, const std::vector<quota::QuotaDemand>& demands) {
         // A life's connections end with it: only this process's own clock can come back.
         const auto asked = static_cast<std::uint64_t>(loop_.now().time_since_epoch().count());
-        guildhall.dialer->send(passage::Announce{registration_, demands, guildhall.taken, version_, asked});
+        guildhall.client->send(
+            rpc::RegisterRequest{registration_, demands, guildhall.taken, version_, asked});
     }
     void announce() {
         announced_ = loop_.now();
@@ -218,24 +219,25 @@
         return demands_;
     }
 
-    void heard(const std::string& address, passage::Message&& message) {
+    void heard(const std::string& address, rpc::Message&& message) {
         const Time now = loop_.now();
         Guildhall& guildhall = guildhalls_.at(address);
-        if (auto* grants = std::get_if<passage::Grants>(&message)) {
-            guildhall.taken = grants->number;
-            const Time asked{Duration{static_cast<Duration::rep>(grants->asked)}};
-            if (grants->leads && asked <= now) quota_limiter_.apply_leases(now, grants->grants, asked);
-        } else if (auto* news = std::get_if<passage::News>(&message)) {
+        if (auto* grants = std::get_if<rpc::RegisterResponse>(&message)) {
+            guildhall.taken = grants->response_number;
+            const Time asked{Duration{static_cast<Duration::rep>(grants->request_sent_at)}};
+            if (grants->from_leader && asked <= now)
+                quota_limiter_.apply_leases(now, grants->quota_leases, asked);
+        } else if (auto* news = std::get_if<rpc::WatchResponse>(&message)) {
             guildhall.answered = now;
-            guildhall.in_touch = news->in_touch;
-            guildhall.epoch = news->rolls.epoch;
-            guildhall.seq = news->rolls.seq;
-            for (const auto& other : news->guildhalls) dial(other.address);
-            apply(view_.apply(now, address, news->rolls));
-            const bool takes = intake_.takes(now, version_, news->version, news->in_touch);
-            if (takes && !news->config.empty()) serve(news->version, news->config);
-            guildhall.wants = takes && news->version > version_;
-            guildhall.passed_over = !takes && news->version > version_ ? news->version : 0;
+            guildhall.in_touch = news->has_quorum_contact;
+            guildhall.epoch = news->registry.epoch;
+            guildhall.seq = news->registry.seq;
+            for (const auto& other : news->controllers) dial(other.address);
+            apply(view_.apply(now, address, news->registry));
+            const bool takes = intake_.takes(now, version_, news->config_version, news->has_quorum_contact);
+            if (takes && !news->config.empty()) serve(news->config_version, news->config);
+            guildhall.wants = takes && news->config_version > version_;
+            guildhall.passed_over = !takes && news->config_version > version_ ? news->config_version : 0;
             if (guildhall.passed_over != 0 &&
                 !asking_again_) {  // once patience is over, whoever has it is asked
                 asking_again_ = true;
@@ -408,12 +410,12 @@
         bool in_touch = false;
         for (auto it = guildhalls_.begin(); it != guildhalls_.end();) {
             Guildhall& guildhall = it->second;
-            if (guildhall.dialer->up() && now - guildhall.answered > kGuildhallSilent) {
+            if (guildhall.client->is_connected() && now - guildhall.answered > kGuildhallSilent) {
                 guildhall.answered = now;
-                guildhall.dialer->renew();
+                guildhall.client->reconnect();
             }
-            in_touch |= guildhall.dialer->up() && guildhall.in_touch;
-            if (!guildhall.dialer->up() &&
+            in_touch |= guildhall.client->is_connected() && guildhall.in_touch;
+            if (!guildhall.client->is_connected() &&
                 now - std::max(guildhall.named, guildhall.answered) > kForgetGuildhall &&
                 !is_seed(it->first)) {
                 it = guildhalls_.erase(it);
--- a/tests/mesh/config_service_repeated_calls_test.cpp
+++ b/tests/mesh/config_service_repeated_calls_test.cpp
@@ -159,7 +159,7 @@
 
     void start(Machine& machine) {
         // As it comes back from the records of a real disk.
-        const auto disk = passage::disk_of(passage::records_of(machine.disk));
+        const auto disk = rpc::disk_of(rpc::records_of(machine.disk));
         REQUIRE(disk);
         machine.raft = std::make_unique<raft::RaftNode>(machine.self, *disk, raft::RaftOptions{}, random_());
         machine.config_service = std::make_unique<config_service::ConfigService>(*machine.raft);
--- a/tests/mesh/golden_test.cpp
+++ b/tests/mesh/golden_test.cpp
@@ -10,9 +10,9 @@
 
 #include "durable_store/durable_store.h"
 #include "framing/frame.h"
-#include "passage/channel.h"
-#include "passage/messages.h"
 #include "raft/raft_node.h"
+#include "rpc/channel.h"
+#include "rpc/messages.h"
 
 using namespace martenford;
 
@@ -58,40 +58,39 @@
     return message;
 }
 
-passage::News news() {
-    passage::News news;
-    news.rolls = {61, 62, true, {kReady, kDraining}, {"node-3", "node-4"}};
-    news.version = 63;
+rpc::WatchResponse news() {
+    rpc::WatchResponse news;
+    news.registry = {61, 62, true, {kReady, kDraining}, {"node-3", "node-4"}};
+    news.config_version = 63;
     news.config = std::string("config\0bytes\xfe", 13);
-    news.in_touch = true;
-    news.guildhalls = {kSecond, kFourth};
+    news.has_quorum_contact = true;
+    news.controllers = {kSecond, kFourth};
     return news;
 }
 
 /// What the register holds: four configurations that were taken, and two before them that are forgotten.
-passage::Word configurations() {
+rpc::ConfigRecord configurations() {
     return {79, R"({"version":"79"})", {{73, 0xd1}, {75, 0xd2}, {78, 0xd3}, {79, 0xfedcba9876543210}}, 72};
 }
-passage::Word configurations_before() {
+rpc::ConfigRecord configurations_before() {
     return {78, R"({"version":"78"})", {{73, 0xd1}, {75, 0xd2}, {78, 0xd3}}, 72};
 }
 
 /// A disk with a vote, a committed entry, and above it one that is not: a change of members.
 raft::PersistentState disk_in_change() {
-    return {
-        11,
-        82,
-        12,
-        {{82, 86}, {kFirst, kSecond, kThird}, passage::encode(configurations()), {kSecond, kThird, kFourth}},
-        {{81, 85}, {kSecond, kThird, kFourth}, passage::encode(configurations_before()), {kFourth}}};
+    return {11,
+            82,
+            12,
+            {{82, 86}, {kFirst, kSecond, kThird}, rpc::encode(configurations()), {kSecond, kThird, kFourth}},
+            {{81, 85}, {kSecond, kThird, kFourth}, rpc::encode(configurations_before()), {kFourth}}};
 }
 /// The only voter: it leads by itself.
 raft::PersistentState disk_alone() {
     return {12,
             92,
             12,
-            {{92, 96}, {kSecond}, passage::encode(configurations())},
-            {{91, 95}, {kSecond}, passage::encode(configurations_before())}};
+            {{92, 96}, {kSecond}, rpc::encode(configurations())},
+            {{91, 95}, {kSecond}, rpc::encode(configurations_before())}};
 }
 
 // ---- what is read back
@@ -144,40 +143,40 @@
     CHECK(read.lease_expired);
 }
 
-void check_configurations(const passage::Word& read) {
+void check_configurations(const rpc::ConfigRecord& read) {
     CHECK(read.version == 79);
     CHECK(read.document == R"({"version":"79"})");
-    REQUIRE(read.history.size() == 4);
-    CHECK(read.history[0].version == 73);
-    CHECK(read.history[0].digest == 0xd1);
-    CHECK(read.history[1].version == 75);
-    CHECK(read.history[1].digest == 0xd2);
-    CHECK(read.history[2].version == 78);
-    CHECK(read.history[2].digest == 0xd3);
-    CHECK(read.history[3].version == 79);
-    CHECK(read.history[3].digest == 0xfedcba9876543210);
-    CHECK(read.forgotten == 72);
-}
-void check_configurations_before(const passage::Word& read) {
+    REQUIRE(read.accepted_changes.size() == 4);
+    CHECK(read.accepted_changes[0].version == 73);
+    CHECK(read.accepted_changes[0].digest == 0xd1);
+    CHECK(read.accepted_changes[1].version == 75);
+    CHECK(read.accepted_changes[1].digest == 0xd2);
+    CHECK(read.accepted_changes[2].version == 78);
+    CHECK(read.accepted_changes[2].digest == 0xd3);
+    CHECK(read.accepted_changes[3].version == 79);
+    CHECK(read.accepted_changes[3].digest == 0xfedcba9876543210);
+    CHECK(read.forgotten_up_to == 72);
+}
+void check_configurations_before(const rpc::ConfigRecord& read) {
     CHECK(read.version == 78);
     CHECK(read.document == R"({"version":"78"})");
-    REQUIRE(read.history.size() == 3);
-    CHECK(read.history[0].version == 73);
-    CHECK(read.history[0].digest == 0xd1);
-    CHECK(read.history[1].version == 75);
-    CHECK(read.history[1].digest == 0xd2);
-    CHECK(read.history[2].version == 78);
-    CHECK(read.history[2].digest == 0xd3);
-    CHECK(read.forgotten == 72);
+    REQUIRE(read.accepted_changes.size() == 3);
+    CHECK(read.accepted_changes[0].version == 73);
+    CHECK(read.accepted_changes[0].digest == 0xd1);
+    CHECK(read.accepted_changes[1].version == 75);
+    CHECK(read.accepted_changes[1].digest == 0xd2);
+    CHECK(read.accepted_changes[2].version == 78);
+    CHECK(read.accepted_changes[2].digest == 0xd3);
+    CHECK(read.forgotten_up_to == 72);
 }
 /// Of a register's value.
 void check_value(const std::string& value) {
-    const auto word = passage::decode_word(value);
+    const auto word = rpc::decode_word(value);
     REQUIRE(word);
     check_configurations(*word);
 }
 void check_value_before(const std::string& value) {
-    const auto word = passage::decode_word(value);
+    const auto word = rpc::decode_word(value);
     REQUIRE(word);
     check_configurations_before(*word);
 }
@@ -228,11 +227,11 @@
 /// The fixture's message, after it was seen that both `now` and what was read are written as it is.
 template <class Kind>
 Kind read_rpc(const std::string& file, const Kind& now) {
-    const std::string bytes = golden::kept(path_of(file), passage::encode(passage::Message{now}));
-    CHECK(passage::encode(passage::Message{now}) == bytes);
-    const auto read = passage::decode(bytes);
+    const std::string bytes = golden::kept(path_of(file), rpc::encode(rpc::Message{now}));
+    CHECK(rpc::encode(rpc::Message{now}) == bytes);
+    const auto read = rpc::decode(bytes);
     REQUIRE(read);
-    CHECK(passage::encode(*read) == bytes);
+    CHECK(rpc::encode(*read) == bytes);
     REQUIRE(std::holds_alternative<Kind>(*read));
     return std::get<Kind>(*read);
 }
@@ -295,7 +294,7 @@
     golden::Folder copy(path_of(name));
     const auto found = open(copy.at)->load();
     REQUIRE_FALSE(found.damaged);
-    const auto disk = passage::disk_of(found.records);
+    const auto disk = rpc::disk_of(found.records);
     REQUIRE(disk);
     return *disk;
 }
@@ -303,11 +302,11 @@
 }  // namespace
 
 TEST_CASE("golden rpc: hello") {
-    const auto read = read_rpc("rpc-hello.bin", passage::Hello{kFirst, {kSecond, kThird}});
+    const auto read = read_rpc("rpc-hello.bin", rpc::Hello{kFirst, {kSecond, kThird}});
     check_first(read.member);
-    REQUIRE(read.guildhalls.size() == 2);
-    check_second(read.guildhalls[0]);
-    check_third(read.guildhalls[1]);
+    REQUIRE(read.controllers.size() == 2);
+    check_second(read.controllers[0]);
+    check_third(read.controllers[1]);
 }
 
 TEST_CASE("golden rpc: raft messages of every kind, with the numbers of their kinds") {
@@ -340,10 +339,10 @@
 }
 
 TEST_CASE("golden rpc: an announcement to the registry") {
-    const passage::Announce now{
+    const rpc::RegisterRequest now{
         kReady, {{"tenant-a", 1.25, 2.5, 101}, {"tenant-b", 3.75, 4.125, 102}}, 103, 104, 105};
     const auto read = read_rpc("rpc-announce.bin", now);
-    check_ready(read.place);
+    check_ready(read.registration);
     REQUIRE(read.demands.size() == 2);
     CHECK(read.demands[0].tenant == "tenant-a");
     CHECK(read.demands[0].rate_per_s == 1.25);
@@ -353,137 +352,137 @@
     CHECK(read.demands[1].rate_per_s == 3.75);
     CHECK(read.demands[1].leased_rate_per_s == 4.125);
     CHECK(read.demands[1].lease_remaining_ms == 102);
-    CHECK(read.taken == 103);
-    CHECK(read.version == 104);
-    CHECK(read.asked == 105);
+    CHECK(read.applied_response == 103);
+    CHECK(read.config_version == 104);
+    CHECK(read.sent_at == 105);
 }
 
 TEST_CASE("golden rpc: grants of quota") {
-    const passage::Grants now{
+    const rpc::RegisterResponse now{
         111, {{"tenant-a", 5.5, 6.25, 112}, {"tenant-b", 7.75, 8.5, 113}}, true, 114, 115};
     const auto read = read_rpc("rpc-grants.bin", now);
-    CHECK(read.number == 111);
-    REQUIRE(read.grants.size() == 2);
-    CHECK(read.grants[0].tenant == "tenant-a");
-    CHECK(read.grants[0].rate_per_s == 5.5);
-    CHECK(read.grants[0].burst == 6.25);
-    CHECK(read.grants[0].lease_ms == 112);
-    CHECK(read.grants[1].tenant == "tenant-b");
-    CHECK(read.grants[1].rate_per_s == 7.75);
-    CHECK(read.grants[1].burst == 8.5);
-    CHECK(read.grants[1].lease_ms == 113);
-    CHECK(read.leads);
-    CHECK(read.stalls == 114);
-    CHECK(read.asked == 115);
+    CHECK(read.response_number == 111);
+    REQUIRE(read.quota_leases.size() == 2);
+    CHECK(read.quota_leases[0].tenant == "tenant-a");
+    CHECK(read.quota_leases[0].rate_per_s == 5.5);
+    CHECK(read.quota_leases[0].burst == 6.25);
+    CHECK(read.quota_leases[0].lease_ms == 112);
+    CHECK(read.quota_leases[1].tenant == "tenant-b");
+    CHECK(read.quota_leases[1].rate_per_s == 7.75);
+    CHECK(read.quota_leases[1].burst == 8.5);
+    CHECK(read.quota_leases[1].lease_ms == 113);
+    CHECK(read.from_leader);
+    CHECK(read.live_proxies == 114);
+    CHECK(read.request_sent_at == 115);
 }
 
 TEST_CASE("golden rpc: a poll") {
-    const auto read = read_rpc("rpc-poll.bin", passage::Poll{121, 122, 123, true});
+    const auto read = read_rpc("rpc-poll.bin", rpc::WatchRequest{121, 122, 123, true});
     CHECK(read.epoch == 121);
     CHECK(read.seq == 122);
-    CHECK(read.version == 123);
+    CHECK(read.config_version == 123);
     CHECK(read.wants_config);
 }
 
 TEST_CASE("golden rpc: news, with the registry's states") {
     const auto read = read_rpc("rpc-news.bin", news());
-    CHECK(read.rolls.epoch == 61);
-    CHECK(read.rolls.seq == 62);
-    CHECK(read.rolls.is_snapshot);
-    REQUIRE(read.rolls.registrations.size() == 2);
-    check_ready(read.rolls.registrations[0]);
-    check_draining(read.rolls.registrations[1]);
-    CHECK(read.rolls.removed_nodes == std::vector<std::string>{"node-3", "node-4"});
-    CHECK(read.version == 63);
+    CHECK(read.registry.epoch == 61);
+    CHECK(read.registry.seq == 62);
+    CHECK(read.registry.is_snapshot);
+    REQUIRE(read.registry.registrations.size() == 2);
+    check_ready(read.registry.registrations[0]);
+    check_draining(read.registry.registrations[1]);
+    CHECK(read.registry.removed_nodes == std::vector<std::string>{"node-3", "node-4"});
+    CHECK(read.config_version == 63);
     CHECK(read.config == std::string("config\0bytes\xfe", 13));
-    CHECK(read.in_touch);
-    REQUIRE(read.guildhalls.size() == 2);
-    check_second(read.guildhalls[0]);
-    check_fourth(read.guildhalls[1]);
+    CHECK(read.has_quorum_contact);
+    REQUIRE(read.controllers.size() == 2);
+    check_second(read.controllers[0]);
+    check_fourth(read.controllers[1]);
     CHECK(static_cast<int>(registry::EndpointState::Absent) == 0);
     CHECK(static_cast<int>(registry::EndpointState::Ready) == 1);
     CHECK(static_cast<int>(registry::EndpointState::Draining) == 2);
 }
 
 TEST_CASE("golden rpc: each flag of news by itself, and a registry's state of absence") {
-    passage::News whole, in_touch;
-    whole.rolls.is_snapshot = true;
-    whole.rolls.registrations = {kReady};
-    whole.rolls.registrations.front().state = registry::EndpointState::Absent;
-    in_touch.in_touch = true;
+    rpc::WatchResponse whole, in_touch;
+    whole.registry.is_snapshot = true;
+    whole.registry.registrations = {kReady};
+    whole.registry.registrations.front().state = registry::EndpointState::Absent;
+    in_touch.has_quorum_contact = true;
     const auto first = read_rpc("rpc-news-flag-1.bin", whole);
-    CHECK(first.rolls.is_snapshot);
-    CHECK_FALSE(first.in_touch);
-    REQUIRE(first.rolls.registrations.size() == 1);
-    CHECK(first.rolls.registrations[0].state == registry::EndpointState::Absent);
+    CHECK(first.registry.is_snapshot);
+    CHECK_FALSE(first.has_quorum_contact);
+    REQUIRE(first.registry.registrations.size() == 1);
+    CHECK(first.registry.registrations[0].state == registry::EndpointState::Absent);
     const auto second = read_rpc("rpc-news-flag-2.bin", in_touch);
-    CHECK_FALSE(second.rolls.is_snapshot);
-    CHECK(second.in_touch);
+    CHECK_FALSE(second.registry.is_snapshot);
+    CHECK(second.has_quorum_contact);
 }
 
 TEST_CASE("golden rpc: a whole frame, as it goes over a connection") {
-    const passage::Message message{news()};
-    const std::string bytes = golden::kept(path_of("rpc-frame.bin"), *passage::Channel::frame(message));
-    CHECK(*passage::Channel::frame(message) == bytes);
-    framing::FrameReader reader(passage::kMostMessage);
+    const rpc::Message message{news()};
+    const std::string bytes = golden::kept(path_of("rpc-frame.bin"), *rpc::Channel::frame(message));
+    CHECK(*rpc::Channel::frame(message) == bytes);
+    framing::FrameReader reader(rpc::kMaxMessageBytes);
     reader.feed(bytes);
     const auto inside = reader.next();
     REQUIRE(inside);
     CHECK(*inside == golden::kept(path_of("rpc-news.bin")));
     CHECK(reader.empty());
-    const auto read = passage::decode(*inside);
+    const auto read = rpc::decode(*inside);
     REQUIRE(read);
-    CHECK(*passage::Channel::frame(*read) == bytes);
+    CHECK(*rpc::Channel::frame(*read) == bytes);
 }
 
 TEST_CASE("golden register: the value, as it is written") {
-    const std::string bytes = golden::kept(path_of("register-value.bin"), passage::encode(configurations()));
-    CHECK(passage::encode(configurations()) == bytes);
-    const auto read = passage::decode_word(bytes);
+    const std::string bytes = golden::kept(path_of("register-value.bin"), rpc::encode(configurations()));
+    CHECK(rpc::encode(configurations()) == bytes);
+    const auto read = rpc::decode_word(bytes);
     REQUIRE(read);
     check_configurations(*read);
-    CHECK(passage::encode(*read) == bytes);
+    CHECK(rpc::encode(*read) == bytes);
 }
 
 TEST_CASE("golden register: a value of programs before, with the document and the history in the clear") {
     // Never written any more: these two have no generator (golden/README.md).
-    const auto shortest = passage::decode_word(golden::kept(path_of("register-value-2026-12-01.bin")));
+    const auto shortest = rpc::decode_word(golden::kept(path_of("register-value-2026-12-01.bin")));
     REQUIRE(shortest);
     CHECK(shortest->version == 9);
     CHECK(shortest->document == "{}");
-    REQUIRE(shortest->history.size() == 2);
-    CHECK(shortest->history[0].version == 5);
-    CHECK(shortest->history[0].digest == 55);
-    CHECK(shortest->history[1].version == 9);
-    CHECK(shortest->history[1].digest == 99);
-    CHECK(shortest->forgotten == 4);
-    const auto read = passage::decode_word(golden::kept(path_of("register-value-before.bin")));
+    REQUIRE(shortest->accepted_changes.size() == 2);
+    CHECK(shortest->accepted_changes[0].version == 5);
+    CHECK(shortest->accepted_changes[0].digest == 55);
+    CHECK(shortest->accepted_changes[1].version == 9);
+    CHECK(shortest->accepted_changes[1].digest == 99);
+    CHECK(shortest->forgotten_up_to == 4);
+    const auto read = rpc::decode_word(golden::kept(path_of("register-value-before.bin")));
     REQUIRE(read);
     check_configurations(*read);
     // Written again it has today's form.
-    CHECK(passage::encode(*read) == golden::kept(path_of("register-value.bin")));
+    CHECK(rpc::encode(*read) == golden::kept(path_of("register-value.bin")));
 }
 
 TEST_CASE("golden register: the disk in one record") {
-    const std::string bytes = golden::kept(path_of("register-disk.bin"), passage::encode(disk_in_change()));
-    CHECK(passage::encode(disk_in_change()) == bytes);
-    const auto read = passage::decode_disk(bytes);
+    const std::string bytes = golden::kept(path_of("register-disk.bin"), rpc::encode(disk_in_change()));
+    CHECK(rpc::encode(disk_in_change()) == bytes);
+    const auto read = rpc::decode_disk(bytes);
     REQUIRE(read);
     check_disk_in_change(*read);
-    CHECK(passage::encode(*read) == bytes);
+    CHECK(rpc::encode(*read) == bytes);
 }
 
 TEST_CASE("golden register: the disk's records, their names and their bytes") {
-    const auto now = passage::records_of(disk_in_change());
+    const auto now = rpc::records_of(disk_in_change());
     const durable_store::Records kept{
         {"state", golden::kept(path_of("register-record-state.bin"), now.at("state"))},
         {"value.82.86", golden::kept(path_of("register-record-value.82.86.bin"), now.at("value.82.86"))},
         {"value.81.85", golden::kept(path_of("register-record-value.81.85.bin"), now.at("value.81.85"))}};
     CHECK(now == kept);
-    const auto read = passage::disk_of(kept);
+    const auto read = rpc::disk_of(kept);
     REQUIRE(read);
     check_disk_in_change(*read);
-    CHECK(passage::records_of(*read) == kept);
+    CHECK(rpc::records_of(*read) == kept);
 }
 
 TEST_CASE("golden store: a data directory with a change of members is read, and saved again as it is") {
@@ -496,8 +495,8 @@
         auto voted = before;
         voted.term = 82;
         voted.voted_for = 12;
-        write_store("store", {passage::records_of(before), passage::records_of(voted),
-                              passage::records_of(disk_in_change())});
+        write_store("store",
+                    {rpc::records_of(before), rpc::records_of(voted), rpc::records_of(disk_in_change())});
     }
     golden::Folder copy(path_of("store"));
     {
@@ -508,16 +507,16 @@
         CHECK(found.records.at("state") == golden::kept(path_of("register-record-state.bin")));
         CHECK(found.records.at("value.82.86") == golden::kept(path_of("register-record-value.82.86.bin")));
         CHECK(found.records.at("value.81.85") == golden::kept(path_of("register-record-value.81.85.bin")));
-        const auto disk = passage::disk_of(found.records);
+        const auto disk = rpc::disk_of(found.records);
         REQUIRE(disk);
         check_disk_in_change(*disk);
         // What the next vote writes is read as well.
         auto later = *disk;
         later.term = 83;
         later.voted_for = 13;
-        save(*store, passage::records_of(later));
+        save(*store, rpc::records_of(later));
     }
-    const auto again = passage::disk_of(open(copy.at)->load().records);
+    const auto again = rpc::disk_of(open(copy.at)->load().records);
     REQUIRE(again);
     CHECK(again->term == 83);
     CHECK(again->voted_for == 13);
@@ -570,7 +569,7 @@
 }
 
 TEST_CASE("golden store: a register alone starts from it, leads, and its newest entry is committed") {
-    if (golden::writes()) write_store("store-alone", {passage::records_of(disk_alone())});
+    if (golden::writes()) write_store("store-alone", {rpc::records_of(disk_alone())});
     const raft::PersistentState disk = read_store("store-alone");
     check_disk_alone(disk);
     raft::RaftNode raft(kSecond, disk, {}, 2);
@@ -588,20 +587,20 @@
 }
 
 TEST_CASE("golden store: a data directory of programs before, with all in one record") {
-    if (golden::writes()) write_store("store-before", {{{"word", passage::encode(disk_in_change())}}});
+    if (golden::writes()) write_store("store-before", {{{"word", rpc::encode(disk_in_change())}}});
     golden::Folder copy(path_of("store-before"));
     {
         auto store = open(copy.at);
         const auto found = store->load();
         CHECK_FALSE(found.damaged);
         CHECK(found.records == durable_store::Records{{"word", golden::kept(path_of("register-disk.bin"))}});
-        const auto disk = passage::disk_of(found.records);
+        const auto disk = rpc::disk_of(found.records);
         REQUIRE(disk);
         check_disk_in_change(*disk);
-        save(*store, passage::records_of(*disk));
+        save(*store, rpc::records_of(*disk));
     }
     const auto again = open(copy.at)->load();
-    CHECK(again.records == passage::records_of(disk_in_change()));
+    CHECK(again.records == rpc::records_of(disk_in_change()));
 }
 
 TEST_CASE("golden store: the file keeps its name, by which a later program finds it") {
--- a/tests/mesh/hollow_test.cpp
+++ b/tests/mesh/hollow_test.cpp
@@ -48,31 +48,31 @@
     "a hollow stall announces itself, polls, fetches a newer configuration and shows that it serves by it") {
     Loop loop;
     const Address at = *parse_address("127.0.93.1:21790");  // no other test listens here
-    std::vector<std::shared_ptr<passage::Channel>> channels;
-    std::vector<passage::Poll> polls;
+    std::vector<std::shared_ptr<rpc::Channel>> channels;
+    std::vector<rpc::WatchRequest> polls;
     std::set<std::uint32_t> told;  // versions, by its announcements
-    passage::Listener listener(loop, at, [&](std::shared_ptr<passage::Channel> channel) {
+    rpc::Listener listener(loop, at, [&](std::shared_ptr<rpc::Channel> channel) {
         channels.push_back(channel);
         channel->start(
-            [&, channel = channel.get()](passage::Message&& message) {
-                if (const auto* announce = std::get_if<passage::Announce>(&message)) {
-                    CHECK(announce->place.service == "web");
-                    CHECK(announce->place.state == registry::EndpointState::Ready);
-                    if (announce->version == 7) CHECK(announce->demands.size() == 2);
-                    told.insert(announce->version);
-                    channel->send(passage::Grants{1, {}, true, 1});
-                } else if (const auto* poll = std::get_if<passage::Poll>(&message)) {
+            [&, channel = channel.get()](rpc::Message&& message) {
+                if (const auto* announce = std::get_if<rpc::RegisterRequest>(&message)) {
+                    CHECK(announce->registration.service == "web");
+                    CHECK(announce->registration.state == registry::EndpointState::Ready);
+                    if (announce->config_version == 7) CHECK(announce->demands.size() == 2);
+                    told.insert(announce->config_version);
+                    channel->send(rpc::RegisterResponse{1, {}, true, 1});
+                } else if (const auto* poll = std::get_if<rpc::WatchRequest>(&message)) {
                     polls.push_back(*poll);
-                    passage::News news;
-                    news.rolls = {5, polls.size(), polls.size() == 1, {}, {}};
+                    rpc::WatchResponse news;
+                    news.registry = {5, polls.size(), polls.size() == 1, {}, {}};
                     registry::ProxyRegistration place;
                     place.node = "other";
                     place.incarnation = 1;
-                    if (polls.size() == 1) news.rolls.registrations.push_back(place);
-                    news.version = 7;
-                    news.in_touch = true;
+                    if (polls.size() == 1) news.registry.registrations.push_back(place);
+                    news.config_version = 7;
+                    news.has_quorum_contact = true;
                     if (poll->wants_config) news.config = configuration({3, 3, 2}, 7, 0);
-                    if (poll->version < 7) channel->send(news);
+                    if (poll->config_version < 7) channel->send(news);
                 }
                 if (told.contains(7)) loop.stop();
             },
@@ -83,11 +83,11 @@
     loop.add(loop.now() + 5s, [&] { loop.stop(); });
     loop.run();
     REQUIRE(polls.size() >= 3);  // it has nothing; it is told of a version and wants it; it has it
-    CHECK(polls[0].version == 0);
+    CHECK(polls[0].config_version == 0);
     CHECK_FALSE(polls[0].wants_config);
     CHECK(polls[1].wants_config);
     CHECK(polls[1].epoch == 5);
-    CHECK(polls[2].version == 7);
+    CHECK(polls[2].config_version == 7);
     CHECK(gauge.version == 7);
     CHECK(gauge.in_touch == 1);
     CHECK(gauge.live == 1);
--- a/tests/mesh/intake_test.cpp
+++ b/tests/mesh/intake_test.cpp
@@ -13,7 +13,7 @@
 #include <filesystem>
 #include <fstream>
 
-#include "passage/channel.h"
+#include "rpc/channel.h"
 
 using namespace martenford;
 
@@ -34,32 +34,32 @@
     GuildhallDouble(Loop& loop, int i)
         : listener_(loop, *parse_address(host(i) + ":" + std::to_string(kPort)), [this](auto channel) {
               channel_ = channel;
-              channel->start([this](passage::Message&& message) { heard(std::move(message)); }, [] {});
+              channel->start([this](rpc::Message&& message) { heard(std::move(message)); }, [] {});
           }) {}
     /// Which polls are answered by themselves; others lie until answer().
     enum class Answers { None, Documents, All };
     Answers answers = Answers::None;
     std::uint32_t version = 0;
     bool in_touch = false;
-    std::optional<passage::Poll> poll;  // unanswered
-    std::vector<std::uint32_t> served;  // what the stall has said that it serves by, each once
+    std::optional<rpc::WatchRequest> poll;  // unanswered
+    std::vector<std::uint32_t> served;      // what the stall has said that it serves by, each once
     Time first_answer{};
 
     void answer() {
-        if (!poll || poll->version >= version) return;
+        if (!poll || poll->config_version >= version) return;
         if (first_answer == Time{}) first_answer = Loop::monotonic();
-        passage::News news;
-        news.version = version;
-        news.in_touch = in_touch;
+        rpc::WatchResponse news;
+        news.config_version = version;
+        news.has_quorum_contact = in_touch;
         if (poll->wants_config) news.config = document(version);
         poll.reset();
         channel_->send(news);
     }
     /// Says it all, asked or not.
     void press() {
-        passage::News news;
-        news.version = version;
-        news.in_touch = in_touch;
+        rpc::WatchResponse news;
+        news.config_version = version;
+        news.has_quorum_contact = in_touch;
         news.config = document(version);
         poll.reset();
         channel_->send(news);
@@ -76,17 +76,17 @@
                R"("matcher":{"path_prefix":"/r/"},"route_action":{"service":"web","timeout_ms":3000,)"
                R"("max_attempts":1}}]}],"clusters":[{"name":"web"}]})";
     }
-    void heard(passage::Message&& message) {
-        if (const auto* asked = std::get_if<passage::Poll>(&message)) {
+    void heard(rpc::Message&& message) {
+        if (const auto* asked = std::get_if<rpc::WatchRequest>(&message)) {
             poll = *asked;
             if (answers == Answers::All || (answers == Answers::Documents && asked->wants_config)) answer();
-        } else if (const auto* told = std::get_if<passage::Announce>(&message)) {
-            if (served.empty() ? told->version != 0 : served.back() != told->version)
-                served.push_back(told->version);
+        } else if (const auto* told = std::get_if<rpc::RegisterRequest>(&message)) {
+            if (served.empty() ? told->config_version != 0 : served.back() != told->config_version)
+                served.push_back(told->config_version);
         }
     }
-    std::shared_ptr<passage::Channel> channel_;
-    passage::Listener listener_;
+    std::shared_ptr<rpc::Channel> channel_;
+    rpc::Listener listener_;
 };
 
 class Cut {
@@ -181,7 +181,8 @@
     for (const bool in_touch : {false, true}) {
         cut.cut_off.in_touch = in_touch;
         cut.cut_off.press();
-        cut.until("the poll after it", [&] { return cut.cut_off.poll && cut.cut_off.poll->version == 5; });
+        cut.until("the poll after it",
+                  [&] { return cut.cut_off.poll && cut.cut_off.poll->config_version == 5; });
         CHECK_FALSE(cut.cut_off.poll->wants_config);
     }
     // A newer one is taken from whoever has it.
--- a/tests/mesh/reconnecting_client_test.cpp
+++ b/tests/mesh/reconnecting_client_test.cpp
@@ -1,4 +1,4 @@
-// The dialer behind a link where a connection takes longer than the time for one attempt: played by a
+// The client behind a link where a connection takes longer than the time for one attempt: played by a
 // listener whose queue is full, so that the kernel drops what opens a connection.
 #include <arpa/inet.h>
 #include <doctest/doctest.h>
@@ -11,7 +11,7 @@
 #include <string>
 #include <vector>
 
-#include "passage/channel.h"
+#include "rpc/channel.h"
 
 using namespace martenford;
 
@@ -55,7 +55,7 @@
     bool up = false;
     std::size_t most = 0;
     {
-        passage::Dialer dialer(
+        rpc::ReconnectingClient client(
             loop, Address(asio::ip::make_address("127.0.0.1"), port), [](auto&&) {}, [&] { up = true; },
             [] {});
         const auto until = [&](auto&& is) {
--- a/tests/mesh/store_test.cpp
+++ b/tests/mesh/store_test.cpp
@@ -9,7 +9,7 @@
 #include "boot/settings.h"
 #include "durable_store/durable_store.h"
 #include "mesh_config/mesh_config.h"
-#include "passage/messages.h"
+#include "rpc/messages.h"
 
 using namespace martenford;
 
@@ -52,8 +52,8 @@
 
 TEST_CASE("strongbox: a record whose bytes changed is told as damaged, not read") {
     Folder folder;
-    const std::string word(5000, 'w');
-    { CHECK(saved(*open(folder.at), {{"a", "whole"}, {"b", word}})); }
+    const std::string record(5000, 'w');
+    { CHECK(saved(*open(folder.at), {{"a", "whole"}, {"b", record}})); }
     std::fstream file(folder.at + "/word.mdb", std::ios::in | std::ios::out | std::ios::binary);
     std::string bytes((std::istreambuf_iterator<char>(file)), {});
     const auto at = bytes.find(std::string(100, 'w'));
@@ -126,30 +126,30 @@
 }
 
 TEST_CASE("messages: what was encoded is read, and broken bytes are none, wherever they break") {
-    passage::News news;
-    news.rolls = {1,
-                  2,
-                  true,
-                  {{"n", 3, 4, "1.2.3.4:5", "s", "z", "i", registry::EndpointState::Draining, 6, 7, true}},
-                  {"gone"}};
-    news.version = 9;
+    rpc::WatchResponse news;
+    news.registry = {1,
+                     2,
+                     true,
+                     {{"n", 3, 4, "1.2.3.4:5", "s", "z", "i", registry::EndpointState::Draining, 6, 7, true}},
+                     {"gone"}};
+    news.config_version = 9;
     news.config = std::string(3000, 'c');
-    news.guildhalls = {{1, "a"}, {2, "b"}};
-    const std::string bytes = passage::encode(passage::Message{news});
-    const auto read = passage::decode(bytes);
+    news.controllers = {{1, "a"}, {2, "b"}};
+    const std::string bytes = rpc::encode(rpc::Message{news});
+    const auto read = rpc::decode(bytes);
     REQUIRE(read);
-    const auto& back = std::get<passage::News>(*read);
-    CHECK(back.rolls.registrations.front().instance_id == "i");
-    CHECK(back.rolls.removed_nodes == news.rolls.removed_nodes);
+    const auto& back = std::get<rpc::WatchResponse>(*read);
+    CHECK(back.registry.registrations.front().instance_id == "i");
+    CHECK(back.registry.removed_nodes == news.registry.removed_nodes);
     CHECK(back.config == news.config);
-    for (std::size_t cut = 0; cut < bytes.size(); cut += 8) passage::decode(bytes.substr(0, cut));
+    for (std::size_t cut = 0; cut < bytes.size(); cut += 8) rpc::decode(bytes.substr(0, cut));
     for (std::size_t i = 0; i < 400; ++i) {
         std::string other = bytes;
         other[i * 7 % other.size()] ^= static_cast<char>(1 << (i % 8));
-        passage::decode(other);
+        rpc::decode(other);
     }
     raft::PersistentState disk{5, 6, 7, {{8, 9}, {{1, "x"}}, "value"}, {{7, 8}, {}, "older"}};
-    const auto kept = passage::decode_disk(passage::encode(disk));
+    const auto kept = rpc::decode_disk(rpc::encode(disk));
     REQUIRE(kept);
     CHECK(kept->last_entry.value == "value");
     CHECK(kept->committed_entry.position == raft::LogPosition{7, 8});
@@ -158,8 +158,8 @@
 TEST_CASE("the disk's records: read as they were written; what doesn't belong together is nothing") {
     raft::PersistentState disk{
         5, 6, 7, {{8, 9}, {{1, "x"}}, std::string(60'000, 'n')}, {{7, 8}, {}, "older"}};
-    const auto records = passage::records_of(disk);
-    const auto kept = passage::disk_of(records);
+    const auto records = rpc::records_of(disk);
+    const auto kept = rpc::disk_of(records);
     REQUIRE(kept);
     CHECK(kept->last_entry.value == disk.last_entry.value);
     CHECK(kept->last_entry.voters == disk.last_entry.voters);
@@ -167,40 +167,41 @@
     CHECK(kept->voted_for == 7);
     // A vote changes the state alone, and that is small.
     disk.voted_for = 8;
-    for (const auto& [name, record] : passage::records_of(disk)) {
+    for (const auto& [name, record] : rpc::records_of(disk)) {
         CHECK((record == records.at(name)) == (name != "state"));
         if (name == "state") CHECK(record.size() < 300);
     }
     for (const auto& [name, record] : records) {
         auto others = records;
         others.erase(name);
-        CHECK_FALSE(passage::disk_of(others));
+        CHECK_FALSE(rpc::disk_of(others));
         if (name == "state") continue;
         others[name] = record + "x";  // whole in itself, of another write
-        CHECK_FALSE(passage::disk_of(others));
+        CHECK_FALSE(rpc::disk_of(others));
     }
     // What a program before left, all in one.
-    const auto before = passage::disk_of({{"word", passage::encode(disk)}});
+    const auto before = rpc::disk_of({{"word", rpc::encode(disk)}});
     REQUIRE(before);
     CHECK(before->last_entry.value == disk.last_entry.value);
-    CHECK_FALSE(passage::disk_of({}));
+    CHECK_FALSE(rpc::disk_of({}));
 }
 
 TEST_CASE(
-    "the word: read as it was written, packed; a word of a program before is read, one too large is not") {
-    passage::Word word{7, std::string(200'000, 'd'), {{3, 33}, {7, 77}}, 2};
-    const std::string bytes = passage::encode(word);
+    "the record: read as it was written, packed; a record of a program before is read, one too large is "
+    "not") {
+    rpc::ConfigRecord record{7, std::string(200'000, 'd'), {{3, 33}, {7, 77}}, 2};
+    const std::string bytes = rpc::encode(record);
     CHECK(bytes.size() < 1000);
-    const auto read = passage::decode_word(bytes);
+    const auto read = rpc::decode_word(bytes);
     REQUIRE(read);
     CHECK(read->version == 7);
-    CHECK(read->document == word.document);
-    CHECK(read->history.back().digest == 77);
-    CHECK(read->forgotten == 2);
+    CHECK(read->document == record.document);
+    CHECK(read->accepted_changes.back().digest == 77);
+    CHECK(read->forgotten_up_to == 2);
     for (std::size_t cut = 8; cut < bytes.size(); cut += 8)
-        CHECK_FALSE(passage::decode_word(bytes.substr(0, cut)));
-    word.document.assign(passage::kMostDocument + 1, 'd');
-    CHECK_FALSE(passage::decode_word(passage::encode(word)));
+        CHECK_FALSE(rpc::decode_word(bytes.substr(0, cut)));
+    record.document.assign(rpc::kMaxDocumentBytes + 1, 'd');
+    CHECK_FALSE(rpc::decode_word(rpc::encode(record)));
     // Version 9, the document "{}", versions 5 and 9 taken: as the program of 1 December 2026 wrote it.
     const unsigned char before[] = {
         0x00, 0x00, 0x00, 0x00, 0x0a, 0x00, 0x00, 0x00, 0x00, 0x00, 0x00, 0x00, 0x01, 0x00, 0x02,
@@ -209,12 +210,12 @@
         0x00, 0x00, 0x00, 0x08, 0x00, 0x00, 0x00, 0x02, 0x00, 0x00, 0x00, 0x05, 0x00, 0x00, 0x00,
         0x00, 0x00, 0x00, 0x00, 0x37, 0x00, 0x00, 0x00, 0x00, 0x00, 0x00, 0x00, 0x09, 0x00, 0x00,
         0x00, 0x00, 0x00, 0x00, 0x00, 0x63, 0x00, 0x00, 0x00, 0x00, 0x00, 0x00, 0x00};
-    const auto old = passage::decode_word({reinterpret_cast<const char*>(before), sizeof before});
+    const auto old = rpc::decode_word({reinterpret_cast<const char*>(before), sizeof before});
     REQUIRE(old);
     CHECK(old->version == 9);
     CHECK(old->document == "{}");
-    CHECK(old->history.front().digest == 55);
-    CHECK(old->forgotten == 4);
+    CHECK(old->accepted_changes.front().digest == 55);
+    CHECK(old->forgotten_up_to == 4);
 }
 
 TEST_CASE("routes: the longest prefix, by host, and splits that stay with an id") {
--- a/tools/hollow/hollow_stall.cpp
+++ b/tools/hollow/hollow_stall.cpp
@@ -65,8 +65,8 @@
     if (!to || guildhalls_.size() >= kMostGuildhalls) return;
     Guildhall& guildhall = guildhalls_[address];
     guildhall.named = guildhall.answered = loop_.now();
-    guildhall.dialer = std::make_unique<passage::Dialer>(
-        loop_, *to, [this, address](passage::Message&& message) { heard(address, std::move(message)); },
+    guildhall.client = std::make_unique<rpc::ReconnectingClient>(
+        loop_, *to, [this, address](rpc::Message&& message) { heard(address, std::move(message)); },
         [this, address] {
             Guildhall& up = guildhalls_.at(address);
             up.answered = loop_.now();
@@ -85,8 +85,8 @@
 }
 
 void HollowStall::poll(Guildhall& guildhall) {
-    guildhall.dialer->send(passage::Poll{guildhall.epoch, guildhall.seq,
-                                         std::max(version_, guildhall.passed_over), guildhall.wants});
+    guildhall.client->send(rpc::WatchRequest{guildhall.epoch, guildhall.seq,
+                                             std::max(version_, guildhall.passed_over), guildhall.wants});
 }
 
 void HollowStall::announce_to(Guildhall& guildhall) {
@@ -100,7 +100,7 @@
         demands_ = quota_limiter_.demands(now, tenants);
     }
     const auto asked = static_cast<std::uint64_t>(loop_.now().time_since_epoch().count());
-    guildhall.dialer->send(passage::Announce{registration_, demands_, guildhall.taken, version_, asked});
+    guildhall.client->send(rpc::RegisterRequest{registration_, demands_, guildhall.taken, version_, asked});
 }
 
 void HollowStall::announce() {
@@ -108,25 +108,26 @@
     for (auto& [address, guildhall] : guildhalls_) announce_to(guildhall);
 }
 
-void HollowStall::heard(const std::string& address, passage::Message&& message) {
+void HollowStall::heard(const std::string& address, rpc::Message&& message) {
     const Time now = loop_.now();
     Guildhall& guildhall = guildhalls_.at(address);
-    if (auto* grants = std::get_if<passage::Grants>(&message)) {
-        guildhall.taken = grants->number;
-        const Time asked{Duration{static_cast<Duration::rep>(grants->asked)}};
-        if (grants->leads && asked <= now) quota_limiter_.apply_leases(now, grants->grants, asked);
-    } else if (auto* news = std::get_if<passage::News>(&message)) {
+    if (auto* grants = std::get_if<rpc::RegisterResponse>(&message)) {
+        guildhall.taken = grants->response_number;
+        const Time asked{Duration{static_cast<Duration::rep>(grants->request_sent_at)}};
+        if (grants->from_leader && asked <= now)
+            quota_limiter_.apply_leases(now, grants->quota_leases, asked);
+    } else if (auto* news = std::get_if<rpc::WatchResponse>(&message)) {
         guildhall.answered = now;
-        guildhall.in_touch = news->in_touch;
-        guildhall.epoch = news->rolls.epoch;
-        guildhall.seq = news->rolls.seq;
-        for (const auto& other : news->guildhalls) dial(other.address);
+        guildhall.in_touch = news->has_quorum_contact;
+        guildhall.epoch = news->registry.epoch;
+        guildhall.seq = news->registry.seq;
+        for (const auto& other : news->controllers) dial(other.address);
         show_touch();
-        apply(view_.apply(now, address, news->rolls));
-        const bool takes = intake_.takes(now, version_, news->version, news->in_touch);
-        if (takes && !news->config.empty()) serve(news->version, news->config);
-        guildhall.wants = takes && news->version > version_;
-        guildhall.passed_over = !takes && news->version > version_ ? news->version : 0;
+        apply(view_.apply(now, address, news->registry));
+        const bool takes = intake_.takes(now, version_, news->config_version, news->has_quorum_contact);
+        if (takes && !news->config.empty()) serve(news->config_version, news->config);
+        guildhall.wants = takes && news->config_version > version_;
+        guildhall.passed_over = !takes && news->config_version > version_ ? news->config_version : 0;
         if (guildhall.passed_over != 0 && !std::exchange(asking_again_, true)) {
             intake_timer_.set(now + kIntakePatience, [this] {
                 for (auto& [other, each] : guildhalls_) {
@@ -183,13 +184,13 @@
     if (now - announced_ >= kAnnounce) announce();
     for (auto it = guildhalls_.begin(); it != guildhalls_.end();) {
         Guildhall& guildhall = it->second;
-        if (guildhall.dialer->up() && now - guildhall.answered > kGuildhallSilent) {
+        if (guildhall.client->is_connected() && now - guildhall.answered > kGuildhallSilent) {
             guildhall.answered = now;
-            guildhall.dialer->renew();
+            guildhall.client->reconnect();
         }
         const bool seed = std::any_of(options_.guildhalls.begin(), options_.guildhalls.end(),
                                       [&](const Address& a) { return text_of(a) == it->first; });
-        if (!seed && !guildhall.dialer->up() &&
+        if (!seed && !guildhall.client->is_connected() &&
             now - std::max(guildhall.named, guildhall.answered) > kForgetGuildhall) {
             it = guildhalls_.erase(it);
         } else {
--- a/tools/hollow/hollow_stall.h
+++ b/tools/hollow/hollow_stall.h
@@ -1,5 +1,5 @@
 // A hollow node: the control side of a stall without its requests. The objects are the stall's own (registry,
-// berths, quotas, routes, the passage's connections); what joins them follows src/stall/stall.cpp, and a run
+// berths, quotas, routes, the rpc's connections); what joins them follows src/stall/stall.cpp, and a run
 // of both side by side shows whether it still does (docs/CAPACITY.md).
 #pragma once
 
@@ -13,11 +13,11 @@
 
 #include "core/loop.h"
 #include "mesh_config/mesh_config.h"
-#include "passage/channel.h"
 #include "quay/berths.h"
 #include "quay/quay.h"
 #include "quota/quota.h"
 #include "registry/registry.h"
+#include "rpc/channel.h"
 #include "stall/intake.h"
 
 namespace martenford::hollow {
@@ -45,7 +45,7 @@
 
   private:
     struct Guildhall {
-        std::unique_ptr<passage::Dialer> dialer;
+        std::unique_ptr<rpc::ReconnectingClient> client;
         std::uint64_t epoch = 0, seq = 0, taken = 0;
         std::uint32_t passed_over = 0;  // a version that it offered and that was not taken
         bool in_touch = false, wants = false;
@@ -56,7 +56,7 @@
     void poll(Guildhall& guildhall);
     void announce_to(Guildhall& guildhall);
     void announce();
-    void heard(const std::string& address, passage::Message&& message);
+    void heard(const std::string& address, rpc::Message&& message);
     void serve(std::uint32_t version, const std::string& document);
     void apply(const std::vector<std::string>& nodes);
     void tick();
