--- a/src/event_log/event_log.h
+++ b/src/event_log/event_log.h
@@ -8,51 +8,52 @@
 #include <utility>
 #include <vector>
 
-namespace martenford::bell {
+namespace martenford::event_log {
 
 enum class Event {
     Started,
     Stopping,
     BadSettings,
-    CharterTaken,
-    CharterRefused,
-    CharterServed,
-    Leads,
-    LeadLost,
-    MembersChanged,
-    PlaceGiven,
-    PlaceKept,
-    LossesNotBorne,
-    DiskTrouble,
-    DiskDamaged,
-    FreshMember,
+    ConfigAccepted,
+    ConfigRejected,
+    ConfigApplied,
+    LeadershipGained,
+    LeadershipLost,
+    VotersChanged,
+    VoteTransferred,
+    VoteKept,
+    FaultToleranceNotMet,
+    StorageFailed,
+    StorageDamaged,
+    NewMember,
     EndpointSeen,
-    EndpointLeaves,
+    EndpointDraining,
     EndpointGone,
-    StallSilent,
-    OutOfTouch,
-    BackInTouch,
-    NoCharter,
-    Answers
+    ProxyLeaseExpired,
+    QuorumContactLost,
+    QuorumContactRestored,
+    NoConfig,
+    RequestTotals
 };
 
-enum class Weight { Info, Warning, Error };
+enum class Severity { Info, Warning, Error };
 
-struct Kind {
+struct EventDescription {
     Event event;
     const char* code;  ///< "MG101": stays with its meaning for good
     const char* name;
-    Weight weight;
-    unsigned most;  ///< lines a minute; what comes more often is counted and told of with the next one
+    Severity severity;
+    unsigned
+        max_per_minute;  ///< lines a minute; what comes more often is counted and told of with the next one
     const char* meaning;
 };
-const std::vector<Kind>& kinds();
+const std::vector<EventDescription>& event_catalogue();
 /// The table as a page.
-std::string page();
+std::string catalogue_page();
 
 /// To standard error; called once, before ring().
 void open(const std::string& program);
-void ring(Event event, const std::string& text,
-          std::initializer_list<std::pair<std::string_view, std::string>> fields = {});
+void log_event(Event event, const std::string& text,
+               std::initializer_list<std::pair<std::string_view, std::string>> fields = {});
 
-}  // namespace martenford::bell
+}  // namespace martenford::event_log
--- a/src/guildhall/guildhall.cpp
+++ b/src/guildhall/guildhall.cpp
@@ -11,11 +11,11 @@
 #include <random>
 #include <set>
 
-#include "bell/bell.h"
 #include "boot/settings.h"
 #include "calls/calls.h"
 #include "config_service/config_service.h"
 #include "durable_store/durable_store.h"
+#include "event_log/event_log.h"
 #include "quota/quota.h"
 #include "registry/registry.h"
 #include "rpc/channel.h"
@@ -23,8 +23,8 @@
 namespace martenford::guildhall {
 namespace {
 
-using bell::Event;
-using bell::ring;
+using event_log::Event;
+using event_log::log_event;
 
 constexpr int kBadSettings = 2;
 constexpr std::size_t kMapBytes = 96 * 1024 * 1024;  // of LMDB; the disk has more
@@ -82,11 +82,11 @@
                     [this](auto channel) { accepted(std::move(channel)); }) {
         config_service_.on_decided = [](bool taken, std::uint32_t version, const std::string& why) {
             if (taken) {
-                ring(Event::CharterTaken, "configuration taken",
-                     {{"version", mesh_config::text_of(version)}});
+                log_event(Event::ConfigAccepted, "configuration taken",
+                          {{"version", mesh_config::text_of(version)}});
             } else {
-                ring(Event::CharterRefused, "configuration refused",
-                     {{"version", mesh_config::text_of(version)}, {"why", why}});
+                log_event(Event::ConfigRejected, "configuration refused",
+                          {{"version", mesh_config::text_of(version)}, {"why", why}});
             }
         };
         config_service_.control_address_of = [this](const raft::Member& leader) {
@@ -101,7 +101,7 @@
         }
         signals_.async_wait([this](const auto& error, int) {
             if (error) return;
-            ring(Event::Stopping, "stopping");
+            log_event(Event::Stopping, "stopping");
             const Time now = loop_.now();
             ends_at_ = now + std::min<Duration>(kLongestLeave, settings_.bounds.grace / 3);
             raft_.leave(now);
@@ -110,10 +110,10 @@
         });
         hang_up();
         tick();
-        ring(Event::Started, "listening",
-             {{"control", text_of(*settings.control)},
-              {"member", std::to_string(self_.id)},
-              {"voter", raft_.is_voter() ? "yes" : "no"}});
+        log_event(Event::Started, "listening",
+                  {{"control", text_of(*settings.control)},
+                   {"member", std::to_string(self_.id)},
+                   {"voter", raft_.is_voter() ? "yes" : "no"}});
     }
     void run() { loop_.run(); }
 
@@ -121,9 +121,9 @@
     void leave() {
         const Time now = loop_.now();
         if (raft_.has_left() || now >= ends_at_) {
-            ring(raft_.has_left() ? Event::PlaceGiven : Event::PlaceKept,
-                 raft_.has_left() ? "gave its place away" : "ends with its place",
-                 {{"copies_elsewhere", raft_.has_left() ? "yes" : "unknown"}});
+            log_event(raft_.has_left() ? Event::VoteTransferred : Event::VoteKept,
+                      raft_.has_left() ? "gave its place away" : "ends with its place",
+                      {{"copies_elsewhere", raft_.has_left() ? "yes" : "unknown"}});
             // What was answered last goes out first.
             return ending_.set(now + kLastWords, [this] { loop_.stop(); });
         }
@@ -385,7 +385,7 @@
         if (const Time now = loop_.now(); now >= save_again_) {
             const auto saved = store_->save(rpc::records_of(raft_.persistent_state()));
             if (const auto* trouble = std::get_if<durable_store::StorageError>(&saved)) {
-                ring(Event::DiskTrouble, "not written", {{"what", trouble->message}});
+                log_event(Event::StorageFailed, "not written", {{"what", trouble->message}});
                 save_again_ = loop_.now() + kSaveAgain;
             } else {
                 unsaved_ = false;
@@ -409,8 +409,9 @@
     void report() {
         if (const bool leads = raft_.role() == raft::RaftNode::Role::Leader; leads != led_) {
             led_ = leads;
-            ring(leads ? Event::Leads : Event::LeadLost, leads ? "leads" : "leads no more",
-                 {{"term", std::to_string(raft_.persistent_state().term)}});
+            log_event(leads ? Event::LeadershipGained : Event::LeadershipLost,
+                      leads ? "leads" : "leads no more",
+                      {{"term", std::to_string(raft_.persistent_state().term)}});
         }
         // A set counts once it stands alone: while the one before it has a say, it may not bear a loss yet.
         if (!raft_.persistent_state().last_entry.outgoing_voters.empty() ||
@@ -422,13 +423,13 @@
             text += (text.empty() ? "" : ",") + voter.address;
             know(voter);
         }
-        ring(Event::MembersChanged, "voters", {{"are", text}, {"this", raft_.is_voter() ? "yes" : "no"}});
+        log_event(Event::VotersChanged, "voters", {{"are", text}, {"this", raft_.is_voter() ? "yes" : "no"}});
         if (!raft_.tolerates_failures())
-            ring(Event::LossesNotBorne, "too few voters",
-                 {{"voters", std::to_string(voters_.size())},
-                  {"machines", std::to_string(settings_.fault_tolerance.machines)},
-                  {"zones", std::to_string(settings_.fault_tolerance.zones)},
-                  {"regions", std::to_string(settings_.fault_tolerance.regions)}});
+            log_event(Event::FaultToleranceNotMet, "too few voters",
+                      {{"voters", std::to_string(voters_.size())},
+                       {"machines", std::to_string(settings_.fault_tolerance.machines)},
+                       {"zones", std::to_string(settings_.fault_tolerance.zones)},
+                       {"regions", std::to_string(settings_.fault_tolerance.regions)}});
     }
 
     const boot::Settings& settings_;
@@ -459,10 +460,10 @@
 std::variant<raft::PersistentState, durable_store::StorageError> disk_of(const boot::Settings& settings,
                                                                          durable_store::DurableStore& store) {
     const durable_store::LoadResult found = store.load();
-    if (found.damaged) ring(Event::DiskDamaged, "a record is damaged");
+    if (found.damaged) log_event(Event::StorageDamaged, "a record is damaged");
     if (!found.damaged && !found.records.empty()) {
         if (auto disk = rpc::disk_of(found.records); disk && disk->self_id != 0) return *disk;
-        ring(Event::DiskDamaged, "the records don't belong together");
+        log_event(Event::StorageDamaged, "the records don't belong together");
     }
     raft::PersistentState disk;
     disk.self_id = drawn();
@@ -479,7 +480,7 @@
         }
         disk.committed_entry = disk.last_entry;
     } else {
-        ring(Event::FreshMember, "a new member without a vote");
+        log_event(Event::NewMember, "a new member without a vote");
     }
     const auto saved = store.save(rpc::records_of(disk));
     if (const auto* trouble = std::get_if<durable_store::StorageError>(&saved)) return *trouble;
@@ -493,7 +494,7 @@
                                      {nullptr, 0, nullptr, 0}};
     bool check = false;
     for (int given = 0; (given = getopt_long(argc, argv, "hce", options, nullptr)) != -1;) {
-        if (given == 'e') return std::cout << bell::page(), 0;
+        if (given == 'e') return std::cout << event_log::catalogue_page(), 0;
         if (given == 'c') {
             check = true;
             continue;
@@ -502,10 +503,10 @@
                      "  --check   read the settings and end\n  --events  the catalogue of events\n";
         return given == 'h' ? 0 : kBadSettings;
     }
-    bell::open("guildhall");
+    event_log::open("guildhall");
     const auto loaded = boot::load();
     if (const auto* trouble = std::get_if<boot::Trouble>(&loaded)) {
-        ring(Event::BadSettings, trouble->text);
+        log_event(Event::BadSettings, trouble->text);
         return kBadSettings;
     }
     const auto& settings = std::get<boot::Settings>(loaded);
@@ -513,7 +514,7 @@
                         : settings.data_directory.empty() ? "data_directory"
                                                           : nullptr;
     if (lacks) {
-        ring(Event::BadSettings, std::string(lacks) + ": it is missing");
+        log_event(Event::BadSettings, std::string(lacks) + ": it is missing");
         return kBadSettings;
     }
     if (check) return 0;
@@ -521,7 +522,7 @@
     for (;;) {
         auto opened = durable_store::DurableStore::open(settings.data_directory, kMapBytes);
         if (const auto* trouble = std::get_if<durable_store::StorageError>(&opened)) {
-            ring(Event::DiskTrouble, "can't open", {{"what", trouble->message}});
+            log_event(Event::StorageFailed, "can't open", {{"what", trouble->message}});
         } else {
             auto store = std::get<std::unique_ptr<durable_store::DurableStore>>(std::move(opened));
             auto disk = disk_of(settings, *store);
@@ -530,8 +531,8 @@
                 guildhall.run();
                 return 0;
             }
-            ring(Event::DiskTrouble, "can't write",
-                 {{"what", std::get<durable_store::StorageError>(disk).message}});
+            log_event(Event::StorageFailed, "can't write",
+                      {{"what", std::get<durable_store::StorageError>(disk).message}});
         }
         ::usleep(200'000);
     }
--- a/src/stall/stall.cpp
+++ b/src/stall/stall.cpp
@@ -11,11 +11,11 @@
 #include <random>
 #include <set>
 
-#include "bell/bell.h"
 #include "boot/settings.h"
 #include "calls/calls.h"
 #include "core/engine.h"
 #include "core/tally.h"
+#include "event_log/event_log.h"
 #include "http1/back.h"
 #include "http1/front.h"
 #include "mesh_config/mesh_config.h"
@@ -27,8 +27,8 @@
 namespace martenford::stall {
 namespace {
 
-using bell::Event;
-using bell::ring;
+using event_log::Event;
+using event_log::log_event;
 
 constexpr int kBadSettings = 2;
 constexpr Duration kTick = 100ms;
@@ -144,10 +144,10 @@
         });
         hang_up();
         tick();
-        ring(Event::Started, "listening",
-             {{"outbound", text_of(*settings.outbound)},
-              {"inbound", registration_.inbound_address},
-              {"service", settings.service}});
+        log_event(Event::Started, "listening",
+                  {{"outbound", text_of(*settings.outbound)},
+                   {"inbound", registration_.inbound_address},
+                   {"service", settings.service}});
     }
     void run() { loop_.run(); }
 
@@ -264,7 +264,7 @@
             find_endpoint();
             demanded_ = {};  // tenants that are new have no share yet
             announce();
-            ring(Event::CharterServed, "serves by", {{"version", mesh_config::text_of(version)}});
+            log_event(Event::ConfigApplied, "serves by", {{"version", mesh_config::text_of(version)}});
         }
     }
 
@@ -317,7 +317,7 @@
         if (call.id != registration_.instance_id) {
             if (past_.contains(call.id)) return {200, "{}"};  // late word of a life that is over
             if (!registration_.instance_id.empty()) remember_past(registration_.instance_id);
-            ring(Event::EndpointSeen, "endpoint", {{"id", call.id}, {"at", address}});
+            log_event(Event::EndpointSeen, "endpoint", {{"id", call.id}, {"at", address}});
             last_seq_ = -1;
             endpoint_ = EndpointId{++last_id_};
         }
@@ -339,7 +339,7 @@
         if (before != std::tuple(registration_.instance_id, registration_.state, registration_.slots,
                                  registration_.service)) {
             if (registration_.state == registry::EndpointState::Draining)
-                ring(Event::EndpointLeaves, "drains", {{"id", call.id}});
+                log_event(Event::EndpointDraining, "drains", {{"id", call.id}});
             changed();
         }
         return {200, "{}"};
@@ -364,7 +364,8 @@
                 endpoint_ = id;
                 beat_at_ = loop_.now();
                 gate_.endpoint(endpoint_, registration_.instance_id, registration_.slots);
-                ring(Event::EndpointSeen, "endpoint, by its health", {{"id", registration_.instance_id}});
+                log_event(Event::EndpointSeen, "endpoint, by its health",
+                          {{"id", registration_.instance_id}});
                 changed();
             } else {
                 to_endpoint_.remove(id);
@@ -379,7 +380,7 @@
     }
     void gone(const std::string& why) {
         if (registration_.state == registry::EndpointState::Absent) return;
-        ring(Event::EndpointGone, "endpoint gone", {{"id", registration_.instance_id}, {"why", why}});
+        log_event(Event::EndpointGone, "endpoint gone", {{"id", registration_.instance_id}, {"why", why}});
         registration_.state = registry::EndpointState::Absent;
         if (why == "deregistered") remember_past(registration_.instance_id);
         registration_.instance_id.clear();
@@ -425,8 +426,8 @@
         }
         if (in_touch != in_touch_) {
             in_touch_ = in_touch;
-            ring(in_touch ? Event::BackInTouch : Event::OutOfTouch, in_touch ? "in touch" : "out of touch",
-                 {{"version", mesh_config::text_of(version_)}});
+            log_event(in_touch ? Event::QuorumContactRestored : Event::QuorumContactLost,
+                      in_touch ? "in touch" : "out of touch", {{"version", mesh_config::text_of(version_)}});
         }
         const auto patience = Duration{
             static_cast<Duration::rep>(kBeatsMissed * static_cast<double>(settings_.beat_interval.count()))};
@@ -434,14 +435,14 @@
             gone("no beats");
         if (now - figured_ >= kFiguresEvery) {
             figured_ = now;
-            ring(Event::Answers, "answers",
-                 {{"taken", std::to_string(figures_.taken)},
-                  {"served", std::to_string(figures_.served)},
-                  {"refused", std::to_string(figures_.refused)},
-                  {"failed", std::to_string(figures_.failed)},
-                  {"no_route", std::to_string(figures_.no_route)},
-                  {"no_key", std::to_string(figures_.no_key)},
-                  {"over_quota", std::to_string(figures_.over_quota)}});
+            log_event(Event::RequestTotals, "answers",
+                      {{"taken", std::to_string(figures_.taken)},
+                       {"served", std::to_string(figures_.served)},
+                       {"refused", std::to_string(figures_.refused)},
+                       {"failed", std::to_string(figures_.failed)},
+                       {"no_route", std::to_string(figures_.no_route)},
+                       {"no_key", std::to_string(figures_.no_key)},
+                       {"over_quota", std::to_string(figures_.over_quota)}});
         }
     }
     bool is_seed(const std::string& address) const {
@@ -453,7 +454,7 @@
     /// Readiness says no, clients leave, what was taken is answered.
     void drain() {
         if (std::exchange(stopping_, true)) return;
-        ring(Event::Stopping, "stopping");
+        log_event(Event::Stopping, "stopping");
         quay_.drain();
         // Its endpoint, if it is still there, is used on while clients leave.
         again_.set(loop_.now() + settings_.bounds.grace / 4, [this] { gone("stopping"); });
@@ -523,7 +524,7 @@
                                      {nullptr, 0, nullptr, 0}};
     bool check = false;
     for (int given = 0; (given = getopt_long(argc, argv, "hce", options, nullptr)) != -1;) {
-        if (given == 'e') return std::cout << bell::page(), 0;
+        if (given == 'e') return std::cout << event_log::catalogue_page(), 0;
         if (given == 'c') {
             check = true;
             continue;
@@ -532,10 +533,10 @@
                      "  --check   read the settings and end\n  --events  the catalogue of events\n";
         return given == 'h' ? 0 : kBadSettings;
     }
-    bell::open("stall");
+    event_log::open("stall");
     const auto loaded = boot::load();
     if (const auto* trouble = std::get_if<boot::Trouble>(&loaded)) {
-        ring(Event::BadSettings, trouble->text);
+        log_event(Event::BadSettings, trouble->text);
         return kBadSettings;
     }
     const auto& settings = std::get<boot::Settings>(loaded);
@@ -545,7 +546,7 @@
                                                    {settings.control.has_value(), "listen_addrs.control"}};
     for (const auto& [there, name] : wanted) {
         if (there) continue;
-        ring(Event::BadSettings, std::string(name) + ": it is missing");
+        log_event(Event::BadSettings, std::string(name) + ": it is missing");
         return kBadSettings;
     }
     if (check) return 0;
