--- a/src/bootstrap/settings.cpp
+++ b/src/bootstrap/settings.cpp
@@ -1,4 +1,4 @@
-#include "boot/settings.h"
+#include "bootstrap/settings.h"
 
 #include <toml++/toml.h>
 
@@ -8,7 +8,7 @@
 
 #include "mesh_config/described.h"
 
-namespace martenford::boot {
+namespace martenford::bootstrap {
 
 namespace {
 
@@ -192,13 +192,13 @@
 
 }  // namespace
 
-std::variant<Settings, Trouble> load(const std::string& path) {
+std::variant<Settings, SettingsError> load(const std::string& path) {
     toml::table table;
     try {
         table = toml::parse_file(path);
     } catch (const toml::parse_error& error) {
-        return Trouble{path + ":" + std::to_string(error.source().begin.line) + ": " +
-                       std::string(error.description())};
+        return SettingsError{path + ":" + std::to_string(error.source().begin.line) + ": " +
+                             std::string(error.description())};
     }
     File file;
     auto problem = mesh_config::read(json_of(table), file, "");
@@ -207,12 +207,12 @@
     if (!problem) return settings;
     const auto node = table.at_path(problem->path);
     const auto line = node ? node.node()->source().begin.line : 0;
-    return Trouble{path + ":" + std::to_string(line) + ": " + problem->text()};
+    return SettingsError{path + ":" + std::to_string(line) + ": " + problem->text()};
 }
 
-std::variant<Settings, Trouble> load() {
+std::variant<Settings, SettingsError> load() {
     const char* named = std::getenv("MARTENFORD_CONFIG");
     return load(named ? named : "/etc/martenford/boot.toml");
 }
 
-}  // namespace martenford::boot
+}  // namespace martenford::bootstrap
--- a/src/bootstrap/settings.h
+++ b/src/bootstrap/settings.h
@@ -10,7 +10,7 @@
 #include "core/address.h"
 #include "core/scheduler.h"
 
-namespace martenford::boot {
+namespace martenford::bootstrap {
 
 /// The rules' figures that this program goes by. Absent ones keep the defaults that stand here.
 struct Bounds {
@@ -44,13 +44,13 @@
 };
 
 /// One line: file, line and field.
-struct Trouble {
-    std::string text;
+struct SettingsError {
+    std::string message;
 };
 
 /// Reads the file that MARTENFORD_CONFIG names, else /etc/martenford/boot.toml. Unknown fields are passed
 /// over.
-std::variant<Settings, Trouble> load();
-std::variant<Settings, Trouble> load(const std::string& path);
+std::variant<Settings, SettingsError> load();
+std::variant<Settings, SettingsError> load(const std::string& path);
 
-}  // namespace martenford::boot
+}  // namespace martenford::bootstrap
--- a/src/guildhall/guildhall.cpp
+++ b/src/guildhall/guildhall.cpp
@@ -11,7 +11,7 @@
 #include <random>
 #include <set>
 
-#include "boot/settings.h"
+#include "bootstrap/settings.h"
 #include "calls/calls.h"
 #include "config_service/config_service.h"
 #include "durable_store/durable_store.h"
@@ -47,7 +47,7 @@
 
 class Guildhall {
   public:
-    Guildhall(const boot::Settings& settings, std::unique_ptr<durable_store::DurableStore> store,
+    Guildhall(const bootstrap::Settings& settings, std::unique_ptr<durable_store::DurableStore> store,
               raft::PersistentState disk)
         : settings_(settings),
           store_(std::move(store)),
@@ -130,7 +130,7 @@
         ending_.set(now + kTick, [this] { leave(); });
     }
 
-    static std::string own_address(const boot::Settings& settings) {
+    static std::string own_address(const bootstrap::Settings& settings) {
         return settings.ip_address + ":" + std::to_string(settings.first_port);
     }
 
@@ -146,7 +146,7 @@
         Time polled{};
     };
 
-    static raft::RaftOptions raft_options(const boot::Settings& settings) {
+    static raft::RaftOptions raft_options(const bootstrap::Settings& settings) {
         raft::RaftOptions options;
         // A restart in order is an absence as well: one machine is borne also where none need be.
         options.fault_tolerance = {std::max<std::size_t>(settings.fault_tolerance.machines, 1),
@@ -155,7 +155,7 @@
         options.replace_voter_after = std::clamp<Duration>(settings.bounds.catch_up * 3 / 8, 1s, 2500ms);
         return options;
     }
-    static quota::QuotaAllocator::Options quota_options(const boot::Settings& settings) {
+    static quota::QuotaAllocator::Options quota_options(const bootstrap::Settings& settings) {
         quota::QuotaAllocator::Options options;
         options.window = settings.bounds.quota_window;
         options.overshoot = settings.bounds.quota_overshoot;
@@ -167,8 +167,8 @@
     void hang_up() {
         hangups_.async_wait([this](const auto& error, int) {
             if (error) return;
-            const auto loaded = boot::load();
-            if (const auto* read = std::get_if<boot::Settings>(&loaded)) {
+            const auto loaded = bootstrap::load();
+            if (const auto* read = std::get_if<bootstrap::Settings>(&loaded)) {
                 for (const Address& seed : read->seeds)
                     dial(seed.address().to_string() + ":" + std::to_string(read->first_port));
             }
@@ -432,7 +432,7 @@
                        {"regions", std::to_string(settings_.fault_tolerance.regions)}});
     }
 
-    const boot::Settings& settings_;
+    const bootstrap::Settings& settings_;
     Loop loop_;
     Counters counters_;
     std::unique_ptr<durable_store::DurableStore> store_;
@@ -457,7 +457,7 @@
 };
 
 /// What this machine's disk holds; a machine whose disk is empty or damaged is a new member.
-std::variant<raft::PersistentState, durable_store::StorageError> disk_of(const boot::Settings& settings,
+std::variant<raft::PersistentState, durable_store::StorageError> disk_of(const bootstrap::Settings& settings,
                                                                          durable_store::DurableStore& store) {
     const durable_store::LoadResult found = store.load();
     if (found.damaged) log_event(Event::StorageDamaged, "a record is damaged");
@@ -504,12 +504,12 @@
         return given == 'h' ? 0 : kBadSettings;
     }
     event_log::open("guildhall");
-    const auto loaded = boot::load();
-    if (const auto* trouble = std::get_if<boot::Trouble>(&loaded)) {
-        log_event(Event::BadSettings, trouble->text);
+    const auto loaded = bootstrap::load();
+    if (const auto* trouble = std::get_if<bootstrap::SettingsError>(&loaded)) {
+        log_event(Event::BadSettings, trouble->message);
         return kBadSettings;
     }
-    const auto& settings = std::get<boot::Settings>(loaded);
+    const auto& settings = std::get<bootstrap::Settings>(loaded);
     const char* lacks = !settings.control                 ? "listen_addrs.control"
                         : settings.data_directory.empty() ? "data_directory"
                                                           : nullptr;
--- a/src/stall/dialects.h
+++ b/src/stall/dialects.h
@@ -7,7 +7,7 @@
 #include <memory>
 #include <string>
 
-#include "boot/settings.h"
+#include "bootstrap/settings.h"
 #include "core/loop.h"
 #include "http1/dialect.h"
 #include "mesh_config/mesh_config.h"
@@ -27,7 +27,7 @@
 class OutboundFront : public FrontDialect {
   public:
     /// `stalls` tells how many there are.
-    OutboundFront(const boot::Settings& settings, quay::Quay& quay, quota::QuotaLimiter& scale,
+    OutboundFront(const bootstrap::Settings& settings, quay::Quay& quay, quota::QuotaLimiter& scale,
                   Figures& figures, std::function<std::size_t()> stalls)
         : settings_(settings), quay_(quay), scale_(scale), figures_(figures), stalls_(std::move(stalls)) {}
     void serve(std::shared_ptr<const mesh_config::RouteTable> routes);
@@ -53,7 +53,7 @@
                         const mesh_config::Tenant* tenant) const;
     void replan(const Behind& behind);
 
-    const boot::Settings& settings_;
+    const bootstrap::Settings& settings_;
     quay::Quay& quay_;
     quota::QuotaLimiter& scale_;
     Figures& figures_;
@@ -100,7 +100,8 @@
     /// The configuration in force here.
     using InForce = std::function<const mesh_config::RouteTable*()>;
     /// `life` of this process: what it has handed on is known in it alone.
-    HopFront(const boot::Settings& settings, tollgate::Tollgate& gate, std::uint64_t life, InForce in_force)
+    HopFront(const bootstrap::Settings& settings, tollgate::Tollgate& gate, std::uint64_t life,
+             InForce in_force)
         : settings_(settings), gate_(gate), life_(life), in_force_(std::move(in_force)) {
         limits_.idle_time = 30s;
         limits_.most_header = 32 * 1024;
@@ -112,7 +113,7 @@
     void write(const Answer& answer, const loftfront::RequestId& id, http::response_header<>& head) override;
 
   private:
-    const boot::Settings& settings_;
+    const bootstrap::Settings& settings_;
     tollgate::Tollgate& gate_;
     bool decides_otherwise(const Fields& head, const tollgate::Toll& toll,
                            mesh_config::Version version) const;
--- a/src/stall/stall.cpp
+++ b/src/stall/stall.cpp
@@ -11,7 +11,7 @@
 #include <random>
 #include <set>
 
-#include "boot/settings.h"
+#include "bootstrap/settings.h"
 #include "calls/calls.h"
 #include "core/engine.h"
 #include "core/tally.h"
@@ -79,7 +79,7 @@
 
 class Stall {
   public:
-    explicit Stall(const boot::Settings& settings)
+    explicit Stall(const bootstrap::Settings& settings)
         : settings_(settings),
           life_(drawn()),
           quay_({settings.zone}, drawn()),
@@ -470,8 +470,8 @@
         hangups_.async_wait([this](const auto& error, int) {
             if (error) return;
             // Seeds may be others now; the rest holds for the life of the process.
-            const auto loaded = boot::load();
-            if (const auto* read = std::get_if<boot::Settings>(&loaded)) {
+            const auto loaded = bootstrap::load();
+            if (const auto* read = std::get_if<bootstrap::Settings>(&loaded)) {
                 for (const Address& seed : read->seeds)
                     dial(seed.address().to_string() + ":" + std::to_string(read->first_port));
             }
@@ -479,7 +479,7 @@
         });
     }
 
-    const boot::Settings& settings_;
+    const bootstrap::Settings& settings_;
     Loop loop_;
     Counters counters_, gate_counters_, control_counters_, readiness_counters_;
     const std::uint64_t life_;
@@ -534,12 +534,12 @@
         return given == 'h' ? 0 : kBadSettings;
     }
     event_log::open("stall");
-    const auto loaded = boot::load();
-    if (const auto* trouble = std::get_if<boot::Trouble>(&loaded)) {
-        log_event(Event::BadSettings, trouble->text);
+    const auto loaded = bootstrap::load();
+    if (const auto* trouble = std::get_if<bootstrap::SettingsError>(&loaded)) {
+        log_event(Event::BadSettings, trouble->message);
         return kBadSettings;
     }
-    const auto& settings = std::get<boot::Settings>(loaded);
+    const auto& settings = std::get<bootstrap::Settings>(loaded);
     const std::pair<bool, const char*> wanted[] = {{settings.inbound.has_value(), "listen_addrs.inbound"},
                                                    {settings.outbound.has_value(), "listen_addrs.outbound"},
                                                    {settings.readiness.has_value(), "listen_addrs.readiness"},
--- a/tests/mesh/hop_world.h
+++ b/tests/mesh/hop_world.h
@@ -16,7 +16,7 @@
 #include <string>
 #include <vector>
 
-#include "boot/settings.h"
+#include "bootstrap/settings.h"
 #include "core/engine.h"
 #include "core/loop.h"
 #include "core/tally.h"
@@ -307,7 +307,7 @@
         relay = std::make_unique<Relay>(loop, random, trouble, front.listens_at());
     }
     Endpoint endpoint;
-    boot::Settings own;
+    bootstrap::Settings own;
     std::shared_ptr<const mesh_config::RouteTable> in_force;
     Counters counters;
     tollgate::Tollgate toll;
@@ -458,7 +458,7 @@
     }
 
     Loop loop_;
-    boot::Settings settings_;
+    bootstrap::Settings settings_;
     Random random_;
     Counters counters_;
     stall::Figures figures_;
--- a/tests/mesh/store_test.cpp
+++ b/tests/mesh/store_test.cpp
@@ -6,7 +6,7 @@
 #include <filesystem>
 #include <fstream>
 
-#include "boot/settings.h"
+#include "bootstrap/settings.h"
 #include "durable_store/durable_store.h"
 #include "mesh_config/mesh_config.h"
 #include "rpc/messages.h"
@@ -247,18 +247,18 @@
     const std::string path = folder.at + "/boot.toml";
     const auto load = [&](const std::string& text) {
         std::ofstream(path) << text;
-        return boot::load(path);
+        return bootstrap::load(path);
     };
     const std::string good =
         "node_name = \"n\"\nip_address = \"127.0.0.1\"\ninternal_ports = [7000, 7015]\nnew_field = 1\n"
         "seed_nodes = [\"127.0.0.1:8000\"]\nbounds = [\"drain_ms=3000\", \"who=knows\"]\n";
     const auto read = load(good);
-    REQUIRE(std::holds_alternative<boot::Settings>(read));
-    CHECK(std::get<boot::Settings>(read).bounds.drain == 3s);
+    REQUIRE(std::holds_alternative<bootstrap::Settings>(read));
+    CHECK(std::get<bootstrap::Settings>(read).bounds.drain == 3s);
     const auto wrong = [&](const std::string& text, const std::string& line) {
         const auto loaded = load(text);
-        REQUIRE(std::holds_alternative<boot::Trouble>(loaded));
-        CHECK(std::get<boot::Trouble>(loaded).text == path + line);
+        REQUIRE(std::holds_alternative<bootstrap::SettingsError>(loaded));
+        CHECK(std::get<bootstrap::SettingsError>(loaded).message == path + line);
     };
     wrong(good + "beat_interval_ms = \"x\"\n", ":7: beat_interval_ms: a whole number is wanted");
     wrong(good + "app_address = \"nowhere\"\n", ":7: app_address: ip:port is wanted, not 'nowhere'");
