--- a/src/config_service/config_service.cpp
+++ b/src/config_service/config_service.cpp
@@ -21,10 +21,10 @@
 constexpr std::size_t kMostBody = rpc::kMaxDocumentBytes;  // a longer one could not be sent to the others
 constexpr Duration kComeBack = 300ms;
 
-calls::Response refusal(unsigned status, const std::string& why) {
+control_api::Response refusal(unsigned status, const std::string& why) {
     return {status, Json{{"error", why}}.dump()};
 }
-calls::Response unclear(const std::string& why) {
+control_api::Response unclear(const std::string& why) {
     return {503, Json{{"error", why}}.dump(), "", kComeBack};
 }
 }  // namespace
@@ -41,7 +41,7 @@
     return record_;
 }
 
-calls::Response ConfigService::redirect_to_leader(Time now, Call call) const {
+control_api::Response ConfigService::redirect_to_leader(Time now, Call call) const {
     const auto leader = raft_.leader();
     if (leader && raft_.role() != raft::RaftNode::Role::Leader && raft_.has_quorum_contact(now, 1s) &&
         control_address_of) {
@@ -53,7 +53,7 @@
     return unclear("no leader is known");
 }
 
-void ConfigService::submit(Time now, Call call, const std::string& body, calls::Respond respond) {
+void ConfigService::submit(Time now, Call call, const std::string& body, control_api::Respond respond) {
     if (raft_.role() != raft::RaftNode::Role::Leader) return respond(redirect_to_leader(now, call));
     if (body.size() > kMostBody) return respond(refusal(413, "the body is too long"));
     if (pending_calls_.size() >= kMostJobs || pending_bytes_ + body.size() > kMostHeld)
@@ -69,7 +69,7 @@
     process_pending(now);
 }
 
-void ConfigService::answer_when_confirmed(Time now, PendingCall& job, calls::Response answer) {
+void ConfigService::answer_when_confirmed(Time now, PendingCall& job, control_api::Response answer) {
     job.answer = std::move(answer);
     job.read_round = raft_.request_read_index(now);
 }
@@ -161,7 +161,7 @@
     pending_bytes_ -= std::exchange(job.body, {}).size();
 }
 
-std::optional<calls::Response> ConfigService::poll_call(Time now, PendingCall& job) {
+std::optional<control_api::Response> ConfigService::poll_call(Time now, PendingCall& job) {
     if (!job.committed_by && !job.read_round) {
         if (raft_.role() != raft::RaftNode::Role::Leader) return redirect_to_leader(now, job.call);
         if (raft_.has_leader_lease(now)) decide(now, job);
@@ -175,7 +175,7 @@
             return unclear("the lead was lost; it may be in force or not");
         if (is_written && raft_.is_durable(*job.committed_by)) {
             if (on_decided && !job.already_applied) on_decided(true, job.version, "");
-            return calls::Response{200, "{}"};
+            return control_api::Response{200, "{}"};
         }
         if (now - job.received_at >= kLongest) return unclear("undecided; it may be in force or not");
         return std::nullopt;
@@ -190,7 +190,7 @@
 }
 
 void ConfigService::process_pending(Time now) {
-    std::vector<std::pair<calls::Respond, calls::Response>> answers;
+    std::vector<std::pair<control_api::Respond, control_api::Response>> answers;
     for (auto job = pending_calls_.begin(); job != pending_calls_.end();) {
         auto answer = poll_call(now, *job);
         if (!answer) {
--- a/src/config_service/config_service.h
+++ b/src/config_service/config_service.h
@@ -9,7 +9,7 @@
 #include <string>
 #include <utility>
 
-#include "calls/calls.h"
+#include "control_api/control_api.h"
 #include "mesh_config/mesh_config.h"
 #include "raft/raft_node.h"
 #include "rpc/messages.h"
@@ -20,13 +20,13 @@
   public:
     explicit ConfigService(raft::RaftNode& raft) : raft_(raft) {}
 
-    void replace(Time now, const std::string& body, calls::Respond respond) {
+    void replace(Time now, const std::string& body, control_api::Respond respond) {
         submit(now, Call::Replace, body, std::move(respond));
     }
-    void modify(Time now, const std::string& body, calls::Respond respond) {
+    void modify(Time now, const std::string& body, control_api::Respond respond) {
         submit(now, Call::Modify, body, std::move(respond));
     }
-    void read(Time now, calls::Respond respond) { submit(now, Call::Read, "", std::move(respond)); }
+    void read(Time now, control_api::Respond respond) { submit(now, Call::Read, "", std::move(respond)); }
     /// After each turn of the register, once what it gave is on disk and out: looks at every call, in the
     /// order in which they came, and answers what can be answered now.
     void process_pending(Time now);
@@ -44,7 +44,7 @@
         Call call = Call::Read;
         std::string body;
         std::uint64_t digest = 0;  ///< of the call's kind and body
-        calls::Respond respond;
+        control_api::Respond respond;
         Time received_at{};
         std::uint32_t version = 0;
         raft::Term term = 0;  ///< in which it was decided
@@ -56,16 +56,16 @@
         /// An answer that depends on what is current: given once a majority has said that this one still
         /// leads.
         std::optional<std::uint64_t> read_round;
-        calls::Response answer;
+        control_api::Response answer;
     };
-    void submit(Time now, Call call, const std::string& body, calls::Respond respond);
-    std::optional<calls::Response> poll_call(Time now, PendingCall& job);
+    void submit(Time now, Call call, const std::string& body, control_api::Respond respond);
+    std::optional<control_api::Response> poll_call(Time now, PendingCall& job);
     void decide(Time now, PendingCall& job);
     void propose(Time now, PendingCall& job);
     void reject(Time now, PendingCall& job, unsigned status, const std::string& why,
                 const std::string& logged = "");
-    void answer_when_confirmed(Time now, PendingCall& job, calls::Response answer);
-    calls::Response redirect_to_leader(Time now, Call call) const;
+    void answer_when_confirmed(Time now, PendingCall& job, control_api::Response answer);
+    control_api::Response redirect_to_leader(Time now, Call call) const;
     bool has_no_uncommitted_entry() const {
         return raft_.persistent_state().committed_entry.position ==
                raft_.persistent_state().last_entry.position;
--- a/src/control_api/control_api.cpp
+++ b/src/control_api/control_api.cpp
@@ -1,8 +1,8 @@
-#include "calls/calls.h"
+#include "control_api/control_api.h"
 
 #include <utility>
 
-namespace martenford::calls {
+namespace martenford::control_api {
 
 namespace {
 constexpr std::size_t kMostConfig = 16 * 1024 * 1024;
@@ -10,18 +10,18 @@
 constexpr Duration kLongest = 30s;
 }  // namespace
 
-const std::vector<Kind>& table() {
-    static const std::vector<Kind> all{
-        {Name::Readiness, Caller::Platform, http::verb::get, "/v1/readiness", 0, "200, else 503"},
-        {Name::Heartbeat, Caller::Endpoint, http::verb::post, "/v1/instances/{id}/heartbeat", kMostBeat,
+const std::vector<CallSpec>& call_table() {
+    static const std::vector<CallSpec> all{
+        {CallName::Readiness, Caller::Platform, http::verb::get, "/v1/readiness", 0, "200, else 503"},
+        {CallName::Heartbeat, Caller::Endpoint, http::verb::post, "/v1/instances/{id}/heartbeat", kMostBeat,
          "200, 400"},
-        {Name::Deregister, Caller::Endpoint, http::verb::post, "/v1/instances/{id}/deregister", kMostBeat,
+        {CallName::Deregister, Caller::Endpoint, http::verb::post, "/v1/instances/{id}/deregister", kMostBeat,
          "200"},
-        {Name::Replace, Caller::Operator, http::verb::post, "/v1/configuration/replace", kMostConfig,
+        {CallName::Replace, Caller::Operator, http::verb::post, "/v1/configuration/replace", kMostConfig,
          "200, 400, 412; 307 to the leader; 503"},
-        {Name::Modify, Caller::Operator, http::verb::post, "/v1/configuration/modify", kMostConfig,
+        {CallName::Modify, Caller::Operator, http::verb::post, "/v1/configuration/modify", kMostConfig,
          "200, 400, 412; 307 to the leader; 503"},
-        {Name::Read, Caller::Operator, http::verb::get, "/v1/configuration/read", 0,
+        {CallName::Read, Caller::Operator, http::verb::get, "/v1/configuration/read", 0,
          "200 with the newest; 307 to the leader; 404 before the first; 503"},
     };
     return all;
@@ -30,7 +30,7 @@
 Match match(http::verb verb, std::string_view path) {
     path = path.substr(0, path.find('?'));
     Match found;
-    for (const Kind& kind : table()) {
+    for (const CallSpec& kind : call_table()) {
         const std::string_view pattern = kind.path;
         const auto hole = pattern.find("{id}");
         std::string id;
@@ -53,8 +53,8 @@
     return found;
 }
 
-Counter::Counter(Loop& loop, std::map<Name, Handler> handlers, std::size_t most,
-                 martenford::Counters& counters)
+ApiServer::ApiServer(Loop& loop, std::map<CallName, Handler> handlers, std::size_t most,
+                     martenford::Counters& counters)
     : loop_(loop),
       handlers_(std::move(handlers)),
       front_(
@@ -65,27 +65,27 @@
     limits_.head_time = 10s;
 }
 
-std::variant<loftfront::Request, TurnAway> Counter::read(Fields& head, Time arrived) {
+std::variant<loftfront::Request, TurnAway> ApiServer::read(Fields& head, Time arrived) {
     const auto target = head.target();
     const Match found = match(head.method(), {target.data(), target.size()});
     if (found.wrong_method) return TurnAway{http::status::method_not_allowed};
-    if (!found.kind || !handlers_.contains(found.kind->name)) return TurnAway{http::status::not_found};
+    if (!found.spec || !handlers_.contains(found.spec->name)) return TurnAway{http::status::not_found};
     loftfront::Request request;
     request.id = std::to_string(++last_);
-    request.class_index = static_cast<std::uint32_t>(found.kind - table().data());
+    request.class_index = static_cast<std::uint32_t>(found.spec - call_table().data());
     request.deadline = arrived + kLongest;
     head.set("Mesh-Id", found.id);  // for take(), which sees the message alone
     return request;
 }
 
-bool Counter::take(loftfront::Request request, std::shared_ptr<const Message> message, Reply reply) {
+bool ApiServer::take(loftfront::Request request, std::shared_ptr<const Message> message, Reply reply) {
     const auto& from = static_cast<const HttpMessage&>(*message);
-    const Kind& kind = table()[request.class_index];
+    const CallSpec& kind = call_table()[request.class_index];
     Call call{kind.name, std::string(from.field("Mesh-Id")), from.body};
     const auto id = request.id;
-    open_[id] = std::move(reply);
+    pending_replies_[id] = std::move(reply);
     const auto respond = [this, id](Response&& response) {
-        const auto node = open_.extract(id);
+        const auto node = pending_replies_.extract(id);
         if (node.empty()) return;
         Answer answer;
         answer.kind = Answer::Kind::Served;
@@ -99,7 +99,7 @@
         answer.body = std::move(response.body);
         node.mapped()(std::move(answer));
     };
-    if (call.body.size() > kind.most_body) {
+    if (call.body.size() > kind.max_body_bytes) {
         respond({413, R"({"error":"the body is too long"})"});
         return true;
     }
@@ -107,11 +107,11 @@
     return true;
 }
 
-void Counter::write(const Answer& answer, const loftfront::RequestId&, http::response_header<>& head) {
+void ApiServer::write(const Answer& answer, const loftfront::RequestId&, http::response_header<>& head) {
     if (const auto* own = dynamic_cast<const HttpAnswerHead*>(answer.head.get())) {
         head.result(own->status);
         for (const auto& field : own->fields) head.insert(field.name_string(), field.value());
     }
 }
 
-}  // namespace martenford::calls
+}  // namespace martenford::control_api
--- a/src/control_api/control_api.h
+++ b/src/control_api/control_api.h
@@ -13,23 +13,23 @@
 #include "http1/dialect.h"
 #include "http1/front.h"
 
-namespace martenford::calls {
+namespace martenford::control_api {
 
-enum class Name { Readiness, Heartbeat, Deregister, Replace, Modify, Read };
+enum class CallName { Readiness, Heartbeat, Deregister, Replace, Modify, Read };
 enum class Caller { Platform, Endpoint, Operator };
 
-struct Kind {
-    Name name;
+struct CallSpec {
+    CallName name;
     Caller caller;
     http::verb verb;
     const char* path;  ///< "{id}" stands for one segment
-    std::size_t most_body;
-    const char* answers;  ///< for people
+    std::size_t max_body_bytes;
+    const char* description;  ///< for people
 };
-const std::vector<Kind>& table();
+const std::vector<CallSpec>& call_table();
 
 struct Call {
-    Name name;
+    CallName name;
     std::string id;  ///< what stands for {id}
     std::string body;
 };
@@ -45,17 +45,18 @@
 /// The kind that a request is, and its {id}; nothing: no call has this path. A path whose method is another
 /// has `wrong_method`.
 struct Match {
-    const Kind* kind = nullptr;
+    const CallSpec* spec = nullptr;
     std::string id;
     bool wrong_method = false;
 };
 Match match(http::verb verb, std::string_view path);
 
 /// One port.
-class Counter : private FrontDialect, private Desk {
+class ApiServer : private FrontDialect, private Desk {
   public:
     /// Answers the calls for which there are handlers; others are unknown here. `most` connections.
-    Counter(Loop& loop, std::map<Name, Handler> handlers, std::size_t most, martenford::Counters& counters);
+    ApiServer(Loop& loop, std::map<CallName, Handler> handlers, std::size_t most,
+              martenford::Counters& counters);
     void listen(const Address& address) { front_.listen(address); }
 
   private:
@@ -65,14 +66,14 @@
     void write(const Answer& answer, const loftfront::RequestId& id, http::response_header<>& head) override;
     bool take(loftfront::Request request, std::shared_ptr<const Message> message, Reply reply) override;
     void received(const loftfront::RequestId&, Time) override {}
-    void leave(const loftfront::RequestId& id) override { open_.erase(id); }
+    void leave(const loftfront::RequestId& id) override { pending_replies_.erase(id); }
 
     Loop& loop_;
-    std::map<Name, Handler> handlers_;
+    std::map<CallName, Handler> handlers_;
     FrontLimits limits_;
     std::uint64_t last_ = 0;
-    std::map<loftfront::RequestId, Reply> open_;
+    std::map<loftfront::RequestId, Reply> pending_replies_;
     Http1Front front_;
 };
 
-}  // namespace martenford::calls
+}  // namespace martenford::control_api
--- a/src/guildhall/guildhall.cpp
+++ b/src/guildhall/guildhall.cpp
@@ -12,8 +12,8 @@
 #include <set>
 
 #include "bootstrap/settings.h"
-#include "calls/calls.h"
 #include "config_service/config_service.h"
+#include "control_api/control_api.h"
 #include "durable_store/durable_store.h"
 #include "event_log/event_log.h"
 #include "quota/quota.h"
@@ -61,23 +61,23 @@
           ticker_(loop_),
           gather_(loop_),
           ending_(loop_),
-          counter_(loop_,
-                   {{calls::Name::Replace,
-                     [this](auto&& call, auto respond) {
-                         config_service_.replace(loop_.now(), call.body, respond);
-                         turn();
-                     }},
-                    {calls::Name::Modify,
-                     [this](auto&& call, auto respond) {
-                         config_service_.modify(loop_.now(), call.body, respond);
-                         turn();
-                     }},
-                    {calls::Name::Read,
-                     [this](auto&&, auto respond) {
-                         config_service_.read(loop_.now(), respond);
-                         turn();
-                     }}},
-                   kMostCallers, counters_),
+          operator_api_(loop_,
+                        {{control_api::CallName::Replace,
+                          [this](auto&& call, auto respond) {
+                              config_service_.replace(loop_.now(), call.body, respond);
+                              turn();
+                          }},
+                         {control_api::CallName::Modify,
+                          [this](auto&& call, auto respond) {
+                              config_service_.modify(loop_.now(), call.body, respond);
+                              turn();
+                          }},
+                         {control_api::CallName::Read,
+                          [this](auto&&, auto respond) {
+                              config_service_.read(loop_.now(), respond);
+                              turn();
+                          }}},
+                        kMostCallers, counters_),
           listener_(loop_, *parse_address(self_.address),
                     [this](auto channel) { accepted(std::move(channel)); }) {
         config_service_.on_decided = [](bool taken, std::uint32_t version, const std::string& why) {
@@ -94,7 +94,7 @@
             const auto port = settings_.control->port();
             return "http://" + address->address().to_string() + ":" + std::to_string(port);
         };
-        counter_.listen(*settings.control);
+        operator_api_.listen(*settings.control);
         for (const raft::Member& voter : raft_.persistent_state().last_entry.voters) know(voter);
         for (const Address& seed : settings.seeds) {
             dial(seed.address().to_string() + ":" + std::to_string(settings.first_port));
@@ -452,7 +452,7 @@
     Time save_again_{}, next_hello_{}, ends_at_{};
     asio::signal_set signals_, hangups_;
     Timer ticker_, gather_, ending_;
-    calls::Counter counter_;
+    control_api::ApiServer operator_api_;
     rpc::Listener listener_;
 };
 
--- a/src/stall/stall.cpp
+++ b/src/stall/stall.cpp
@@ -12,7 +12,7 @@
 #include <set>
 
 #include "bootstrap/settings.h"
-#include "calls/calls.h"
+#include "control_api/control_api.h"
 #include "core/engine.h"
 #include "core/tally.h"
 #include "event_log/event_log.h"
@@ -105,11 +105,12 @@
               loop_, gate_engine_, inbound_, places_ / 3, [] { return true; }, gate_counters_),
           control_(
               loop_,
-              {{calls::Name::Heartbeat, [this](auto&& call, auto respond) { respond(beat(call)); }},
-               {calls::Name::Deregister, [this](auto&& call, auto respond) { respond(deregister(call)); }}},
+              {{control_api::CallName::Heartbeat, [this](auto&& call, auto respond) { respond(beat(call)); }},
+               {control_api::CallName::Deregister,
+                [this](auto&& call, auto respond) { respond(deregister(call)); }}},
               64, control_counters_),
           readiness_(loop_,
-                     {{calls::Name::Readiness,
+                     {{control_api::CallName::Readiness,
                        [this](auto&&, auto respond) {
                            respond({ready() ? 200u : 503u, ""});
                        }}},
@@ -292,7 +293,7 @@
 
     // ---- the endpoint beside it
 
-    calls::Response beat(const calls::Call& call) {
+    control_api::Response beat(const control_api::Call& call) {
         const auto json = mesh_config::Json::parse(call.body, nullptr, false);
         if (json.is_discarded() || !json.is_object()) return {400, R"({"error":"no JSON object"})"};
         const auto info = json.value("node_info", mesh_config::Json::object());
@@ -374,7 +375,7 @@
             }
         });
     }
-    calls::Response deregister(const calls::Call& call) {
+    control_api::Response deregister(const control_api::Call& call) {
         if (call.id == registration_.instance_id) gone("deregistered");
         return {200, "{}"};
     }
@@ -496,7 +497,7 @@
     Http1Back hops_, to_endpoint_;
     Engine engine_, gate_engine_;
     Http1Front front_, gate_front_;
-    calls::Counter control_, readiness_;
+    control_api::ApiServer control_, readiness_;
     std::map<std::string, Guildhall> guildhalls_;
     registry::RegistryView view_;
     quay::Berths berths_;
--- a/tests/mesh/config_service_repeated_calls_test.cpp
+++ b/tests/mesh/config_service_repeated_calls_test.cpp
@@ -151,7 +151,7 @@
     struct Reply {
         Time at;
         std::uint64_t call, attempt;
-        calls::Response response;
+        control_api::Response response;
     };
 
     std::uint64_t below(std::uint64_t n) { return random_() % n; }
@@ -303,7 +303,7 @@
         const std::uint64_t attempt = ++call.attempt;
         Machine& machine = machines_[to];
         if (!machine.raft || chance(loss_)) return;
-        const auto respond = [this, id, attempt](calls::Response&& response) {
+        const auto respond = [this, id, attempt](control_api::Response&& response) {
             if (chance(answers_lost_)) return;
             replies_.push_back({now_ + delay(), id, attempt, std::move(response)});
         };
--- a/tests/mesh/config_service_test.cpp
+++ b/tests/mesh/config_service_test.cpp
@@ -49,8 +49,8 @@
     /// A call and its answer, added to the transcript.
     unsigned call(std::size_t at, const std::string& who, const std::string& what,
                   const std::string& body = "") {
-        std::optional<calls::Response> answer;
-        const auto respond = [&answer](calls::Response&& response) { answer = std::move(response); };
+        std::optional<control_api::Response> answer;
+        const auto respond = [&answer](control_api::Response&& response) { answer = std::move(response); };
         config_service::ConfigService& config_service = *machines_[at].config_service;
         if (what == "replace") config_service.replace(now_, body, respond);
         if (what == "modify") config_service.modify(now_, body, respond);
