--- a/src/outbound/outbound_policy.h
+++ b/src/outbound/outbound_policy.h
@@ -18,7 +18,7 @@
 #include "policy/mechanics.h"
 #include "policy/waits.h"
 
-namespace martenford::quay {
+namespace martenford::outbound {
 
 using loftfront::Duration;
 using loftfront::EndpointId;
@@ -27,57 +27,58 @@
 using loftfront::Time;
 
 /// What a request's route says, told before the engine takes it.
-struct Plan {
+struct RequestPlan {
     std::string service;
     std::uint32_t kind = 0;  ///< of request, by its route
-    bool repeatable = false;
+    bool idempotent = false;
     std::int64_t max_attempts = 1;
-    Time aim_end{};  ///< an answer by then earns its whole worth
+    Time latency_target_at{};  ///< an answer by then earns its whole worth
     std::int64_t priority = 0;
-    std::uint32_t version = 0;  ///< of the configuration by which it was made
+    std::uint32_t config_version = 0;  ///< of the configuration by which it was made
 };
 
 /// The gate of one endpoint.
-struct Berth {
+struct Upstream {
     std::string service, zone;
     bool ready = false;
-    bool silent = false;  ///< the stall there is not heard by the core: only where nothing else is left
+    bool lease_expired =
+        false;  ///< the stall there is not heard by the core: only where nothing else is left
 };
 
 /// How a request is offered to a gate.
-enum class Offer : std::uint8_t {
-    IfFree,  ///< refused where it would have to wait
-    Queue,   ///< it waits there if that is worth it
+enum class AdmissionMode : std::uint8_t {
+    IfSlotFree,  ///< refused where it would have to wait
+    Queue,       ///< it waits there if that is worth it
 };
 
-class Quay : public Policy {
+class OutboundPolicy : public Policy {
   public:
     struct Options {
         std::string zone;
-        double bucket = 30;      ///< tokens a service; this stall's share
-        std::size_t offers = 3;  ///< gates that are asked for a free place before one's queue is taken
-        std::size_t hops = 12;   ///< gates that one request is offered to at most
+        double retry_tokens = 30;     ///< tokens a service; this stall's share
+        std::size_t slot_offers = 3;  ///< gates that are asked for a free place before one's queue is taken
+        std::size_t max_hops = 12;    ///< gates that one request is offered to at most
     };
-    Quay(const Options& options, std::uint64_t seed) : options_(options), random_(seed) {}
+    OutboundPolicy(const Options& options, std::uint64_t seed) : options_(options), random_(seed) {}
 
-    void prepare(const RequestId& id, Plan plan);
-    void berth(EndpointId id, const Berth& berth);
-    void remove(EndpointId id);
+    void prepare(const RequestId& id, RequestPlan plan);
+    void set_upstream(EndpointId id, const Upstream& upstream);
+    void remove_upstream(EndpointId id);
     /// What a gate said of its queue when it refused or answered.
-    void hint(EndpointId id, Time now, Duration wait);
+    void queue_hint(EndpointId id, Time now, Duration wait);
     /// How the attempt of a request that goes out now is offered.
-    Offer offer(const RequestId& id) const;
+    AdmissionMode admission_mode(const RequestId& id) const;
     /// A gate refuses the attempt that is out since a newer configuration than the plan's wants another: it
     /// is held until it is planned anew, or refused.
     void outdated(const RequestId& id);
     /// The plan by the newer one; nothing: there is no such route any more. Goes on at the next Discovered.
-    void replan(const RequestId& id, std::optional<Plan> plan);
+    void replan(const RequestId& id, std::optional<RequestPlan> plan);
     /// Where what goes out now only asks whether an earlier hop to that gate was ever handed on: how long ago
     /// that hop went.
-    std::optional<Duration> asks(const RequestId& id) const;
+    std::optional<Duration> delivery_query(const RequestId& id) const;
     /// The gate says that it has handed on the attempt that is out.
-    void handed_on(const RequestId& id);
-    const Plan* plan(const RequestId& id) const;
+    void delivered(const RequestId& id);
+    const RequestPlan* plan(const RequestId& id) const;
     bool any_ready() const;
 
     void start(Time, std::vector<loftfront::Action>&) override {}
@@ -85,37 +86,37 @@
     /// A gate is gone or silent: what is out there and may be repeated is to go elsewhere as well, at the
     /// next Discovered. It is not broken off: it may be at work, and where nothing else serves it, it is
     /// waited for.
-    void withdraw(EndpointId id) { withdrawn_.push_back(id); }
+    void withdraw(EndpointId id) { withdrawn_upstreams_.push_back(id); }
     /// From here on nothing is given up while an endpoint may be at work on it.
     void drain() { draining_ = true; }
 
   private:
-    struct Held {
-        Berth berth;
-        int out = 0;
-        Time shun{};  // until when it is only taken where nothing else is left
-        Time hinted{};
-        Duration wait{};
+    struct UpstreamState {
+        Upstream upstream;
+        int in_flight = 0;
+        Time avoid_until{};  // until when it is only taken where nothing else is left
+        Time hinted_at{};
+        Duration queue_wait{};
     };
     struct Attempt {
         EndpointId to{};
-        bool out = false, ran = false;
-        bool doubted = false;    // its gate is gone or silent
-        bool handed_on = false;  // its gate said so
-        Time sent{};
-        std::optional<std::size_t> asks_for{};  // another: whether that one was ever handed on
+        bool in_flight = false, may_have_run = false;
+        bool upstream_lost = false;  // its gate is gone or silent
+        bool delivered = false;      // its gate said so
+        Time sent_at{};
+        std::optional<std::size_t> queries_attempt{};  // another: whether that one was ever handed on
     };
     struct Call {
         loftfront::Request request;
-        Plan plan;
+        RequestPlan plan;
         std::vector<Attempt> attempts;
-        std::vector<EndpointId> refused;  // by whom since the last attempt that ran
-        std::int64_t ran = 0;             // attempts that may have run
-        std::size_t offers = 0;           // in this round
-        Offer offer = Offer::IfFree;
+        std::vector<EndpointId> rejected_by;  // by whom since the last attempt that ran
+        std::int64_t runs = 0;                // attempts that may have run
+        std::size_t offers = 0;               // in this round
+        AdmissionMode mode = AdmissionMode::IfSlotFree;
         loftfront::Backoff backoff;
         bool open = true;
-        bool outdated = false, replanned = false;
+        bool outdated = false, plan_renewed = false;
         std::optional<Time> held_until;
         std::uint64_t number = 0;
     };
@@ -131,26 +132,26 @@
     std::optional<EndpointId> pick(const Call& call);
     std::optional<EndpointId> least_wait(const Call& call);
     void retry(Call& call);
-    bool ask(Call& call, std::size_t attempt);
-    static bool any_out(const Call& call);
-    void go_on_anew(Call& call);
+    bool query_delivery(Call& call, std::size_t attempt);
+    static bool has_attempt_in_flight(const Call& call);
+    void continue_with_new_plan(Call& call);
     void give_up(Call& call);
     void forget_if_over(const RequestId& id);
-    bool tried(const Call& call, EndpointId id) const;
+    bool was_tried(const Call& call, EndpointId id) const;
 
     Options options_;
     loftfront::Random random_;
-    std::map<EndpointId, Held> berths_;
+    std::map<EndpointId, UpstreamState> upstreams_;
     std::unordered_map<std::string, std::vector<EndpointId>> by_service_;
-    std::unordered_map<std::string, loftfront::RetryBudget> budgets_;
-    std::unordered_map<RequestId, Plan> prepared_;
+    std::unordered_map<std::string, loftfront::RetryBudget> retry_budgets_;
+    std::unordered_map<RequestId, RequestPlan> prepared_plans_;
     std::unordered_map<RequestId, Call> calls_;
-    std::unordered_map<std::uint64_t, RequestId> numbers_;
-    std::uint64_t last_ = 0;
-    std::vector<EndpointId> withdrawn_;
+    std::unordered_map<std::uint64_t, RequestId> ids_by_number_;
+    std::uint64_t last_call_number_ = 0;
+    std::vector<EndpointId> withdrawn_upstreams_;
     bool draining_ = false;
     Time now_{};
-    std::vector<loftfront::Action>* out_ = nullptr;
+    std::vector<loftfront::Action>* actions_ = nullptr;
 };
 
-}  // namespace martenford::quay
+}  // namespace martenford::outbound
--- a/src/outbound/upstream_table.cpp
+++ b/src/outbound/upstream_table.cpp
@@ -1,12 +1,12 @@
-#include "quay/berths.h"
+#include "outbound/upstream_table.h"
 
-namespace martenford::quay {
+namespace martenford::outbound {
 
-using Kind = Berths::Step::Kind;
+using Kind = UpstreamTable::Change::Kind;
 
-std::vector<Berths::Step> Berths::apply(const registry::RegistryView& view,
-                                        const std::vector<std::string>& nodes) {
-    std::vector<Step> steps;
+std::vector<UpstreamTable::Change> UpstreamTable::apply(const registry::RegistryView& view,
+                                                        const std::vector<std::string>& nodes) {
+    std::vector<Change> steps;
     for (const std::string& node : nodes) {
         const auto known = view.entries().find(node);
         const registry::ProxyRegistration* place =
@@ -17,30 +17,30 @@
         const std::string key = there ? place->inbound_address + " " + place->instance_id + " " +
                                             place->service + " " + std::to_string(place->incarnation)
                                       : "";
-        const auto held = held_.find(node);
-        if (held != held_.end() && held->second.key != key) {
+        const auto held = known_.find(node);
+        if (held != known_.end() && held->second.key != key) {
             // A stall that lives and says that its endpoint leaves still answers for what is out there.
             // Guards against breaking off work of a stall that ends in order.
-            if (!place || place->incarnation != held->second.life)
+            if (!place || place->incarnation != held->second.incarnation)
                 steps.push_back({Kind::Withdraw, held->second.id});
             steps.push_back({Kind::Remove, held->second.id});
-            held_.erase(held);
+            known_.erase(held);
         }
         if (!there) continue;
-        Held& now = held_[node];
-        if (now.key.empty()) now = {EndpointId{++last_}, key, place->incarnation, false};
+        Known& now = known_[node];
+        if (now.key.empty()) now = {EndpointId{++last_id_}, key, place->incarnation, false};
         const bool silent = known->second.lease_expired;
         steps.push_back(
-            {Kind::Place,
+            {Kind::Set,
              now.id,
              {place->service, place->zone, place->state == registry::EndpointState::Ready, silent},
              place->inbound_address,
              place->instance_id,
              place->incarnation});
-        if (silent && !now.silent) steps.push_back({Kind::Withdraw, now.id});
-        now.silent = silent;
+        if (silent && !now.lease_expired) steps.push_back({Kind::Withdraw, now.id});
+        now.lease_expired = silent;
     }
     return steps;
 }
 
-}  // namespace martenford::quay
+}  // namespace martenford::outbound
--- a/src/outbound/upstream_table.h
+++ b/src/outbound/upstream_table.h
@@ -7,38 +7,38 @@
 #include <string>
 #include <vector>
 
-#include "quay/quay.h"
+#include "outbound/outbound_policy.h"
 #include "registry/registry.h"
 
-namespace martenford::quay {
+namespace martenford::outbound {
 
-class Berths {
+class UpstreamTable {
   public:
-    struct Step {
+    struct Change {
         enum class Kind {
-            Place,     ///< there is this gate, as it is told here
+            Set,       ///< there is this gate, as it is told here
             Remove,    ///< nothing new goes there; what is out there ends by itself
             Withdraw,  ///< what is out there and may be repeated goes elsewhere: its stall is dead or silent
         };
-        Kind kind = Kind::Place;
+        Kind kind = Kind::Set;
         EndpointId id{};
-        Berth berth{};           ///< Place
-        std::string gate{};      ///< Place: "ip:port"
-        std::string instance{};  ///< Place: the endpoint's id
-        std::uint64_t life = 0;  ///< Place: of the stall's process
+        Upstream upstream{};            ///< Place
+        std::string inbound_address{};  ///< Place: "ip:port"
+        std::string instance_id{};      ///< Place: the endpoint's id
+        std::uint64_t incarnation = 0;  ///< Place: of the stall's process
     };
     /// The nodes have changed in the registry.
-    std::vector<Step> apply(const registry::RegistryView& view, const std::vector<std::string>& nodes);
+    std::vector<Change> apply(const registry::RegistryView& view, const std::vector<std::string>& nodes);
 
   private:
-    struct Held {
+    struct Known {
         EndpointId id{};
         std::string key;
-        std::uint64_t life = 0;
-        bool silent = false;
+        std::uint64_t incarnation = 0;
+        bool lease_expired = false;
     };
-    std::map<std::string, Held> held_;
-    std::uint32_t last_ = 0;
+    std::map<std::string, Known> known_;
+    std::uint32_t last_id_ = 0;
 };
 
-}  // namespace martenford::quay
+}  // namespace martenford::outbound
--- a/src/stall/dialects.cpp
+++ b/src/stall/dialects.cpp
@@ -145,25 +145,25 @@
     request.deadline = arrived + std::chrono::milliseconds(most) -
                        std::min<Duration>(kWayBack, std::chrono::milliseconds(most) / 4);
     request.write = !route->idempotent();
-    quay::Plan plan = plan_for(*route, request.id, tenant);
-    plan.aim_end = arrived +
-                   std::chrono::milliseconds(route->latency_target_ms > 0 ? route->latency_target_ms : most) -
-                   kWayBack;
+    outbound::RequestPlan plan = plan_for(*route, request.id, tenant);
+    plan.latency_target_at =
+        arrived + std::chrono::milliseconds(route->latency_target_ms > 0 ? route->latency_target_ms : most) -
+        kWayBack;
     quay_.prepare(request.id, std::move(plan));
     return request;
 }
 
-quay::Plan OutboundFront::plan_for(const mesh_config::Route& route, const std::string& id,
-                                   const mesh_config::Tenant* tenant) const {
-    quay::Plan plan;
+outbound::RequestPlan OutboundFront::plan_for(const mesh_config::Route& route, const std::string& id,
+                                              const mesh_config::Tenant* tenant) const {
+    outbound::RequestPlan plan;
     plan.service = route.service_for(id);
     plan.kind = static_cast<std::uint32_t>(
         mesh_config::digest(route.name, tenant ? static_cast<std::uint64_t>(tenant->priority) : 0) &
         0xffffff);
-    plan.repeatable = route.idempotent();
+    plan.idempotent = route.idempotent();
     plan.max_attempts = route.max_attempts;
     plan.priority = (tenant ? tenant->priority * 1000 : 0) + std::clamp<std::int64_t>(route.priority, 0, 999);
-    plan.version = charter_->version();
+    plan.config_version = charter_->version();
     return plan;
 }
 
@@ -201,23 +201,23 @@
     const RequestId id(message.field(kAttemptId));
     const auto* plan = quay_.plan(id);
     const auto gate = gates_.find(to);
-    const auto asks = quay_.asks(id);
-    const Duration aim = plan ? plan->aim_end - loop_.now() : Duration{};
+    const auto asks = quay_.delivery_query(id);
+    const Duration aim = plan ? plan->latency_target_at - loop_.now() : Duration{};
     head.set(kTimeRemaining, std::to_string(std::max<std::int64_t>(1, millis(end - loop_.now()))));
     head.set(kHop, (gate == gates_.end() ? std::string() : gate->second.instance) + ";" +
-                       (asks                                    ? "a"
-                        : quay_.offer(id) == quay::Offer::Queue ? "q"
-                                                                : "f") +
-                       ";" + (plan && plan->repeatable ? "r" : "o") + ";" +
+                       (asks                                                         ? "a"
+                        : quay_.admission_mode(id) == outbound::AdmissionMode::Queue ? "q"
+                                                                                     : "f") +
+                       ";" + (plan && plan->idempotent ? "r" : "o") + ";" +
                        std::to_string(plan ? plan->priority : 0) + ";" +
                        std::to_string(std::max<std::int64_t>(0, asks ? millis(*asks) + 1 : millis(aim))) +
                        ";" + std::to_string(plan ? plan->kind : 0) + ";" +
                        std::to_string(gate == gates_.end() ? 0 : gate->second.life) + ";" +
-                       std::to_string(plan ? plan->version : 0));
+                       std::to_string(plan ? plan->config_version : 0));
 }
 
 bool HopBack::carries_body(const HttpMessage& message) const {
-    return !quay_.asks(RequestId(message.field(kAttemptId)));
+    return !quay_.delivery_query(RequestId(message.field(kAttemptId)));
 }
 
 std::optional<Status> HopBack::classify(const http::response_header<>& head, const HttpMessage* message,
@@ -226,13 +226,13 @@
     if (message && view(head[kAttemptId]) != message->field(kAttemptId)) return std::nullopt;
     if (!head[kRefused].empty()) {
         const auto wait = whole_number(head[kRefused]);
-        quay_.hint(from, loop_.now(), std::chrono::milliseconds(wait.value_or(1000)));
+        quay_.queue_hint(from, loop_.now(), std::chrono::milliseconds(wait.value_or(1000)));
         const auto newer = whole_number(head[kVersion]);
         if (message && newer) outbound_.outdated(*message, static_cast<mesh_config::Version>(*newer));
         return Status::Full;
     }
     if (!head[kFailed].empty()) {
-        if (message) quay_.handed_on(RequestId(message->field(kAttemptId)));
+        if (message) quay_.delivered(RequestId(message->field(kAttemptId)));
         return Status::Reset;
     }
     return head.result_int() >= 500 ? Status::Error : Status::Ok;
--- a/src/stall/dialects.h
+++ b/src/stall/dialects.h
@@ -11,7 +11,7 @@
 #include "core/loop.h"
 #include "http1/dialect.h"
 #include "mesh_config/mesh_config.h"
-#include "quay/quay.h"
+#include "outbound/outbound_policy.h"
 #include "quota/quota.h"
 #include "tollgate/tollgate.h"
 
@@ -27,9 +27,9 @@
 class OutboundFront : public FrontDialect {
   public:
     /// `stalls` tells how many there are.
-    OutboundFront(const bootstrap::Settings& settings, quay::Quay& quay, quota::QuotaLimiter& scale,
-                  Figures& figures, std::function<std::size_t()> stalls)
-        : settings_(settings), quay_(quay), scale_(scale), figures_(figures), stalls_(std::move(stalls)) {}
+    OutboundFront(const bootstrap::Settings& settings, outbound::OutboundPolicy& policy,
+                  quota::QuotaLimiter& scale, Figures& figures, std::function<std::size_t()> stalls)
+        : settings_(settings), quay_(policy), scale_(scale), figures_(figures), stalls_(std::move(stalls)) {}
     void serve(std::shared_ptr<const mesh_config::RouteTable> routes);
     /// A gate knows a newer version in which the answer to this request differs: it is planned anew, now or
     /// when that version is served.
@@ -49,12 +49,12 @@
         mesh_config::Version newer = 0;
         std::string id, host, target, tenant;
     };
-    quay::Plan plan_for(const mesh_config::Route& route, const std::string& id,
-                        const mesh_config::Tenant* tenant) const;
+    outbound::RequestPlan plan_for(const mesh_config::Route& route, const std::string& id,
+                                   const mesh_config::Tenant* tenant) const;
     void replan(const Behind& behind);
 
     const bootstrap::Settings& settings_;
-    quay::Quay& quay_;
+    outbound::OutboundPolicy& quay_;
     quota::QuotaLimiter& scale_;
     Figures& figures_;
     std::function<std::size_t()> stalls_;
@@ -67,8 +67,8 @@
 /// From the caller's stall to a gate.
 class HopBack : public BackDialect {
   public:
-    HopBack(quay::Quay& quay, OutboundFront& outbound, Loop& loop)
-        : quay_(quay), outbound_(outbound), loop_(loop) {}
+    HopBack(outbound::OutboundPolicy& policy, OutboundFront& outbound, Loop& loop)
+        : quay_(policy), outbound_(outbound), loop_(loop) {}
     /// The endpoint that this id stands for, and the life of the stall beside it.
     void name(EndpointId id, const std::string& instance, std::uint64_t life) {
         gates_[id] = {instance, life};
@@ -84,7 +84,7 @@
     bool ends_by_close() const override { return false; }
 
   private:
-    quay::Quay& quay_;
+    outbound::OutboundPolicy& quay_;
     OutboundFront& outbound_;
     Loop& loop_;
     struct Gate {
--- a/src/stall/stall.cpp
+++ b/src/stall/stall.cpp
@@ -19,7 +19,7 @@
 #include "http1/back.h"
 #include "http1/front.h"
 #include "mesh_config/mesh_config.h"
-#include "quay/berths.h"
+#include "outbound/upstream_table.h"
 #include "rpc/channel.h"
 #include "stall/dialects.h"
 #include "stall/intake.h"
@@ -82,12 +82,13 @@
     explicit Stall(const bootstrap::Settings& settings)
         : settings_(settings),
           life_(drawn()),
-          quay_({settings.zone}, drawn()),
+          outbound_policy_({settings.zone}, drawn()),
           gate_({settings.bounds.drain}),
           quota_limiter_({}),
-          hop_back_(quay_, outbound_, loop_),
+          hop_back_(outbound_policy_, outbound_, loop_),
           endpoint_back_(gate_),
-          outbound_(settings, quay_, quota_limiter_, figures_, [this] { return view_.entries().size(); }),
+          outbound_(settings, outbound_policy_, quota_limiter_, figures_,
+                    [this] { return view_.entries().size(); }),
           inbound_(settings, gate_, life_, [this] { return outbound_.charter(); }),
           tally_(counters_, {}),
           gate_tally_(gate_counters_, {}),
@@ -95,8 +96,8 @@
                   kSpareSockets),
           hops_(loop_, hop_back_, limits_of(kHopConnect, kHopIdle), places_ / 3, 0, counters_),
           to_endpoint_(loop_, endpoint_back_, limits_of(kHopConnect, kEndpointIdle), 256, 0, gate_counters_),
-          engine_(loop_, hops_, limits_of(kHopConnect, kHopIdle), std::make_unique<Shared<quay::Quay>>(quay_),
-                  tally_),
+          engine_(loop_, hops_, limits_of(kHopConnect, kHopIdle),
+                  std::make_unique<Shared<outbound::OutboundPolicy>>(outbound_policy_), tally_),
           gate_engine_(loop_, to_endpoint_, limits_of(kHopConnect, kEndpointIdle),
                        std::make_unique<Shared<tollgate::Tollgate>>(gate_), gate_tally_),
           front_(
@@ -272,20 +273,20 @@
     // ---- what is known of others
 
     void apply(const std::vector<std::string>& nodes) {
-        using Kind = quay::Berths::Step::Kind;
+        using Kind = outbound::UpstreamTable::Change::Kind;
         bool withdrawn = false;
-        for (const auto& step : berths_.apply(view_, nodes)) {
+        for (const auto& step : upstream_table_.apply(view_, nodes)) {
             if (step.kind == Kind::Withdraw) {
-                quay_.withdraw(step.id);
+                outbound_policy_.withdraw(step.id);
                 withdrawn = true;
             } else if (step.kind == Kind::Remove) {
                 hops_.remove(step.id);
                 hop_back_.forget(step.id);
-                quay_.remove(step.id);
-            } else if (const auto at = parse_address(step.gate)) {
-                hop_back_.name(step.id, step.instance, step.life);
+                outbound_policy_.remove_upstream(step.id);
+            } else if (const auto at = parse_address(step.inbound_address)) {
+                hop_back_.name(step.id, step.instance_id, step.incarnation);
                 hops_.place(step.id, *at, true);
-                quay_.berth(step.id, step.berth);
+                outbound_policy_.set_upstream(step.id, step.upstream);
             }
         }
         if (withdrawn) engine_.tell({});
@@ -403,7 +404,7 @@
 
     // ---- the process
 
-    bool ready() const { return !stopping_ && outbound_.charter() && quay_.any_ready(); }
+    bool ready() const { return !stopping_ && outbound_.charter() && outbound_policy_.any_ready(); }
 
     void tick() {
         const Time now = loop_.now();
@@ -456,7 +457,7 @@
     void drain() {
         if (std::exchange(stopping_, true)) return;
         log_event(Event::Stopping, "stopping");
-        quay_.drain();
+        outbound_policy_.drain();
         // Its endpoint, if it is still there, is used on while clients leave.
         again_.set(loop_.now() + settings_.bounds.grace / 4, [this] { gone("stopping"); });
         const auto done = [this] {
@@ -485,7 +486,7 @@
     Counters counters_, gate_counters_, control_counters_, readiness_counters_;
     const std::uint64_t life_;
     Figures figures_;
-    quay::Quay quay_;
+    outbound::OutboundPolicy outbound_policy_;
     tollgate::Tollgate gate_;
     quota::QuotaLimiter quota_limiter_;
     HopBack hop_back_;
@@ -500,7 +501,7 @@
     control_api::ApiServer control_, readiness_;
     std::map<std::string, Guildhall> guildhalls_;
     registry::RegistryView view_;
-    quay::Berths berths_;
+    outbound::UpstreamTable upstream_table_;
     std::uint32_t last_id_ = 0;
     registry::ProxyRegistration registration_;
     EndpointId endpoint_{};
--- a/tests/mesh/hop_world.h
+++ b/tests/mesh/hop_world.h
@@ -325,12 +325,13 @@
     /// The last gate's endpoint is of service `last`.
     explicit World(std::uint64_t seed, int gates_wanted = 3, const std::string& last = "s")
         : random_(seed),
-          quay_({"z"}, seed),
-          hop_back_(quay_, outbound_, loop_),
-          outbound_(settings_, quay_, quota_limiter_, figures_, [] { return std::size_t{3}; }),
+          outbound_policy_({"z"}, seed),
+          hop_back_(outbound_policy_, outbound_, loop_),
+          outbound_(settings_, outbound_policy_, quota_limiter_, figures_, [] { return std::size_t{3}; }),
           tally_(counters_, {}),
           hops_(loop_, hop_back_, back_limits(), 64, 0, counters_),
-          engine_(loop_, hops_, back_limits(), std::make_unique<Lent<quay::Quay>>(quay_), tally_),
+          engine_(loop_, hops_, back_limits(),
+                  std::make_unique<Lent<outbound::OutboundPolicy>>(outbound_policy_), tally_),
           front(
               loop_, engine_, outbound_, 64, [] { return true; }, counters_) {
         settings_.service = "caller";
@@ -344,7 +345,7 @@
             const auto id = static_cast<loftfront::EndpointId>(i);
             hop_back_.name(id, instance, 7);
             hops_.place(id, gates.back()->relay->at(), true);
-            quay_.berth(id, {service, "z", true, false});
+            outbound_policy_.set_upstream(id, {service, "z", true, false});
         }
     }
     /// A configuration in which what must not run twice goes to service `once_to`.
@@ -462,7 +463,7 @@
     Random random_;
     Counters counters_;
     stall::Figures figures_;
-    quay::Quay quay_;
+    outbound::OutboundPolicy outbound_policy_;
     quota::QuotaLimiter quota_limiter_{{}};
     stall::HopBack hop_back_;
     stall::OutboundFront outbound_;
--- a/tests/mesh/outbound_policy_test.cpp
+++ b/tests/mesh/outbound_policy_test.cpp
@@ -1,41 +1,41 @@
 // The design on the ordinary path: budget, jitter, deadline bound and two choices, and what a gate's refusal
 // costs.
-#include "quay/quay.h"
+#include "outbound/outbound_policy.h"
 
 #include <doctest/doctest.h>
 
 #include <algorithm>
 #include <map>
 
-#include "quay/berths.h"
+#include "outbound/upstream_table.h"
 
 using namespace martenford;
-using namespace martenford::quay;
+using namespace martenford::outbound;
 using namespace loftfront;
 
 namespace {
 
 struct Desk {
-    explicit Desk(Quay::Options options = {}) : quay(options, 42) {}
-    Quay quay;
+    explicit Desk(OutboundPolicy::Options options = {}) : policy(options, 42) {}
+    OutboundPolicy policy;
     Time now{10s};
     std::vector<Action> out;
 
     void gates(int count, const std::string& zone = "z") {
-        for (int i = 1; i <= count; ++i) quay.berth(EndpointId(i), {"s", zone, true, false});
+        for (int i = 1; i <= count; ++i) policy.set_upstream(EndpointId(i), {"s", zone, true, false});
     }
     void ask(const RequestId& id, bool repeatable = true, std::int64_t attempts = 3, Duration left = 3s) {
-        Plan plan;
+        RequestPlan plan;
         plan.service = "s";
-        plan.repeatable = repeatable;
+        plan.idempotent = repeatable;
         plan.max_attempts = attempts;
-        quay.prepare(id, plan);
+        policy.prepare(id, plan);
         Request request;
         request.id = id;
         request.deadline = now + left;
         handle(request);
     }
-    void handle(const Event& event) { quay.handle(now, event, out); }
+    void handle(const Event& event) { policy.handle(now, event, out); }
     void end(const RequestId& id, AttemptNumber attempt, EndpointId at, Status status, bool last = false) {
         handle(Outcome{id, attempt, at, status, 1ms, last, {}, true});
     }
@@ -58,7 +58,7 @@
     desk.ask("a", false);
     const auto first = desk.next<Send>();
     REQUIRE(first);
-    CHECK(desk.quay.offer("a") == Offer::IfFree);
+    CHECK(desk.policy.admission_mode("a") == AdmissionMode::IfSlotFree);
     desk.end("a", 0, first->endpoint, Status::Full);
     const auto second = desk.next<Send>();
     REQUIRE(second);
@@ -73,14 +73,14 @@
     for (AttemptNumber i = 0; i < 3; ++i) {
         const auto send = desk.next<Send>();
         REQUIRE(send);
-        CHECK(desk.quay.offer("a") == Offer::IfFree);
+        CHECK(desk.policy.admission_mode("a") == AdmissionMode::IfSlotFree);
         waits[send->endpoint] = 100ms * (3 - static_cast<int>(i));
-        desk.quay.hint(send->endpoint, desk.now, waits[send->endpoint]);
+        desk.policy.queue_hint(send->endpoint, desk.now, waits[send->endpoint]);
         desk.end("a", i, send->endpoint, Status::Full);
     }
     const auto queued = desk.next<Send>();
     REQUIRE(queued);
-    CHECK(desk.quay.offer("a") == Offer::Queue);
+    CHECK(desk.policy.admission_mode("a") == AdmissionMode::Queue);
     CHECK(waits[queued->endpoint] == 100ms);
 }
 
@@ -102,8 +102,8 @@
 }
 
 TEST_CASE("budget: ten tokens a retry, one for each served call, none for refusals") {
-    Quay::Options options;
-    options.bucket = 30;
+    OutboundPolicy::Options options;
+    options.retry_tokens = 30;
     Desk desk(options);
     desk.gates(6);
     int retries = 0, failed = 0;
@@ -175,19 +175,19 @@
         desk.gates(2);
         desk.ask("a", false);
         const auto first = desk.next<Send>();
-        CHECK_FALSE(desk.quay.asks("a"));
+        CHECK_FALSE(desk.policy.delivery_query("a"));
         desk.now += 100ms;
         desk.end("a", 0, first->endpoint, Status::Reset);
         const auto question = desk.next<Send>();
         REQUIRE(question);
         CHECK(question->endpoint == first->endpoint);
-        CHECK(desk.quay.asks("a") == 100ms);
+        CHECK(desk.policy.delivery_query("a") == 100ms);
         CHECK(desk.out.empty());
         desk.end("a", 1, question->endpoint, word);
         REQUIRE(desk.out.size() == 1);
         if (word == Status::Full) {
             CHECK(desk.next<Send>()->endpoint != first->endpoint);
-            CHECK_FALSE(desk.quay.asks("a"));
+            CHECK_FALSE(desk.policy.delivery_query("a"));
         } else {
             CHECK(std::holds_alternative<Fail>(desk.out.front()));
         }
@@ -198,7 +198,7 @@
         desk.gates(2);
         desk.ask("a", false);
         const auto first = desk.next<Send>();
-        told ? desk.quay.handed_on("a") : desk.quay.remove(first->endpoint);
+        told ? desk.policy.delivered("a") : desk.policy.remove_upstream(first->endpoint);
         desk.end("a", 0, first->endpoint, Status::Reset);
         CHECK(desk.next<Fail>());
     }
@@ -219,10 +219,10 @@
             desk.handle(TimerFired{timer->token});
             send = desk.next<Send>();
         }
-        desk.quay.outdated("a");
-        Plan plan = *desk.quay.plan("a");
-        plan.repeatable = false;
-        desk.quay.replan("a", plan);
+        desk.policy.outdated("a");
+        RequestPlan plan = *desk.policy.plan("a");
+        plan.idempotent = false;
+        desk.policy.replan("a", plan);
         desk.end("a", last, send->endpoint, Status::Full);
         REQUIRE(desk.out.size() == 1);
         CHECK(std::holds_alternative<Fail>(desk.out.front()) == ran);
@@ -247,19 +247,19 @@
 TEST_CASE("a gate that is silent is used where nothing else is left") {
     Desk desk;
     desk.gates(2);
-    desk.quay.berth(EndpointId{1}, {"s", "z", true, true});
+    desk.policy.set_upstream(EndpointId{1}, {"s", "z", true, true});
     for (int i = 0; i < 20; ++i) {
         desk.ask("r" + std::to_string(i));
         CHECK(desk.next<Send>()->endpoint == EndpointId{2});
     }
-    desk.quay.remove(EndpointId{2});
+    desk.policy.remove_upstream(EndpointId{2});
     desk.ask("last");
     CHECK(desk.next<Send>()->endpoint == EndpointId{1});
 }
 
 TEST_CASE("a stall that ends in order keeps what is out there; a dead or silent one gives it back") {
     registry::RegistryView view;
-    Berths berths;
+    UpstreamTable upstreams;
     const Time now{10s};
     registry::ProxyRegistration place;
     place.node = "n";
@@ -270,11 +270,11 @@
     place.state = registry::EndpointState::Ready;
     const auto told = [&](bool whole) {
         ++place.seq;
-        return berths.apply(view, view.apply(now, "g", {1, place.seq, whole, {place}, {}}));
+        return upstreams.apply(view, view.apply(now, "g", {1, place.seq, whole, {place}, {}}));
     };
-    const auto withdrawn = [](const std::vector<Berths::Step>& steps) {
+    const auto withdrawn = [](const std::vector<UpstreamTable::Change>& steps) {
         return std::any_of(steps.begin(), steps.end(),
-                           [](const auto& s) { return s.kind == Berths::Step::Kind::Withdraw; });
+                           [](const auto& s) { return s.kind == UpstreamTable::Change::Kind::Withdraw; });
     };
     CHECK_FALSE(withdrawn(told(true)));
     // SIGTERM: its stall says that the endpoint is gone, and answers for what it has.
@@ -282,7 +282,7 @@
     place.instance_id.clear();
     const auto leaving = told(false);
     REQUIRE(leaving.size() == 1);
-    CHECK(leaving.front().kind == Berths::Step::Kind::Remove);
+    CHECK(leaving.front().kind == UpstreamTable::Change::Kind::Remove);
     // It comes back as another life, beside another endpoint; then it is killed and another life is told.
     place.incarnation = 2;
     place.instance_id = "i-2";
@@ -300,7 +300,7 @@
     registry::ProxyRegistration late = place;
     late.incarnation = 3;
     late.seq = 99;
-    CHECK(berths.apply(view, view.apply(now, "h", {1, 1, true, {late}, {}})).empty());
+    CHECK(upstreams.apply(view, view.apply(now, "h", {1, 1, true, {late}, {}})).empty());
 }
 
 TEST_CASE("work at a gate that is doubted goes elsewhere as well and is not broken off while we drain") {
@@ -310,8 +310,8 @@
         desk.gates(2);
         desk.ask("a");
         const auto first = desk.next<Send>();
-        if (draining) desk.quay.drain();
-        desk.quay.withdraw(first->endpoint);
+        if (draining) desk.policy.drain();
+        desk.policy.withdraw(first->endpoint);
         desk.handle(Discovered{});
         const auto timer = desk.next<SetTimer>();  // and no Cancel before it
         REQUIRE(timer);
@@ -320,11 +320,11 @@
         const auto second = desk.next<Send>();
         REQUIRE(second);
         CHECK(second->endpoint != first->endpoint);
-        desk.quay.remove(first->endpoint);
+        desk.policy.remove_upstream(first->endpoint);
         // The other gate has no place: nothing is left but the first.
         desk.end("a", 1, second->endpoint, Status::Full);
         CHECK(desk.next<Fail>().has_value() == !draining);
         desk.end("a", 0, first->endpoint, draining ? Status::Ok : Status::Cancelled, true);
-        CHECK(desk.quay.plan("a") == nullptr);
+        CHECK(desk.policy.plan("a") == nullptr);
     }
 }
--- a/tools/hollow/hollow_stall.cpp
+++ b/tools/hollow/hollow_stall.cpp
@@ -26,7 +26,7 @@
     : loop_(loop),
       options_(options),
       gauge_(gauge),
-      quay_(quay::Quay::Options{options.zone}, drawn()),
+      outbound_policy_(outbound::OutboundPolicy::Options{options.zone}, drawn()),
       quota_limiter_({}),
       intake_(kIntakePatience),
       ticker_(loop),
@@ -155,10 +155,10 @@
 }
 
 void HollowStall::apply(const std::vector<std::string>& nodes) {
-    using Kind = quay::Berths::Step::Kind;
-    for (const auto& step : berths_.apply(view_, nodes)) {
-        if (step.kind == Kind::Place) quay_.berth(step.id, step.berth);
-        if (step.kind == Kind::Remove) quay_.remove(step.id);
+    using Kind = outbound::UpstreamTable::Change::Kind;
+    for (const auto& step : upstream_table_.apply(view_, nodes)) {
+        if (step.kind == Kind::Set) outbound_policy_.set_upstream(step.id, step.upstream);
+        if (step.kind == Kind::Remove) outbound_policy_.remove_upstream(step.id);
     }
     for (const std::string& node : nodes) {
         const auto known = view_.entries().find(node);
--- a/tools/hollow/hollow_stall.h
+++ b/tools/hollow/hollow_stall.h
@@ -1,5 +1,5 @@
 // A hollow node: the control side of a stall without its requests. The objects are the stall's own (registry,
-// berths, quotas, routes, the rpc's connections); what joins them follows src/stall/stall.cpp, and a run
+// upstreams, quotas, routes, the rpc's connections); what joins them follows src/stall/stall.cpp, and a run
 // of both side by side shows whether it still does (docs/CAPACITY.md).
 #pragma once
 
@@ -13,8 +13,8 @@
 
 #include "core/loop.h"
 #include "mesh_config/mesh_config.h"
-#include "quay/berths.h"
-#include "quay/quay.h"
+#include "outbound/outbound_policy.h"
+#include "outbound/upstream_table.h"
 #include "quota/quota.h"
 #include "registry/registry.h"
 #include "rpc/channel.h"
@@ -67,8 +67,8 @@
     Gauge& gauge_;
     std::map<std::string, Guildhall> guildhalls_;
     registry::RegistryView view_;
-    quay::Berths berths_;
-    quay::Quay quay_;
+    outbound::UpstreamTable upstream_table_;
+    outbound::OutboundPolicy outbound_policy_;
     quota::QuotaLimiter quota_limiter_;
     std::shared_ptr<const mesh_config::RouteTable> routes_;
     std::vector<quota::QuotaDemand> demands_;
