--- a/src/stall/dialects.cpp
+++ b/src/stall/dialects.cpp
@@ -251,23 +251,24 @@
     const auto left = whole_number(head[kTimeRemaining]);
     if (parts.size() < 8 || id.empty() || id.size() > kMostId || !left || *left < 1 || *left > kMostTimeMs)
         return TurnAway{http::status::bad_request};
-    tollgate::Toll toll;
-    toll.instance = parts[0];
-    toll.may_queue = parts[1] == "q";
-    toll.repeatable = parts[2] == "r";
-    toll.attempt_id = std::string(view(id));
-    std::from_chars(parts[3].data(), parts[3].data() + parts[3].size(), toll.priority);
+    admission::InboundRequest inbound;
+    inbound.instance_id = parts[0];
+    inbound.may_queue = parts[1] == "q";
+    inbound.idempotent = parts[2] == "r";
+    inbound.attempt_id = std::string(view(id));
+    std::from_chars(parts[3].data(), parts[3].data() + parts[3].size(), inbound.priority);
     std::int64_t aim = 0;
     std::from_chars(parts[4].data(), parts[4].data() + parts[4].size(), aim);
-    std::from_chars(parts[5].data(), parts[5].data() + parts[5].size(), toll.kind);
-    toll.aim = std::chrono::milliseconds(std::clamp<std::int64_t>(aim, 0, kMostTimeMs));
+    std::from_chars(parts[5].data(), parts[5].data() + parts[5].size(), inbound.kind);
+    inbound.latency_target = std::chrono::milliseconds(std::clamp<std::int64_t>(aim, 0, kMostTimeMs));
     if (parts[1] == "a") {
         const bool same_life = parts[6] == std::to_string(life_);
-        const bool never = same_life && gate_.bar(Loop::monotonic(), toll.attempt_id, toll.aim);
-        TurnAway word{http::status::service_unavailable, true, {}, {{kAttemptId, toll.attempt_id}}};
+        const bool never =
+            same_life && gate_.fence_attempt(Loop::monotonic(), inbound.attempt_id, inbound.latency_target);
+        TurnAway word{http::status::service_unavailable, true, {}, {{kAttemptId, inbound.attempt_id}}};
         if (never) {
-            word.fields.emplace_back(kRefused,
-                                     std::to_string(std::max<std::int64_t>(1, millis(gate_.wait()))));
+            word.fields.emplace_back(
+                kRefused, std::to_string(std::max<std::int64_t>(1, millis(gate_.expected_queue_wait()))));
         } else {
             word.fields.emplace_back(kFailed, "1");
         }
@@ -275,33 +276,34 @@
     }
     mesh_config::Version version = 0;
     std::from_chars(parts[7].data(), parts[7].data() + parts[7].size(), version);
-    if (decides_otherwise(head, toll, version)) {
-        return TurnAway{http::status::service_unavailable,
-                        true,
-                        {},
-                        {{kAttemptId, toll.attempt_id},
-                         {kRefused, std::to_string(std::max<std::int64_t>(1, millis(gate_.wait())))},
-                         {kVersion, std::to_string(in_force_()->version())}}};
+    if (decides_otherwise(head, inbound, version)) {
+        return TurnAway{
+            http::status::service_unavailable,
+            true,
+            {},
+            {{kAttemptId, inbound.attempt_id},
+             {kRefused, std::to_string(std::max<std::int64_t>(1, millis(gate_.expected_queue_wait())))},
+             {kVersion, std::to_string(in_force_()->version())}}};
     }
     head.erase(kHop);
     Request request;
     // An id may come again here: each hop is a request of its own.
-    request.id = toll.attempt_id + kHopNumber + std::to_string(++last_);
+    request.id = inbound.attempt_id + kHopNumber + std::to_string(++last_);
     request.deadline = arrived + std::chrono::milliseconds(*left) - kHopBack;
-    request.write = !toll.repeatable;
-    gate_.prepare(request.id, std::move(toll));
+    request.write = !inbound.idempotent;
+    gate_.prepare(request.id, std::move(inbound));
     return request;
 }
 
 /// Whether a newer configuration than the caller's wants it elsewhere, treated otherwise, or not at all.
-bool HopFront::decides_otherwise(const Fields& head, const tollgate::Toll& toll,
+bool HopFront::decides_otherwise(const Fields& head, const admission::InboundRequest& inbound,
                                  mesh_config::Version version) const {
     const auto* routes = in_force_();
     if (!routes || routes->version() <= version) return false;
     const auto* route = routes->route(view(head[http::field::host]), view(head.target()));
     const auto tenant = view(head[kTenantName]);
-    return !route || route->idempotent() != toll.repeatable ||
-           route->service_for(toll.attempt_id) != settings_.service ||
+    return !route || route->idempotent() != inbound.idempotent ||
+           route->service_for(inbound.attempt_id) != settings_.service ||
            (!tenant.empty() && !routes->tenant(tenant));
 }
 
@@ -315,7 +317,7 @@
     head.set(kAttemptId, id.substr(0, id.rfind(kHopNumber)));
     if (answer.kind == Answer::Kind::Refused) {
         head.result(http::status::service_unavailable);
-        head.set(kRefused, std::to_string(std::max<std::int64_t>(1, millis(gate_.wait()))));
+        head.set(kRefused, std::to_string(std::max<std::int64_t>(1, millis(gate_.expected_queue_wait()))));
     } else {
         head.set(kFailed, "1");
     }
@@ -325,7 +327,7 @@
 
 void EndpointBack::prepare(http::request_header<>& head, const HttpMessage&, EndpointId, Time end) {
     head.set(kTimeRemaining, std::to_string(std::max<std::int64_t>(1, millis(end - Loop::monotonic()))));
-    head.set(kExpectedInstance, gate_.instance());
+    head.set(kExpectedInstance, gate_.instance_id());
 }
 
 void EndpointBack::prepare_probe(http::request_header<>& head) {
--- a/src/stall/dialects.h
+++ b/src/stall/dialects.h
@@ -7,13 +7,13 @@
 #include <memory>
 #include <string>
 
+#include "admission/admission_controller.h"
 #include "bootstrap/settings.h"
 #include "core/loop.h"
 #include "http1/dialect.h"
 #include "mesh_config/mesh_config.h"
 #include "outbound/outbound_policy.h"
 #include "quota/quota.h"
-#include "tollgate/tollgate.h"
 
 namespace martenford::stall {
 
@@ -100,7 +100,7 @@
     /// The configuration in force here.
     using InForce = std::function<const mesh_config::RouteTable*()>;
     /// `life` of this process: what it has handed on is known in it alone.
-    HopFront(const bootstrap::Settings& settings, tollgate::Tollgate& gate, std::uint64_t life,
+    HopFront(const bootstrap::Settings& settings, admission::AdmissionController& gate, std::uint64_t life,
              InForce in_force)
         : settings_(settings), gate_(gate), life_(life), in_force_(std::move(in_force)) {
         limits_.idle_time = 30s;
@@ -114,8 +114,8 @@
 
   private:
     const bootstrap::Settings& settings_;
-    tollgate::Tollgate& gate_;
-    bool decides_otherwise(const Fields& head, const tollgate::Toll& toll,
+    admission::AdmissionController& gate_;
+    bool decides_otherwise(const Fields& head, const admission::InboundRequest& inbound,
                            mesh_config::Version version) const;
 
     const std::uint64_t life_;
@@ -127,7 +127,7 @@
 /// From a gate to its endpoint.
 class EndpointBack : public BackDialect {
   public:
-    explicit EndpointBack(tollgate::Tollgate& gate) : gate_(gate) {}
+    explicit EndpointBack(admission::AdmissionController& gate) : gate_(gate) {}
     void ask_health_at(const std::string& path) { health_path_ = path; }
     void prepare(http::request_header<>& head, const HttpMessage& message, EndpointId to, Time end) override;
     void prepare_probe(http::request_header<>& head) override;
@@ -137,7 +137,7 @@
     bool ends_by_close() const override { return false; }
 
   private:
-    tollgate::Tollgate& gate_;
+    admission::AdmissionController& gate_;
     std::string health_path_ = "/health";
 };
 
--- a/src/stall/stall.cpp
+++ b/src/stall/stall.cpp
@@ -99,7 +99,7 @@
           engine_(loop_, hops_, limits_of(kHopConnect, kHopIdle),
                   std::make_unique<Shared<outbound::OutboundPolicy>>(outbound_policy_), tally_),
           gate_engine_(loop_, to_endpoint_, limits_of(kHopConnect, kEndpointIdle),
-                       std::make_unique<Shared<tollgate::Tollgate>>(gate_), gate_tally_),
+                       std::make_unique<Shared<admission::AdmissionController>>(gate_), gate_tally_),
           front_(
               loop_, engine_, outbound_, places_ / 3, [] { return true; }, counters_),
           gate_front_(
@@ -336,8 +336,8 @@
         registration_.state =
             state == "ready" ? registry::EndpointState::Ready : registry::EndpointState::Draining;
         to_endpoint_.place(endpoint_, *at, true);
-        gate_.endpoint(endpoint_, registration_.instance_id, registration_.slots);
-        if (registration_.state == registry::EndpointState::Draining) gate_.drains(now);
+        gate_.set_endpoint(endpoint_, registration_.instance_id, registration_.slots);
+        if (registration_.state == registry::EndpointState::Draining) gate_.start_draining(now);
         if (before != std::tuple(registration_.instance_id, registration_.state, registration_.slots,
                                  registration_.service)) {
             if (registration_.state == registry::EndpointState::Draining)
@@ -365,7 +365,7 @@
                 registration_.slots = kAssumedSlots;
                 endpoint_ = id;
                 beat_at_ = loop_.now();
-                gate_.endpoint(endpoint_, registration_.instance_id, registration_.slots);
+                gate_.set_endpoint(endpoint_, registration_.instance_id, registration_.slots);
                 log_event(Event::EndpointSeen, "endpoint, by its health",
                           {{"id", registration_.instance_id}});
                 changed();
@@ -386,7 +386,7 @@
         registration_.state = registry::EndpointState::Absent;
         if (why == "deregistered") remember_past(registration_.instance_id);
         registration_.instance_id.clear();
-        gate_.none();
+        gate_.remove_endpoint();
         to_endpoint_.remove(endpoint_);
         changed();
     }
@@ -487,7 +487,7 @@
     const std::uint64_t life_;
     Figures figures_;
     outbound::OutboundPolicy outbound_policy_;
-    tollgate::Tollgate gate_;
+    admission::AdmissionController gate_;
     quota::QuotaLimiter quota_limiter_;
     HopBack hop_back_;
     EndpointBack endpoint_back_;
--- a/tests/mesh/admission_controller_test.cpp
+++ b/tests/mesh/admission_controller_test.cpp
@@ -1,30 +1,30 @@
 // The gate: no more than the slots reach the endpoint, who waits goes by priority and aim, what is refused
 // never ran.
-#include "tollgate/tollgate.h"
+#include "admission/admission_controller.h"
 
 #include <doctest/doctest.h>
 
 using namespace martenford;
-using namespace martenford::tollgate;
+using namespace martenford::admission;
 using namespace loftfront;
 
 namespace {
 
 struct Gate {
-    Gate() { gate.endpoint(EndpointId{1}, "i-1", 1); }
-    Tollgate gate{{}};
+    Gate() { gate.set_endpoint(EndpointId{1}, "i-1", 1); }
+    AdmissionController gate{{}};
     Time now{10s};
     std::vector<Action> out;
     std::uint64_t last = 0;
 
-    Toll toll(const std::string& id) {
-        Toll t;
-        t.instance = "i-1";
+    InboundRequest inbound(const std::string& id) {
+        InboundRequest t;
+        t.instance_id = "i-1";
         t.attempt_id = id;
-        t.aim = 800ms;
+        t.latency_target = 800ms;
         return t;
     }
-    RequestId ask(Toll t, Duration left = 3s) {
+    RequestId ask(InboundRequest t, Duration left = 3s) {
         Request request;
         request.id = std::to_string(++last);
         request.deadline = now + left;
@@ -55,13 +55,13 @@
 TEST_CASE(
     "as many as there are slots are handed on; the next waits, or is refused where it asked for a free one") {
     Gate gate;
-    CHECK(gate.said(gate.ask(gate.toll("a"))) == "send ");
-    const auto second = gate.ask(gate.toll("b"));
+    CHECK(gate.said(gate.ask(gate.inbound("a"))) == "send ");
+    const auto second = gate.ask(gate.inbound("b"));
     CHECK(gate.said(second) == "send ");
-    Toll free = gate.toll("c");
+    InboundRequest free = gate.inbound("c");
     free.may_queue = false;
     CHECK(gate.said(gate.ask(free)) == "refuse ");
-    const auto waits = gate.ask(gate.toll("d"));
+    const auto waits = gate.ask(gate.inbound("d"));
     CHECK(gate.said(waits).empty());
     gate.end(second, Status::Ok);
     CHECK(gate.said(waits) == "send ");
@@ -69,12 +69,12 @@
 
 TEST_CASE("the queue goes by priority, then by whose aim ends first, whatever came first") {
     Gate gate;
-    const auto first = gate.ask(gate.toll("a")), second = gate.ask(gate.toll("b"));
-    Toll low = gate.toll("low"), late = gate.toll("late"), soon = gate.toll("soon");
+    const auto first = gate.ask(gate.inbound("a")), second = gate.ask(gate.inbound("b"));
+    InboundRequest low = gate.inbound("low"), late = gate.inbound("late"), soon = gate.inbound("soon");
     low.priority = 2;
-    low.aim = 700ms;
-    late.aim = 900ms;
-    soon.aim = 600ms;
+    low.latency_target = 700ms;
+    late.latency_target = 900ms;
+    soon.latency_target = 600ms;
     const auto third = gate.ask(low), fourth = gate.ask(late), fifth = gate.ask(soon);
     gate.end(first, Status::Ok);
     CHECK(gate.said(fifth) == "send ");
@@ -87,25 +87,25 @@
     gate.end(fifth, Status::Ok);
     gate.end(fourth, Status::Ok);
     CHECK(gate.said(third).empty());
-    CHECK(gate.gate.queued() == 0);
-    CHECK(gate.gate.out() == 0);
+    CHECK(gate.gate.queue_length() == 0);
+    CHECK(gate.gate.in_flight() == 0);
 }
 
 TEST_CASE("what would be late is refused at once, unless it has no time to come back") {
     Gate gate;
-    gate.ask(gate.toll("a"));
-    gate.ask(gate.toll("b"));
-    Toll hopeless = gate.toll("c");
-    hopeless.aim = 50ms;
+    gate.ask(gate.inbound("a"));
+    gate.ask(gate.inbound("b"));
+    InboundRequest hopeless = gate.inbound("c");
+    hopeless.latency_target = 50ms;
     CHECK(gate.said(gate.ask(hopeless)) == "refuse ");
     CHECK(gate.said(gate.ask(hopeless, 600ms)).empty());
 }
 
 TEST_CASE("a request that waits too long is refused before its deadline, as one that never ran") {
     Gate gate;
-    gate.ask(gate.toll("a"));
-    gate.ask(gate.toll("b"));
-    const auto waits = gate.ask(gate.toll("c"));
+    gate.ask(gate.inbound("a"));
+    gate.ask(gate.inbound("b"));
+    const auto waits = gate.ask(gate.inbound("c"));
     std::optional<SetTimer> timer;
     for (const Action& action : gate.out) {
         if (const auto* set = std::get_if<SetTimer>(&action)) timer = *set;
@@ -119,67 +119,67 @@
 
 TEST_CASE("an id that must not run twice is handed on once, whatever became of it") {
     Gate gate;
-    const auto first = gate.ask(gate.toll("order"));
+    const auto first = gate.ask(gate.inbound("order"));
     gate.end(first, Status::Reset);
     CHECK(gate.said(first) == "send fail ");
-    CHECK(gate.said(gate.ask(gate.toll("order"))) == "fail ");
+    CHECK(gate.said(gate.ask(gate.inbound("order"))) == "fail ");
     // Where it is proven that it did not run, it may come again.
-    const auto other = gate.ask(gate.toll("other"));
+    const auto other = gate.ask(gate.inbound("other"));
     gate.end(other, Status::Full);
     CHECK(gate.said(other) == "send refuse ");
-    CHECK(gate.said(gate.ask(gate.toll("other"))) == "send ");
+    CHECK(gate.said(gate.ask(gate.inbound("other"))) == "send ");
 }
 
 TEST_CASE(
     "an id that was never handed on is barred by the question, also where its hop waits or is yet to come") {
     Gate gate;
-    const auto first = gate.ask(gate.toll("a"));
-    gate.ask(gate.toll("b"));
-    const auto waits = gate.ask(gate.toll("c"));
-    CHECK_FALSE(gate.gate.bar(gate.now, "a", 10ms));
-    CHECK(gate.gate.bar(gate.now, "c", 10ms));
-    CHECK(gate.gate.bar(gate.now, "d", 10ms));
+    const auto first = gate.ask(gate.inbound("a"));
+    gate.ask(gate.inbound("b"));
+    const auto waits = gate.ask(gate.inbound("c"));
+    CHECK_FALSE(gate.gate.fence_attempt(gate.now, "a", 10ms));
+    CHECK(gate.gate.fence_attempt(gate.now, "c", 10ms));
+    CHECK(gate.gate.fence_attempt(gate.now, "d", 10ms));
     gate.end(first, Status::Ok);
     CHECK(gate.said(waits) == "fail ");
-    CHECK(gate.said(gate.ask(gate.toll("d"))) == "fail ");
+    CHECK(gate.said(gate.ask(gate.inbound("d"))) == "fail ");
     // What was handed on while that hop was out may have been forgotten: nobody knows.
     gate.now += 61s;
     gate.end("2", Status::Ok);
-    gate.ask(gate.toll("e"));
-    CHECK_FALSE(gate.gate.bar(gate.now, "f", 61s));
-    CHECK(gate.gate.bar(gate.now, "f", 10s));
+    gate.ask(gate.inbound("e"));
+    CHECK_FALSE(gate.gate.fence_attempt(gate.now, "f", 61s));
+    CHECK(gate.gate.fence_attempt(gate.now, "f", 10s));
 }
 
 TEST_CASE("an id that was freed and handed on again is remembered from then on") {
     Gate gate;
-    gate.end(gate.ask(gate.toll("a")), Status::Full);
+    gate.end(gate.ask(gate.inbound("a")), Status::Full);
     gate.now += 59s;
-    gate.end(gate.ask(gate.toll("a")), Status::Reset);
+    gate.end(gate.ask(gate.inbound("a")), Status::Reset);
     gate.now += 2s;
-    gate.end(gate.ask(gate.toll("other")), Status::Ok);
-    CHECK(gate.said(gate.ask(gate.toll("a"))) == "fail ");
+    gate.end(gate.ask(gate.inbound("other")), Status::Ok);
+    CHECK(gate.said(gate.ask(gate.inbound("a"))) == "fail ");
 }
 
 TEST_CASE("a request for another life of the endpoint is refused") {
     Gate gate;
-    Toll old = gate.toll("a");
-    old.instance = "i-0";
+    InboundRequest old = gate.inbound("a");
+    old.instance_id = "i-0";
     CHECK(gate.said(gate.ask(old)) == "refuse ");
-    gate.gate.none();
-    CHECK(gate.said(gate.ask(gate.toll("b"))) == "refuse ");
+    gate.gate.remove_endpoint();
+    CHECK(gate.said(gate.ask(gate.inbound("b"))) == "refuse ");
 }
 
 TEST_CASE("a drain sends what is new elsewhere at once, and everything before drain_ms") {
     Gate gate;
-    gate.gate.drains(gate.now);
-    Toll asks = gate.toll("a");
+    gate.gate.start_draining(gate.now);
+    InboundRequest asks = gate.inbound("a");
     asks.may_queue = false;
     CHECK(gate.said(gate.ask(asks)) == "refuse ");
-    CHECK(gate.said(gate.ask(gate.toll("b"))) == "send ");  // it has nowhere else to go
-    gate.ask(gate.toll("c"));
-    const auto waits = gate.ask(gate.toll("d"));
+    CHECK(gate.said(gate.ask(gate.inbound("b"))) == "send ");  // it has nowhere else to go
+    gate.ask(gate.inbound("c"));
+    const auto waits = gate.ask(gate.inbound("d"));
     gate.now += 2s;
     gate.end("2", Status::Ok);
     CHECK(gate.said(waits) == "refuse ");
-    CHECK(gate.said(gate.ask(gate.toll("e"))) == "refuse ");
+    CHECK(gate.said(gate.ask(gate.inbound("e"))) == "refuse ");
 }
--- a/tests/mesh/hop_world.h
+++ b/tests/mesh/hop_world.h
@@ -291,26 +291,27 @@
     Gate(Loop& loop, Random& random, History& history, const bool& trouble, const std::string& service,
          const std::string& instance)
         : endpoint(loop, random, history, trouble),
-          toll(tollgate::Tollgate::Options{}),
-          back(toll),
-          inbound(own, toll, 7, [this] { return in_force.get(); }),
+          admission(admission::AdmissionController::Options{}),
+          back(admission),
+          inbound(own, admission, 7, [this] { return in_force.get(); }),
           tally(counters, {}),
           to_endpoint(loop, back, back_limits(), 64, 0, counters),
-          engine(loop, to_endpoint, back_limits(), std::make_unique<Lent<tollgate::Tollgate>>(toll), tally),
+          engine(loop, to_endpoint, back_limits(),
+                 std::make_unique<Lent<admission::AdmissionController>>(admission), tally),
           front(
               loop, engine, inbound, 64, [] { return true; }, counters) {
         own.service = service;
         engine.start();
         front.listen(*parse_address("127.0.0.1:0"));
         to_endpoint.place(loftfront::EndpointId{1}, endpoint.at(), true);
-        toll.endpoint(loftfront::EndpointId{1}, instance, 1);
+        admission.set_endpoint(loftfront::EndpointId{1}, instance, 1);
         relay = std::make_unique<Relay>(loop, random, trouble, front.listens_at());
     }
     Endpoint endpoint;
     bootstrap::Settings own;
     std::shared_ptr<const mesh_config::RouteTable> in_force;
     Counters counters;
-    tollgate::Tollgate toll;
+    admission::AdmissionController admission;
     stall::EndpointBack back;
     stall::HopFront inbound;
     Tally tally;
