--- a/benchmarks/hop_benchmark.cpp
+++ b/benchmarks/hop_benchmark.cpp
@@ -542,7 +542,7 @@
     std::size_t body = 0;
     std::from_chars(length.data(), length.data() + length.size(), body);
     if (got.size() < end + 4 + body) return wait();
-    // The sidecar's own dialect passes no id back.
+    // The sidecar's own protocol passes no id back.
     const auto id = field(got.substr(0, end + 2), "Attempt-Id: ");
     const bool well = got.starts_with("HTTP/1.1 200") &&
                       (id.empty() || id == std::string_view(request_).substr(id_at_, 16));
--- a/src/control_api/control_api.h
+++ b/src/control_api/control_api.h
@@ -10,8 +10,8 @@
 #include <vector>
 
 #include "core/engine.h"
-#include "http1/dialect.h"
 #include "http1/front.h"
+#include "http1/protocol.h"
 
 namespace martenford::control_api {
 
@@ -52,7 +52,7 @@
 Match match(http::verb verb, std::string_view path);
 
 /// One port.
-class ApiServer : private FrontDialect, private Desk {
+class ApiServer : private ServerProtocol, private Desk {
   public:
     /// Answers the calls for which there are handlers; others are unknown here. `most` connections.
     ApiServer(Loop& loop, std::map<CallName, Handler> handlers, std::size_t most,
--- a/src/http1/back.cpp
+++ b/src/http1/back.cpp
@@ -7,7 +7,7 @@
 #include <optional>
 
 #include "core/transport.h"
-#include "http1/dialect.h"
+#include "http1/protocol.h"
 
 namespace martenford {
 
@@ -185,7 +185,7 @@
         if (error == asio::error::eof && parser_->got_some()) {
             error_code fault;
             parser_->put_eof(fault);
-            if (!fault && parser_->is_done() && pool_.dialect_.ends_by_close()) {
+            if (!fault && parser_->is_done() && pool_.protocol_.ends_by_close()) {
                 if (stage_ == Stage::Passing) return passed(false);
                 if (const auto status = classify()) return answered(*status, false);
             }
@@ -229,9 +229,9 @@
     }
     bool clean_end() { return parser_->keep_alive() && buffer_.size() == 0 && clean(); }
 
-    std::optional<Status> classify() { return pool_.dialect_.classify(parser_->get(), message_.get(), id); }
+    std::optional<Status> classify() { return pool_.protocol_.classify(parser_->get(), message_.get(), id); }
     std::shared_ptr<const AnswerHead> head_of(const http::response<PieceBody>& answer) const {
-        if (!pool_.dialect_.passes_heads()) return nullptr;
+        if (!pool_.protocol_.passes_heads()) return nullptr;
         auto head = std::make_shared<HttpAnswerHead>();
         head->status = answer.result_int();
         head->fields = answer;
@@ -353,10 +353,10 @@
     Back::Done done_;
 };
 
-Http1Back::Http1Back(Loop& loop, BackDialect& dialect, const loftfront::Limits& limits, std::size_t most,
+Http1Back::Http1Back(Loop& loop, ClientProtocol& protocol, const loftfront::Limits& limits, std::size_t most,
                      std::size_t per_endpoint, Counters& counters)
     : loop_(loop),
-      dialect_(dialect),
+      protocol_(protocol),
       limits_(limits),
       most_(most),
       per_endpoint_(per_endpoint),
@@ -384,10 +384,10 @@
 
 Back::Handle Http1Back::send(EndpointId id, std::shared_ptr<const Message> message, Time end, Done done) {
     auto request = std::static_pointer_cast<const HttpMessage>(std::move(message));
-    if (!dialect_.carries_body(*request))
+    if (!protocol_.carries_body(*request))
         request = std::make_shared<HttpMessage>(http::request<PieceBody>{request->head});
     Outgoing::Head head{request->head};
-    dialect_.prepare(head, *request, id, end);
+    protocol_.prepare(head, *request, id, end);
     if (!request->rest) {
         // A safe request has no body, and endpoints may not expect to be told so.
         const bool bare = request->body.empty() && head.method() == http::verb::get;
@@ -403,7 +403,7 @@
 
 void Http1Back::probe(EndpointId id, Done done) {
     Outgoing::Head head{http::verb::get, "/", 11};
-    dialect_.prepare_probe(head);
+    protocol_.prepare_probe(head);
     auto outgoing = std::make_shared<Outgoing>(std::move(head), std::string_view{}, nullptr);
     start(id, nullptr, std::move(outgoing), Loop::monotonic() + kProbeTime, std::move(done));
 }
--- a/src/http1/back.h
+++ b/src/http1/back.h
@@ -16,15 +16,15 @@
 namespace martenford {
 
 class Connection;
-class BackDialect;
+class ClientProtocol;
 
 class Http1Back : public Back, public Placement {
   public:
     /// Holds `most` connections, and `per_endpoint` to each endpoint (0: no bound of its own). An attempt
     /// that would need one more takes the place of the connection that has been idle longest; where none is
     /// idle, or its endpoint has as many as it may, it ends as never sent.
-    /// `dialect` outlives it.
-    Http1Back(Loop& loop, BackDialect& dialect, const loftfront::Limits& limits, std::size_t most,
+    /// `protocol` outlives it.
+    Http1Back(Loop& loop, ClientProtocol& protocol, const loftfront::Limits& limits, std::size_t most,
               std::size_t per_endpoint, Counters& counters);
     ~Http1Back() override;
 
@@ -64,7 +64,7 @@
     }
 
     Loop& loop_;
-    BackDialect& dialect_;
+    ClientProtocol& protocol_;
     loftfront::Limits limits_;
     std::size_t most_, per_endpoint_, count_ = 0;
     std::unordered_map<EndpointId, Pool> pools_;
--- a/src/http1/front.cpp
+++ b/src/http1/front.cpp
@@ -12,8 +12,8 @@
 #include <string_view>
 #include <variant>
 
-#include "http1/dialect.h"
 #include "http1/http.h"
+#include "http1/protocol.h"
 
 namespace martenford {
 
@@ -105,7 +105,7 @@
   private:
     enum class Stage { Reading, Waiting, Writing, Lingering, Closed };
 
-    const FrontLimits& limits() const { return front_.dialect_.limits(); }
+    const FrontLimits& limits() const { return front_.protocol_.limits(); }
 
     void next_request() {
         stage_ = Stage::Reading;
@@ -251,14 +251,14 @@
         auto& head = parser_->get().base();
         if (!framed_clearly(head)) return turn_away(http::status::bad_request, false);
         head.target(origin_form(head.target()));
-        if (const auto path = front_.dialect_.ready_path(); !path.empty() && head.target() == path) {
+        if (const auto path = front_.protocol_.ready_path(); !path.empty() && head.target() == path) {
             if (head.method() != http::verb::get)
                 return turn_away(http::status::method_not_allowed, keep && !arriving);
             return turn_away(front_.is_ready() ? http::status::ok : http::status::service_unavailable,
                              keep && !arriving && !front_.leaving());
         }
         const Time now = Loop::monotonic();
-        auto request = front_.dialect_.read(head, now - since_arrival());
+        auto request = front_.protocol_.read(head, now - since_arrival());
         if (const auto* away = std::get_if<TurnAway>(&request))
             return turn_away(away->status, keep && away->keep && !arriving, away->retry_after, away->fields);
         if (front_.sends_all_away()) return turn_away(http::status::service_unavailable, false);
@@ -328,7 +328,7 @@
             return;
         }
         Reply::Head head{http::status::bad_gateway, 11};
-        front_.dialect_.write(answer, id_, head);
+        front_.protocol_.write(answer, id_, head);
         rest_ = std::move(answer.rest);
         ticket_ = std::move(answer.ticket);
         on_written_ = std::move(answer.on_written);
@@ -442,11 +442,11 @@
     Time linger_end_{};
 };
 
-Http1Front::Http1Front(Loop& loop, Desk& desk, FrontDialect& dialect, std::size_t most,
+Http1Front::Http1Front(Loop& loop, Desk& desk, ServerProtocol& protocol, std::size_t most,
                        std::function<bool()> ready, Counters& counters)
     : loop_(loop),
       desk_(desk),
-      dialect_(dialect),
+      protocol_(protocol),
       most_(most),
       ready_(std::move(ready)),
       acceptor_(loop.io()),
@@ -554,7 +554,7 @@
     drained_ = std::move(done);
     replaced_ = replaced;
     letting_go_.cancel();
-    const DrainTimes times = dialect_.drain_times();
+    const DrainTimes times = protocol_.drain_times();
     answers_end_ = Loop::monotonic() + times.answers_end;
     if (replaced_) return stop_accepting();  // what waits in the listener is its other holder's
     quiet_.set(Loop::monotonic() + times.last_call, [this] { stop_accepting(); });
@@ -568,7 +568,7 @@
     if (const int descriptor = acceptor_.release(ignored); !ignored) ::close(descriptor);
     // Clients go on using open connections, and there may be nobody else to turn to while a fleet restarts:
     // these are served for as long as their answers will be in time.
-    const DrainTimes times = dialect_.drain_times();
+    const DrainTimes times = protocol_.drain_times();
     quiet_.set(std::max(Loop::monotonic() + times.last_request, answers_end_ - times.last_answers),
                [this] { stop_serving(); });
 }
--- a/src/http1/front.h
+++ b/src/http1/front.h
@@ -15,14 +15,14 @@
 namespace martenford {
 
 class Client;
-class FrontDialect;
+class ServerProtocol;
 
 class Http1Front {
   public:
     /// Holds this many connections at most. Throws boost::system::system_error where it can't listen.
-    /// `desk` and `dialect` outlive it.
-    Http1Front(Loop& loop, Desk& desk, FrontDialect& dialect, std::size_t most, std::function<bool()> ready,
-               Counters& counters);
+    /// `desk` and `protocol` outlive it.
+    Http1Front(Loop& loop, Desk& desk, ServerProtocol& protocol, std::size_t most,
+               std::function<bool()> ready, Counters& counters);
     ~Http1Front();
 
     /// Listens, beside others that share the address with SO_REUSEPORT. Throws boost::system::system_error
@@ -78,7 +78,7 @@
 
     Loop& loop_;
     Desk& desk_;
-    FrontDialect& dialect_;
+    ServerProtocol& protocol_;
     std::size_t most_;
     std::function<bool()> ready_;
     asio::ip::tcp::acceptor acceptor_;
--- a/src/http1/protocol.cpp
+++ b/src/http1/protocol.cpp
@@ -1,4 +1,4 @@
-#include "http1/dialect.h"
+#include "http1/protocol.h"
 
 #include <algorithm>
 #include <charconv>
@@ -39,7 +39,7 @@
 
 }  // namespace
 
-DrainTimes SidecarFront::drain_times() const {
+DrainTimes SidecarServerProtocol::drain_times() const {
     Duration longest{};
     for (const RequestClass& c : settings_.classes) longest = std::max(longest, c.deadline);
     return {kLastCall, kLastRequest, std::min(longest, kKilledMost) + kKilledAfter - kKilledSlack,
@@ -47,7 +47,7 @@
 }
 
 /// The event that a message stands for, or the status that turns it away.
-std::variant<Request, TurnAway> SidecarFront::read(Fields& message, Time arrived) {
+std::variant<Request, TurnAway> SidecarServerProtocol::read(Fields& message, Time arrived) {
     const Settings& settings = settings_;
     const auto id = message["X-Request-ID"], name = message["X-Priority-Class"];
     if (id.empty() || id.size() > kMostId || name.empty()) return TurnAway{http::status::bad_request};
@@ -89,7 +89,7 @@
     return request;
 }
 
-void SidecarFront::write(const Answer& answer, const RequestId&, http::response_header<>& head) {
+void SidecarServerProtocol::write(const Answer& answer, const RequestId&, http::response_header<>& head) {
     if (answer.kind == Answer::Kind::Served) {
         head.result(http::status::ok);
         if (!answer.content_type.empty()) head.set(http::field::content_type, answer.content_type);
@@ -101,18 +101,18 @@
     }
 }
 
-void SidecarBack::prepare(http::request_header<>& head, const HttpMessage&, EndpointId, Time end) {
+void SidecarClientProtocol::prepare(http::request_header<>& head, const HttpMessage&, EndpointId, Time end) {
     const auto left = std::chrono::ceil<std::chrono::milliseconds>(end - Loop::monotonic());
     head.set("X-Timeout-Ms", std::to_string(std::max<std::int64_t>(1, left.count())));
 }
 
-void SidecarBack::prepare_probe(http::request_header<>& head) {
+void SidecarClientProtocol::prepare_probe(http::request_header<>& head) {
     head.target("/-/healthy");
     head.set(http::field::host, "service.internal");
 }
 
-std::optional<Status> SidecarBack::classify(const http::response_header<>& head, const HttpMessage*,
-                                            EndpointId) {
+std::optional<Status> SidecarClientProtocol::classify(const http::response_header<>& head, const HttpMessage*,
+                                                      EndpointId) {
     if (head.result_int() == 200) return Status::Ok;
     const bool turned_away = head.result_int() == 503 || head.result_int() == 504;
     return turned_away && head["X-Not-Processed"] == "1" ? Status::Full : Status::Error;
--- a/src/http1/protocol.h
+++ b/src/http1/protocol.h
@@ -1,5 +1,5 @@
 // What differs between the deployments that speak HTTP/1.1: which fields a request must have, what proves
-// that one never ran, what an answer says beside its body. Fronts and backs read and write; a dialect says
+// that one never ran, what an answer says beside its body. Fronts and backs read and write; a protocol says
 // what it means.
 #pragma once
 
@@ -50,10 +50,10 @@
     std::vector<std::pair<std::string, std::string>> fields{};
 };
 
-class FrontDialect {
+class ServerProtocol {
   public:
     using Fields = http::request_header<>;
-    virtual ~FrontDialect() = default;
+    virtual ~ServerProtocol() = default;
     virtual const FrontLimits& limits() const = 0;
     virtual DrainTimes drain_times() const = 0;
     /// Where callers ask whether the process is ready; empty: not on this port.
@@ -67,9 +67,9 @@
                        http::response_header<>& head) = 0;
 };
 
-class BackDialect {
+class ClientProtocol {
   public:
-    virtual ~BackDialect() = default;
+    virtual ~ClientProtocol() = default;
     /// Adds and takes off fields of a request before it goes to `to`; the attempt ends at `end`.
     virtual void prepare(http::request_header<>& head, const HttpMessage& message, EndpointId to,
                          Time end) = 0;
@@ -105,10 +105,10 @@
 /// A whole number and nothing else; nothing where the text is none.
 std::optional<std::int64_t> whole_number(boost::beast::string_view text);
 
-/// The dialect of the platform in service: X-Request-ID, X-Timeout-Ms and the rest of it.
-class SidecarFront : public FrontDialect {
+/// The protocol of the platform in service: X-Request-ID, X-Timeout-Ms and the rest of it.
+class SidecarServerProtocol : public ServerProtocol {
   public:
-    explicit SidecarFront(const loftfront::Settings& settings) : settings_(settings) {}
+    explicit SidecarServerProtocol(const loftfront::Settings& settings) : settings_(settings) {}
     const FrontLimits& limits() const override { return limits_; }
     DrainTimes drain_times() const override;
     std::string_view ready_path() const override { return "/-/ready"; }
@@ -120,7 +120,7 @@
     FrontLimits limits_;
 };
 
-class SidecarBack : public BackDialect {
+class SidecarClientProtocol : public ClientProtocol {
   public:
     void prepare(http::request_header<>& head, const HttpMessage& message, EndpointId to, Time end) override;
     void prepare_probe(http::request_header<>& head) override;
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -30,8 +30,8 @@
 #include "handover/handover.h"
 #include "helper/helper.h"
 #include "http1/back.h"
-#include "http1/dialect.h"
 #include "http1/front.h"
+#include "http1/protocol.h"
 #include "ledger/recorder.h"
 #include "ledger/writer_link.h"
 #include "peers/peers.h"
@@ -319,8 +319,8 @@
     // First: guards against dying on a SIGHUP that comes while the rest is being set up.
     asio::signal_set hang_up_, signals_;
     Tally tally_;
-    SidecarFront front_dialect_;
-    SidecarBack back_dialect_;
+    SidecarServerProtocol front_dialect_;
+    SidecarClientProtocol back_dialect_;
     Http1Back back_;
     std::unique_ptr<Journal> journal_;
     outlier::OutlierPolicy* outliers_ = nullptr;  // within the engine
--- a/src/stall/config_version_gate.h
+++ b/src/stall/config_version_gate.h
@@ -11,11 +11,11 @@
 /// Versions only rise. A stall that has none yet, having just started, waits a moment for a guildhall that
 /// hears a leader: in a cut of the core one that was cut off answers as fast as the others, with what it had.
 /// Where nobody hears a leader (all were restarted at once), what there is serves.
-class VersionIntake {
+class ConfigVersionGate {
   public:
     /// `patience`: some round trips and a leader's heartbeat.
-    explicit VersionIntake(Duration patience) : patience_(patience) {}
-    bool takes(Time now, std::uint32_t held, std::uint32_t offered, bool in_touch) {
+    explicit ConfigVersionGate(Duration patience) : patience_(patience) {}
+    bool accepts(Time now, std::uint32_t held, std::uint32_t offered, bool in_touch) {
         if (offered <= held) return false;
         if (held != 0 || in_touch) return true;
         if (!first_offer_) first_offer_ = now;
--- a/src/stall/protocols.cpp
+++ b/src/stall/protocols.cpp
@@ -1,4 +1,4 @@
-#include "stall/dialects.h"
+#include "stall/protocols.h"
 
 #include <algorithm>
 #include <charconv>
@@ -75,59 +75,59 @@
 
 // ---- clients --------------------------------------------------------------------------------------
 
-void OutboundFront::serve(std::shared_ptr<const mesh_config::RouteTable> routes) {
-    charter_ = std::move(routes);
-    const auto& told = charter_->limits();
+void OutboundServerProtocol::set_routes(std::shared_ptr<const mesh_config::RouteTable> routes) {
+    routes_ = std::move(routes);
+    const auto& told = routes_->limits();
     limits_.head_time = std::chrono::milliseconds(told.header_timeout_ms);
     limits_.idle_time = std::chrono::milliseconds(told.idle_timeout_ms);
     limits_.most_header =
         static_cast<std::size_t>(std::clamp<std::int64_t>(told.max_header_bytes, 1024, 32 * 1024));
     limits_.most_body = static_cast<std::uint64_t>(told.max_body_bytes);
     bool replanned = false;
-    for (Behind& behind : std::exchange(behind_, {})) {
-        if (charter_->version() < behind.newer) {
-            behind_.push_back(std::move(behind));
+    for (WaitingRequest& behind : std::exchange(waiting_, {})) {
+        if (routes_->version() < behind.newer) {
+            waiting_.push_back(std::move(behind));
             continue;
         }
         replan(behind);
         replanned = true;
     }
-    if (replanned && replanned_) replanned_();
+    if (replanned && on_replanned_) on_replanned_();
 }
 
-DrainTimes OutboundFront::drain_times() const {
+DrainTimes OutboundServerProtocol::drain_times() const {
     // Its endpoint has ended; clients leave once readiness says so. All is answered a little before SIGKILL.
     // It ends as soon as nothing is under way: the machine may be wanted again.
     const Duration end = settings_.bounds.grace - 500ms;
     return {end * 45 / 100, 100ms, end, end / 2};
 }
 
-std::variant<Request, TurnAway> OutboundFront::read(Fields& head, Time arrived) {
+std::variant<Request, TurnAway> OutboundServerProtocol::read(Fields& head, Time arrived) {
     const auto id = head[kAttemptId];
     if (id.empty() || id.size() > kMostId) return TurnAway{http::status::bad_request};
     ++figures_.taken;
-    if (!charter_) {
+    if (!routes_) {
         ++figures_.unready;
         return TurnAway{http::status::service_unavailable, true, kComeBack};
     }
-    const auto* route = charter_->route(view(head[http::field::host]), view(head.target()));
+    const auto* route = routes_->route(view(head[http::field::host]), view(head.target()));
     if (!route) {
         ++figures_.no_route;
         return TurnAway{http::status::not_found};
     }
     const mesh_config::Tenant* tenant = nullptr;
-    if (charter_->has_tenants() && !route->keyless) {
-        tenant = charter_->tenant_by_key(view(head[kApiKey]));
+    if (routes_->has_tenants() && !route->keyless) {
+        tenant = routes_->tenant_by_key(view(head[kApiKey]));
         if (!tenant) {
             ++figures_.no_key;
             return TurnAway{http::status::unauthorized};
         }
     }
     if (tenant &&
-        !scale_.admit(Loop::monotonic(), tenant->name, {tenant->rate_per_s, tenant->burst}, stalls_())) {
+        !quota_.admit(Loop::monotonic(), tenant->name, {tenant->rate_per_s, tenant->burst}, proxy_count_())) {
         ++figures_.over_quota;
         return TurnAway{http::status::too_many_requests, true,
-                        std::max(kComeBack, scale_.time_until_next(Loop::monotonic(), tenant->name))};
+                        std::max(kComeBack, quota_.time_until_next(Loop::monotonic(), tenant->name))};
     }
     auto left = whole_number(head[kTimeRemaining]);
     if (!head[kTimeRemaining].empty() && (!left || *left < 1 || *left > kMostTimeMs))
@@ -149,12 +149,12 @@
     plan.latency_target_at =
         arrived + std::chrono::milliseconds(route->latency_target_ms > 0 ? route->latency_target_ms : most) -
         kWayBack;
-    quay_.prepare(request.id, std::move(plan));
+    policy_.prepare(request.id, std::move(plan));
     return request;
 }
 
-outbound::RequestPlan OutboundFront::plan_for(const mesh_config::Route& route, const std::string& id,
-                                              const mesh_config::Tenant* tenant) const {
+outbound::RequestPlan OutboundServerProtocol::plan_for(const mesh_config::Route& route, const std::string& id,
+                                                       const mesh_config::Tenant* tenant) const {
     outbound::RequestPlan plan;
     plan.service = route.service_for(id);
     plan.kind = static_cast<std::uint32_t>(
@@ -163,27 +163,27 @@
     plan.idempotent = route.idempotent();
     plan.max_attempts = route.max_attempts;
     plan.priority = (tenant ? tenant->priority * 1000 : 0) + std::clamp<std::int64_t>(route.priority, 0, 999);
-    plan.config_version = charter_->version();
+    plan.config_version = routes_->version();
     return plan;
 }
 
-void OutboundFront::outdated(const HttpMessage& message, mesh_config::Version newer) {
-    Behind behind{newer, std::string(message.field(kAttemptId)), std::string(message.field("Host")),
-                  std::string(view(message.head.target())), std::string(message.field(kTenantName))};
-    quay_.outdated(behind.id);
-    if (charter_ && charter_->version() >= newer) return replan(behind);
+void OutboundServerProtocol::outdated(const HttpMessage& message, mesh_config::Version newer) {
+    WaitingRequest behind{newer, std::string(message.field(kAttemptId)), std::string(message.field("Host")),
+                          std::string(view(message.head.target())), std::string(message.field(kTenantName))};
+    policy_.outdated(behind.id);
+    if (routes_ && routes_->version() >= newer) return replan(behind);
     // One more than these is refused after its wait.
-    if (behind_.size() < kMostBehind) behind_.push_back(std::move(behind));
+    if (waiting_.size() < kMostBehind) waiting_.push_back(std::move(behind));
 }
 
-void OutboundFront::replan(const Behind& behind) {
-    const auto* route = charter_->route(behind.host, behind.target);
-    const auto* tenant = behind.tenant.empty() ? nullptr : charter_->tenant(behind.tenant);
+void OutboundServerProtocol::replan(const WaitingRequest& behind) {
+    const auto* route = routes_->route(behind.host, behind.target);
+    const auto* tenant = behind.tenant.empty() ? nullptr : routes_->tenant(behind.tenant);
     const bool allowed = route && (behind.tenant.empty() || tenant);
-    quay_.replan(behind.id, allowed ? std::optional(plan_for(*route, behind.id, tenant)) : std::nullopt);
+    policy_.replan(behind.id, allowed ? std::optional(plan_for(*route, behind.id, tenant)) : std::nullopt);
 }
 
-void OutboundFront::write(const Answer& answer, const RequestId&, http::response_header<>& head) {
+void OutboundServerProtocol::write(const Answer& answer, const RequestId&, http::response_header<>& head) {
     if (answer.kind == Answer::Kind::Served) ++figures_.served;
     if (answer.kind == Answer::Kind::Refused) ++figures_.refused;
     if (answer.kind == Answer::Kind::Failed) ++figures_.failed;
@@ -197,42 +197,43 @@
 
 // ---- the hop, as the caller's stall sees it -------------------------------------------------------
 
-void HopBack::prepare(http::request_header<>& head, const HttpMessage& message, EndpointId to, Time end) {
+void HopClientProtocol::prepare(http::request_header<>& head, const HttpMessage& message, EndpointId to,
+                                Time end) {
     const RequestId id(message.field(kAttemptId));
-    const auto* plan = quay_.plan(id);
-    const auto gate = gates_.find(to);
-    const auto asks = quay_.delivery_query(id);
+    const auto* plan = policy_.plan(id);
+    const auto gate = upstreams_.find(to);
+    const auto asks = policy_.delivery_query(id);
     const Duration aim = plan ? plan->latency_target_at - loop_.now() : Duration{};
     head.set(kTimeRemaining, std::to_string(std::max<std::int64_t>(1, millis(end - loop_.now()))));
-    head.set(kHop, (gate == gates_.end() ? std::string() : gate->second.instance) + ";" +
-                       (asks                                                         ? "a"
-                        : quay_.admission_mode(id) == outbound::AdmissionMode::Queue ? "q"
-                                                                                     : "f") +
+    head.set(kHop, (gate == upstreams_.end() ? std::string() : gate->second.instance_id) + ";" +
+                       (asks                                                           ? "a"
+                        : policy_.admission_mode(id) == outbound::AdmissionMode::Queue ? "q"
+                                                                                       : "f") +
                        ";" + (plan && plan->idempotent ? "r" : "o") + ";" +
                        std::to_string(plan ? plan->priority : 0) + ";" +
                        std::to_string(std::max<std::int64_t>(0, asks ? millis(*asks) + 1 : millis(aim))) +
                        ";" + std::to_string(plan ? plan->kind : 0) + ";" +
-                       std::to_string(gate == gates_.end() ? 0 : gate->second.life) + ";" +
+                       std::to_string(gate == upstreams_.end() ? 0 : gate->second.incarnation) + ";" +
                        std::to_string(plan ? plan->config_version : 0));
 }
 
-bool HopBack::carries_body(const HttpMessage& message) const {
-    return !quay_.delivery_query(RequestId(message.field(kAttemptId)));
+bool HopClientProtocol::carries_body(const HttpMessage& message) const {
+    return !policy_.delivery_query(RequestId(message.field(kAttemptId)));
 }
 
-std::optional<Status> HopBack::classify(const http::response_header<>& head, const HttpMessage* message,
-                                        EndpointId from) {
+std::optional<Status> HopClientProtocol::classify(const http::response_header<>& head,
+                                                  const HttpMessage* message, EndpointId from) {
     // Guards against a gate's word for another request: its refusal is a proof, and a proof wants to be tied.
     if (message && view(head[kAttemptId]) != message->field(kAttemptId)) return std::nullopt;
     if (!head[kRefused].empty()) {
         const auto wait = whole_number(head[kRefused]);
-        quay_.queue_hint(from, loop_.now(), std::chrono::milliseconds(wait.value_or(1000)));
+        policy_.queue_hint(from, loop_.now(), std::chrono::milliseconds(wait.value_or(1000)));
         const auto newer = whole_number(head[kVersion]);
         if (message && newer) outbound_.outdated(*message, static_cast<mesh_config::Version>(*newer));
         return Status::Full;
     }
     if (!head[kFailed].empty()) {
-        if (message) quay_.delivered(RequestId(message->field(kAttemptId)));
+        if (message) policy_.delivered(RequestId(message->field(kAttemptId)));
         return Status::Reset;
     }
     return head.result_int() >= 500 ? Status::Error : Status::Ok;
@@ -240,12 +241,12 @@
 
 // ---- the hop, as the gate sees it -----------------------------------------------------------------
 
-DrainTimes HopFront::drain_times() const {
+DrainTimes HopServerProtocol::drain_times() const {
     const Duration end = settings_.bounds.grace - 300ms;
     return {end * 45 / 100, 100ms, end, end / 2};
 }
 
-std::variant<Request, TurnAway> HopFront::read(Fields& head, Time arrived) {
+std::variant<Request, TurnAway> HopServerProtocol::read(Fields& head, Time arrived) {
     const auto parts = parts_of(view(head[kHop]));
     const auto id = head[kAttemptId];
     const auto left = whole_number(head[kTimeRemaining]);
@@ -262,13 +263,13 @@
     std::from_chars(parts[5].data(), parts[5].data() + parts[5].size(), inbound.kind);
     inbound.latency_target = std::chrono::milliseconds(std::clamp<std::int64_t>(aim, 0, kMostTimeMs));
     if (parts[1] == "a") {
-        const bool same_life = parts[6] == std::to_string(life_);
-        const bool never =
-            same_life && gate_.fence_attempt(Loop::monotonic(), inbound.attempt_id, inbound.latency_target);
+        const bool same_life = parts[6] == std::to_string(incarnation_);
+        const bool never = same_life && admission_.fence_attempt(Loop::monotonic(), inbound.attempt_id,
+                                                                 inbound.latency_target);
         TurnAway word{http::status::service_unavailable, true, {}, {{kAttemptId, inbound.attempt_id}}};
         if (never) {
-            word.fields.emplace_back(
-                kRefused, std::to_string(std::max<std::int64_t>(1, millis(gate_.expected_queue_wait()))));
+            word.fields.emplace_back(kRefused, std::to_string(std::max<std::int64_t>(
+                                                   1, millis(admission_.expected_queue_wait()))));
         } else {
             word.fields.emplace_back(kFailed, "1");
         }
@@ -282,7 +283,7 @@
             true,
             {},
             {{kAttemptId, inbound.attempt_id},
-             {kRefused, std::to_string(std::max<std::int64_t>(1, millis(gate_.expected_queue_wait())))},
+             {kRefused, std::to_string(std::max<std::int64_t>(1, millis(admission_.expected_queue_wait())))},
              {kVersion, std::to_string(in_force_()->version())}}};
     }
     head.erase(kHop);
@@ -291,13 +292,13 @@
     request.id = inbound.attempt_id + kHopNumber + std::to_string(++last_);
     request.deadline = arrived + std::chrono::milliseconds(*left) - kHopBack;
     request.write = !inbound.idempotent;
-    gate_.prepare(request.id, std::move(inbound));
+    admission_.prepare(request.id, std::move(inbound));
     return request;
 }
 
 /// Whether a newer configuration than the caller's wants it elsewhere, treated otherwise, or not at all.
-bool HopFront::decides_otherwise(const Fields& head, const admission::InboundRequest& inbound,
-                                 mesh_config::Version version) const {
+bool HopServerProtocol::decides_otherwise(const Fields& head, const admission::InboundRequest& inbound,
+                                          mesh_config::Version version) const {
     const auto* routes = in_force_();
     if (!routes || routes->version() <= version) return false;
     const auto* route = routes->route(view(head[http::field::host]), view(head.target()));
@@ -307,7 +308,7 @@
            (!tenant.empty() && !routes->tenant(tenant));
 }
 
-void HopFront::write(const Answer& answer, const RequestId& id, http::response_header<>& head) {
+void HopServerProtocol::write(const Answer& answer, const RequestId& id, http::response_header<>& head) {
     if (pass(answer, head)) {
         // What an endpoint says is not taken for the gate's own word.
         head.erase(kRefused);
@@ -317,7 +318,8 @@
     head.set(kAttemptId, id.substr(0, id.rfind(kHopNumber)));
     if (answer.kind == Answer::Kind::Refused) {
         head.result(http::status::service_unavailable);
-        head.set(kRefused, std::to_string(std::max<std::int64_t>(1, millis(gate_.expected_queue_wait()))));
+        head.set(kRefused,
+                 std::to_string(std::max<std::int64_t>(1, millis(admission_.expected_queue_wait()))));
     } else {
         head.set(kFailed, "1");
     }
@@ -325,18 +327,18 @@
 
 // ---- the endpoint ---------------------------------------------------------------------------------
 
-void EndpointBack::prepare(http::request_header<>& head, const HttpMessage&, EndpointId, Time end) {
+void EndpointClientProtocol::prepare(http::request_header<>& head, const HttpMessage&, EndpointId, Time end) {
     head.set(kTimeRemaining, std::to_string(std::max<std::int64_t>(1, millis(end - Loop::monotonic()))));
-    head.set(kExpectedInstance, gate_.instance_id());
+    head.set(kExpectedInstance, admission_.instance_id());
 }
 
-void EndpointBack::prepare_probe(http::request_header<>& head) {
+void EndpointClientProtocol::prepare_probe(http::request_header<>& head) {
     head.target(health_path_);
     head.set(http::field::host, "endpoint");
 }
 
-std::optional<Status> EndpointBack::classify(const http::response_header<>& head, const HttpMessage* message,
-                                             EndpointId) {
+std::optional<Status> EndpointClientProtocol::classify(const http::response_header<>& head,
+                                                       const HttpMessage* message, EndpointId) {
     const auto id = view(head[kAttemptId]);
     const unsigned status = head.result_int();
     const bool not_run = !head[kNotExecuted].empty() || status == 421;
--- a/src/stall/stall.cpp
+++ b/src/stall/stall.cpp
@@ -21,8 +21,8 @@
 #include "mesh_config/mesh_config.h"
 #include "outbound/upstream_table.h"
 #include "rpc/channel.h"
-#include "stall/dialects.h"
-#include "stall/intake.h"
+#include "stall/config_version_gate.h"
+#include "stall/protocols.h"
 
 namespace martenford::stall {
 namespace {
@@ -89,7 +89,7 @@
           endpoint_back_(gate_),
           outbound_(settings, outbound_policy_, quota_limiter_, figures_,
                     [this] { return view_.entries().size(); }),
-          inbound_(settings, gate_, life_, [this] { return outbound_.charter(); }),
+          inbound_(settings, gate_, life_, [this] { return outbound_.routes(); }),
           tally_(counters_, {}),
           gate_tally_(gate_counters_, {}),
           places_((settings.descriptors > 1200 ? settings.descriptors - 700 : settings.descriptors / 2) -
@@ -212,7 +212,7 @@
         if (const Time now = loop_.now(); now - demanded_ >= kAnnounce / 2) {
             demanded_ = now;
             std::vector<std::string> tenants;
-            if (const auto* routes = outbound_.charter()) {
+            if (const auto* routes = outbound_.routes()) {
                 for (const auto& tenant : routes->tenants())
                     if (tenant.rate_per_s > 0) tenants.push_back(tenant.name);
             }
@@ -236,7 +236,8 @@
             guildhall.seq = news->registry.seq;
             for (const auto& other : news->controllers) dial(other.address);
             apply(view_.apply(now, address, news->registry));
-            const bool takes = intake_.takes(now, version_, news->config_version, news->has_quorum_contact);
+            const bool takes =
+                version_gate_.accepts(now, version_, news->config_version, news->has_quorum_contact);
             if (takes && !news->config.empty()) serve(news->config_version, news->config);
             guildhall.wants = takes && news->config_version > version_;
             guildhall.passed_over = !takes && news->config_version > version_ ? news->config_version : 0;
@@ -259,10 +260,10 @@
         const auto config = mesh_config::read_config(json);
         if (const auto* read = std::get_if<mesh_config::Config>(&config)) {
             version_ = version;
-            outbound_.serve(std::make_shared<const mesh_config::RouteTable>(version, *read));
-            if (const auto* cluster = outbound_.charter()->cluster(settings_.service);
+            outbound_.set_routes(std::make_shared<const mesh_config::RouteTable>(version, *read));
+            if (const auto* cluster = outbound_.routes()->cluster(settings_.service);
                 cluster && !cluster->health_path.empty())
-                endpoint_back_.ask_health_at(cluster->health_path);
+                endpoint_back_.set_health_path(cluster->health_path);
             find_endpoint();
             demanded_ = {};  // tenants that are new have no share yet
             announce();
@@ -281,10 +282,10 @@
                 withdrawn = true;
             } else if (step.kind == Kind::Remove) {
                 hops_.remove(step.id);
-                hop_back_.forget(step.id);
+                hop_back_.remove_upstream(step.id);
                 outbound_policy_.remove_upstream(step.id);
             } else if (const auto at = parse_address(step.inbound_address)) {
-                hop_back_.name(step.id, step.instance_id, step.incarnation);
+                hop_back_.set_upstream(step.id, step.instance_id, step.incarnation);
                 hops_.place(step.id, *at, true);
                 outbound_policy_.set_upstream(step.id, step.upstream);
             }
@@ -404,7 +405,7 @@
 
     // ---- the process
 
-    bool ready() const { return !stopping_ && outbound_.charter() && outbound_policy_.any_ready(); }
+    bool ready() const { return !stopping_ && outbound_.routes() && outbound_policy_.any_ready(); }
 
     void tick() {
         const Time now = loop_.now();
@@ -485,14 +486,14 @@
     Loop loop_;
     Counters counters_, gate_counters_, control_counters_, readiness_counters_;
     const std::uint64_t life_;
-    Figures figures_;
+    RequestTotals figures_;
     outbound::OutboundPolicy outbound_policy_;
     admission::AdmissionController gate_;
     quota::QuotaLimiter quota_limiter_;
-    HopBack hop_back_;
-    EndpointBack endpoint_back_;
-    OutboundFront outbound_;
-    HopFront inbound_;
+    HopClientProtocol hop_back_;
+    EndpointClientProtocol endpoint_back_;
+    OutboundServerProtocol outbound_;
+    HopServerProtocol inbound_;
     Tally tally_, gate_tally_;
     const std::size_t places_;
     Http1Back hops_, to_endpoint_;
@@ -512,7 +513,7 @@
     std::set<std::string> past_;
     std::deque<std::string> past_order_;
     std::uint32_t version_ = 0;
-    VersionIntake intake_{kIntakePatience};
+    ConfigVersionGate version_gate_{kIntakePatience};
     bool asking_again_ = false;
     bool stopping_ = false, in_touch_ = false;
     asio::signal_set signals_, hangups_;
--- a/tests/mesh/config_version_gate_test.cpp
+++ b/tests/mesh/config_version_gate_test.cpp
@@ -1,7 +1,7 @@
 // Which configuration a stall takes, and from whom: the rule by itself, and a real stall between two
 // guildhalls of this test, of which one is cut off from the rest of the core. Nothing waits for a time; all
 // waits are for what is to be seen.
-#include "stall/intake.h"
+#include "stall/config_version_gate.h"
 
 #include <doctest/doctest.h>
 #include <fcntl.h>
@@ -145,19 +145,19 @@
 }  // namespace
 
 TEST_CASE("versions only rise; the first one is a moment's patience for a guildhall that hears a leader") {
-    stall::VersionIntake fresh(kPatience);
-    CHECK_FALSE(fresh.takes(kStart, 0, 0, true));  // nobody has any
-    CHECK_FALSE(fresh.takes(kStart, 0, 3, false));
-    CHECK_FALSE(fresh.takes(kStart + kPatience - 1ms, 0, 4, false));  // patience is not begun anew
-    CHECK(fresh.takes(kStart + kPatience, 0, 3, false));
-    stall::VersionIntake beside_a_leader(kPatience);
-    CHECK_FALSE(beside_a_leader.takes(kStart, 0, 3, false));
-    CHECK(beside_a_leader.takes(kStart, 0, 5, true));
+    stall::ConfigVersionGate fresh(kPatience);
+    CHECK_FALSE(fresh.accepts(kStart, 0, 0, true));  // nobody has any
+    CHECK_FALSE(fresh.accepts(kStart, 0, 3, false));
+    CHECK_FALSE(fresh.accepts(kStart + kPatience - 1ms, 0, 4, false));  // patience is not begun anew
+    CHECK(fresh.accepts(kStart + kPatience, 0, 3, false));
+    stall::ConfigVersionGate beside_a_leader(kPatience);
+    CHECK_FALSE(beside_a_leader.accepts(kStart, 0, 3, false));
+    CHECK(beside_a_leader.accepts(kStart, 0, 5, true));
     // Whoever has a configuration takes each newer one from anybody, and no older one from anybody.
-    CHECK(beside_a_leader.takes(kStart, 5, 6, false));
+    CHECK(beside_a_leader.accepts(kStart, 5, 6, false));
     for (const bool in_touch : {false, true}) {
-        CHECK_FALSE(beside_a_leader.takes(kStart + 60s, 5, 3, in_touch));
-        CHECK_FALSE(beside_a_leader.takes(kStart + 60s, 5, 5, in_touch));
+        CHECK_FALSE(beside_a_leader.accepts(kStart + 60s, 5, 3, in_touch));
+        CHECK_FALSE(beside_a_leader.accepts(kStart + 60s, 5, 5, in_touch));
     }
 }
 
--- a/tests/mesh/front_test.cpp
+++ b/tests/mesh/front_test.cpp
@@ -5,13 +5,13 @@
 
 #include <boost/asio/write.hpp>
 
-#include "http1/dialect.h"
+#include "http1/protocol.h"
 
 using namespace martenford;
 
 namespace {
 
-struct Fixture : FrontDialect, Desk {
+struct Fixture : ServerProtocol, Desk {
     const FrontLimits& limits() const override { return limits_; }
     DrainTimes drain_times() const override { return {1ms, 1ms, 2ms, 1ms}; }
     std::variant<loftfront::Request, TurnAway> read(Fields&, Time arrived) override {
--- a/tests/mesh/hop_world.h
+++ b/tests/mesh/hop_world.h
@@ -23,7 +23,7 @@
 #include "http1/back.h"
 #include "http1/front.h"
 #include "policy/mechanics.h"
-#include "stall/dialects.h"
+#include "stall/protocols.h"
 
 namespace martenford::hop_world {
 
@@ -312,8 +312,8 @@
     std::shared_ptr<const mesh_config::RouteTable> in_force;
     Counters counters;
     admission::AdmissionController admission;
-    stall::EndpointBack back;
-    stall::HopFront inbound;
+    stall::EndpointClientProtocol back;
+    stall::HopServerProtocol inbound;
     Tally tally;
     Http1Back to_endpoint;
     Engine engine;
@@ -344,7 +344,7 @@
             const std::string instance = "i-" + std::to_string(i), service = i == gates_wanted ? last : "s";
             gates.push_back(std::make_unique<Gate>(loop_, random_, history, trouble, service, instance));
             const auto id = static_cast<loftfront::EndpointId>(i);
-            hop_back_.name(id, instance, 7);
+            hop_back_.set_upstream(id, instance, 7);
             hops_.place(id, gates.back()->relay->at(), true);
             outbound_policy_.set_upstream(id, {service, "z", true, false});
         }
@@ -367,7 +367,9 @@
         config.listeners = {{"h", {repeats, once}}};
         return std::make_shared<const mesh_config::RouteTable>(number, config);
     }
-    void serve(std::shared_ptr<const mesh_config::RouteTable> routes) { outbound_.serve(std::move(routes)); }
+    void serve(std::shared_ptr<const mesh_config::RouteTable> routes) {
+        outbound_.set_routes(std::move(routes));
+    }
     static std::string request_text(const std::string& id, bool repeatable, const std::string& more = "") {
         return "POST " + std::string(repeatable ? "/r/" : "/o/") +
                "x HTTP/1.1\r\nHost: h\r\nAttempt-Id: " + id + "\r\nTime-Remaining: 350\r\n" +
@@ -416,7 +418,7 @@
     }
 
     Loop& loop() { return loop_; }
-    stall::HopBack& hop_back() { return hop_back_; }
+    stall::HopClientProtocol& hop_back() { return hop_back_; }
     History history;
     bool trouble = false;
 
@@ -463,11 +465,11 @@
     bootstrap::Settings settings_;
     Random random_;
     Counters counters_;
-    stall::Figures figures_;
+    stall::RequestTotals figures_;
     outbound::OutboundPolicy outbound_policy_;
     quota::QuotaLimiter quota_limiter_{{}};
-    stall::HopBack hop_back_;
-    stall::OutboundFront outbound_;
+    stall::HopClientProtocol hop_back_;
+    stall::OutboundServerProtocol outbound_;
     Tally tally_;
     Http1Back hops_;
     Engine engine_;
--- a/tests/mesh/rig/standins.h
+++ b/tests/mesh/rig/standins.h
@@ -10,8 +10,8 @@
 
 #include "core/address.h"
 #include "core/loop.h"
-#include "http1/dialect.h"
 #include "http1/front.h"
+#include "http1/protocol.h"
 
 namespace martenford::rig {
 
@@ -49,7 +49,7 @@
                        const std::string& fields = {}, const std::string& body = {}, bool keep = false);
 
 /// An endpoint: answers each request once, with its seal.
-class Endpoint : private FrontDialect, private Desk {
+class Endpoint : private ServerProtocol, private Desk {
   public:
     struct Asked {
         std::string id, path, body, caller, tenant, key;
--- a/tools/hollow/hollow_stall.cpp
+++ b/tools/hollow/hollow_stall.cpp
@@ -28,7 +28,7 @@
       gauge_(gauge),
       outbound_policy_(outbound::OutboundPolicy::Options{options.zone}, drawn()),
       quota_limiter_({}),
-      intake_(kIntakePatience),
+      version_gate_(kIntakePatience),
       ticker_(loop),
       intake_timer_(loop) {
     registration_.node = options.node;
@@ -124,7 +124,8 @@
         for (const auto& other : news->controllers) dial(other.address);
         show_touch();
         apply(view_.apply(now, address, news->registry));
-        const bool takes = intake_.takes(now, version_, news->config_version, news->has_quorum_contact);
+        const bool takes =
+            version_gate_.accepts(now, version_, news->config_version, news->has_quorum_contact);
         if (takes && !news->config.empty()) serve(news->config_version, news->config);
         guildhall.wants = takes && news->config_version > version_;
         guildhall.passed_over = !takes && news->config_version > version_ ? news->config_version : 0;
--- a/tools/hollow/hollow_stall.h
+++ b/tools/hollow/hollow_stall.h
@@ -18,7 +18,7 @@
 #include "quota/quota.h"
 #include "registry/registry.h"
 #include "rpc/channel.h"
-#include "stall/intake.h"
+#include "stall/config_version_gate.h"
 
 namespace martenford::hollow {
 
@@ -76,7 +76,7 @@
     registry::ProxyRegistration registration_;
     std::uint32_t version_ = 0, endpoints_ = 0;
     Time announced_{}, demanded_{};
-    stall::VersionIntake intake_;
+    stall::ConfigVersionGate version_gate_;
     bool asking_again_ = false;
     Timer ticker_, intake_timer_;
 };
