--- a/tests/mesh/scale_test_test.cpp
+++ b/tests/mesh/scale_test_test.cpp
@@ -1,15 +1,15 @@
-// The measuring tool: what it makes of figures, the configurations that it puts, and that a hollow stall says
-// to a guildhall what a stall says.
+// The measuring tool: what it makes of figures, the configurations that it puts, and that a simulated proxy
+// says to a guildhall what a stall says.
 #include <doctest/doctest.h>
 
 #include <cmath>
 
 #include "figures.h"
-#include "hollow_stall.h"
 #include "mesh_config/mesh_config.h"
+#include "simulated_proxy.h"
 
 using namespace martenford;
-using namespace martenford::hollow;
+using namespace martenford::scale_test;
 
 TEST_CASE("slopes, quantiles and tables are those of their points") {
     const auto squared = slope({{10, 200}, {20, 800}, {40, 3200}, {0, 7}, {80, 0}});
@@ -45,7 +45,8 @@
 }
 
 TEST_CASE(
-    "a hollow stall announces itself, polls, fetches a newer configuration and shows that it serves by it") {
+    "a simulated proxy announces itself, polls, fetches a newer configuration and shows that it serves by "
+    "it") {
     Loop loop;
     const Address at = *parse_address("127.0.93.1:21790");  // no other test listens here
     std::vector<std::shared_ptr<rpc::Channel>> channels;
@@ -79,7 +80,7 @@
             [] {});
     });
     Gauge gauge;
-    HollowStall stall(loop, {"stall-1", "127.0.94.1:1", "web", "zone-1", {at}, {}}, gauge);
+    SimulatedProxy stall(loop, {"stall-1", "127.0.94.1:1", "web", "zone-1", {at}, {}}, gauge);
     loop.add(loop.now() + 5s, [&] { loop.stop(); });
     loop.run();
     REQUIRE(polls.size() >= 3);  // it has nothing; it is told of a version and wants it; it has it
--- a/tools/scale_test/figures.cpp
+++ b/tools/scale_test/figures.cpp
@@ -7,7 +7,7 @@
 
 #include "mesh_config/mesh_config.h"
 
-namespace martenford::hollow {
+namespace martenford::scale_test {
 
 namespace {
 constexpr std::size_t kRoutesOfAHost = 25;
@@ -129,4 +129,4 @@
     return out.dump();
 }
 
-}  // namespace martenford::hollow
+}  // namespace martenford::scale_test
--- a/tools/scale_test/figures.h
+++ b/tools/scale_test/figures.h
@@ -7,7 +7,7 @@
 #include <utility>
 #include <vector>
 
-namespace martenford::hollow {
+namespace martenford::scale_test {
 
 /// The value below which a share `q` of all lies, NaN left out; NaN where there are none.
 double quantile(std::vector<double> values, double q);
@@ -40,4 +40,4 @@
 std::string service_name(std::size_t i);
 std::string configuration(const Shape& shape, std::uint32_t version, std::uint32_t base);
 
-}  // namespace martenford::hollow
+}  // namespace martenford::scale_test
--- a/tools/scale_test/main.cpp
+++ b/tools/scale_test/main.cpp
@@ -1,6 +1,6 @@
 // What each role of the mesh holds, says and spends, by its size: real guildhalls on loopback addresses, and
-// beside them as many hollow stalls as are asked for (and real ones, to compare). Bounded in count and time;
-// ends what it started.
+// beside them as many simulated proxies as are asked for (and real ones, to compare). Bounded in count and
+// time; ends what it started.
 #include <getopt.h>
 #include <signal.h>
 #include <sys/mman.h>
@@ -19,10 +19,10 @@
 #include <sstream>
 
 #include "figures.h"
-#include "hollow_stall.h"
 #include "processes.h"
+#include "simulated_proxy.h"
 
-namespace martenford::hollow {
+namespace martenford::scale_test {
 namespace {
 
 constexpr std::size_t kMostStalls = 2500;      // of one step, as memory allows: each knows all others
@@ -99,15 +99,15 @@
     return "zone-" + std::to_string(i % kZones);
 }
 
-/// A worker: hollow stalls in one process, until it is ended.
+/// A worker: simulated proxies in one process, until it is ended.
 [[noreturn]] void work(const Options& options, const Size& size, const std::vector<std::size_t>& numbers,
                        Board& board) {
     ::prctl(PR_SET_PDEATHSIG, SIGKILL);
     Loop loop;
     std::mt19937 random{std::random_device{}()};
-    std::map<std::size_t, std::unique_ptr<HollowStall>> stalls;
+    std::map<std::size_t, std::unique_ptr<SimulatedProxy>> stalls;
     for (const std::size_t i : numbers) {
-        HollowStall::Options one;
+        SimulatedProxy::Options one;
         one.node = "stall-" + std::to_string(i);
         one.gate = stall_ip(options, i) + ":" + std::to_string(kPort + 2);
         one.service = service_name(i % size.shape.services);
@@ -116,7 +116,7 @@
             one.guildhalls.push_back(
                 *parse_address(guildhall_ip(options, g) + ":" + std::to_string(kOwnPort)));
         one.first_tick = std::chrono::milliseconds(random() % 500);
-        stalls[i] = std::make_unique<HollowStall>(loop, one, board.gauges[i]);
+        stalls[i] = std::make_unique<SimulatedProxy>(loop, one, board.gauges[i]);
     }
     // Rare while nothing is asked for: a stall in a process of its own would seem to wake up twice as often.
     constexpr Duration kStep = 50ms, kLook = 500ms, kBetween = 300ms;
@@ -127,7 +127,7 @@
         due += board.churn * std::chrono::duration<double>(kStep).count() *
                static_cast<double>(numbers.size()) / static_cast<double>(size.stalls);
         for (; due >= 1; due -= 1) {
-            HollowStall* stall = stalls.at(numbers[random() % numbers.size()]).get();
+            SimulatedProxy* stall = stalls.at(numbers[random() % numbers.size()]).get();
             stall->end_endpoint();
             loop.add(loop.now() + kBetween, [stall] { stall->replace_endpoint(); });
             ++board.replaced;
@@ -369,7 +369,7 @@
         for (std::size_t w = 0; w < numbers_.size(); ++w)
             workers.push_back(load(worker_name(w), before, after));
         if (size_.stalls) {
-            out.emplace_back("hollow stall", summed(workers, static_cast<double>(size_.stalls)));
+            out.emplace_back("simulated proxy", summed(workers, static_cast<double>(size_.stalls)));
             // A worker near a whole core makes this tool the limit.
             out.emplace_back("busiest worker", *std::max_element(workers.begin(), workers.end(),
                                                                  [](const Load& a, const Load& b) {
@@ -480,10 +480,10 @@
         };
         row.push_back(of("leader", &Load::processor, 1e-3));
         row.push_back(of("follower", &Load::processor, 1e-3));
-        row.push_back(of("hollow stall", &Load::processor, 1e-3));
+        row.push_back(of("simulated proxy", &Load::processor, 1e-3));
         row.push_back(of("leader", &Load::out, 1000));
         row.push_back(of("leader", &Load::core_out, 1000));
-        row.push_back(of("hollow stall", &Load::in, 1000));
+        row.push_back(of("simulated proxy", &Load::in, 1000));
         row.push_back(of("leader", &Load::disk, 1000));
         events.rows.push_back(row);
     }
@@ -707,10 +707,11 @@
 }
 
 constexpr char kHelp[] =
-    "hollow: load of the mesh's control plane by its size. Starts guildhalls and hollow stalls on loopback.\n"
-    "  --stalls LIST        hollow stalls in each step (12,30,86)\n"
+    "simulated: load of the mesh's control plane by its size. Starts guildhalls and simulated proxies on "
+    "loopback.\n"
+    "  --stalls LIST        simulated proxies in each step (12,30,86)\n"
     "  --real N             real stalls beside them (0)\n"
-    "  --own-process        each hollow stall in a process of its own\n"
+    "  --own-process        each simulated proxy in a process of its own\n"
     "  --guildhalls LIST    (3)   --services LIST (71)   --routes LIST (100)   --tenants N (12)\n"
     "  --phases LIST        of idle,configuration,churn,zone,return (all; idle always)\n"
     "  --changes N          configurations put in each step (5)\n"
@@ -826,7 +827,7 @@
     }
     if (options.own_process &&
         *std::max_element(options.stalls.begin(), options.stalls.end()) + options.real > kMostProcesses) {
-        std::cerr << "hollow: " << kMostProcesses << " processes are the most\n";
+        std::cerr << "simulated: " << kMostProcesses << " processes are the most\n";
         return 2;
     }
     const auto begun = Clock::now();
@@ -874,11 +875,11 @@
 }
 
 }  // namespace
-}  // namespace martenford::hollow
+}  // namespace martenford::scale_test
 
 int main(int argc, char** argv) try {
-    return martenford::hollow::main_of(argc, argv);
+    return martenford::scale_test::main_of(argc, argv);
 } catch (const std::exception& error) {
-    std::cerr << "hollow: " << error.what() << '\n';
+    std::cerr << "simulated: " << error.what() << '\n';
     return 1;
 }
--- a/tools/scale_test/processes.cpp
+++ b/tools/scale_test/processes.cpp
@@ -22,7 +22,7 @@
 #include <stdexcept>
 #include <utility>
 
-namespace martenford::hollow {
+namespace martenford::scale_test {
 
 namespace {
 
@@ -142,7 +142,7 @@
 }
 
 Processes::Processes() {
-    std::string path = (std::filesystem::temp_directory_path() / "hollow-XXXXXX").string();
+    std::string path = (std::filesystem::temp_directory_path() / "simulated-XXXXXX").string();
     if (!::mkdtemp(path.data())) throw std::runtime_error("no temporary directory");
     folder_ = path;
 }
@@ -217,4 +217,4 @@
     return reply;
 }
 
-}  // namespace martenford::hollow
+}  // namespace martenford::scale_test
--- a/tools/scale_test/processes.h
+++ b/tools/scale_test/processes.h
@@ -10,7 +10,7 @@
 #include <string>
 #include <vector>
 
-namespace martenford::hollow {
+namespace martenford::scale_test {
 
 /// What the system has counted of one process.
 struct Spent {
@@ -67,4 +67,4 @@
 Reply post(const std::string& ip, std::uint16_t port, const std::string& path, const std::string& body,
            int timeout_s);
 
-}  // namespace martenford::hollow
+}  // namespace martenford::scale_test
--- a/tools/scale_test/simulated_proxy.cpp
+++ b/tools/scale_test/simulated_proxy.cpp
@@ -1,9 +1,9 @@
-#include "hollow_stall.h"
+#include "simulated_proxy.h"
 
 #include <algorithm>
 #include <random>
 
-namespace martenford::hollow {
+namespace martenford::scale_test {
 
 namespace {
 
@@ -22,7 +22,7 @@
 
 }  // namespace
 
-HollowStall::HollowStall(Loop& loop, const Options& options, Gauge& gauge)
+SimulatedProxy::SimulatedProxy(Loop& loop, const Options& options, Gauge& gauge)
     : loop_(loop),
       options_(options),
       gauge_(gauge),
@@ -42,21 +42,21 @@
     ticker_.set(loop_.now() + options.first_tick, [this] { tick(); });
 }
 
-void HollowStall::end_endpoint() {
+void SimulatedProxy::end_endpoint() {
     registration_.state = registry::EndpointState::Absent;
     registration_.instance_id.clear();
     ++registration_.seq;
     announce();
 }
 
-void HollowStall::replace_endpoint() {
+void SimulatedProxy::replace_endpoint() {
     registration_.state = registry::EndpointState::Ready;
     registration_.instance_id = options_.node + "-" + std::to_string(++endpoints_);
     ++registration_.seq;
     announce();
 }
 
-void HollowStall::dial(const std::string& address) {
+void SimulatedProxy::dial(const std::string& address) {
     if (const auto known = guildhalls_.find(address); known != guildhalls_.end()) {
         known->second.named = loop_.now();
         return;
@@ -76,7 +76,7 @@
         [this, address] { lost(address); });
 }
 
-void HollowStall::lost(const std::string& address) {
+void SimulatedProxy::lost(const std::string& address) {
     Guildhall& guildhall = guildhalls_.at(address);
     guildhall.in_touch = false;
     guildhall.taken = 0;
@@ -84,12 +84,12 @@
     apply(view_.remove_controller(address));
 }
 
-void HollowStall::poll(Guildhall& guildhall) {
+void SimulatedProxy::poll(Guildhall& guildhall) {
     guildhall.client->send(rpc::WatchRequest{guildhall.epoch, guildhall.seq,
                                              std::max(version_, guildhall.passed_over), guildhall.wants});
 }
 
-void HollowStall::announce_to(Guildhall& guildhall) {
+void SimulatedProxy::announce_to(Guildhall& guildhall) {
     if (const Time now = loop_.now(); now - demanded_ >= kAnnounce / 2) {
         demanded_ = now;
         std::vector<std::string> tenants;
@@ -103,12 +103,12 @@
     guildhall.client->send(rpc::RegisterRequest{registration_, demands_, guildhall.taken, version_, asked});
 }
 
-void HollowStall::announce() {
+void SimulatedProxy::announce() {
     announced_ = loop_.now();
     for (auto& [address, guildhall] : guildhalls_) announce_to(guildhall);
 }
 
-void HollowStall::heard(const std::string& address, rpc::Message&& message) {
+void SimulatedProxy::heard(const std::string& address, rpc::Message&& message) {
     const Time now = loop_.now();
     Guildhall& guildhall = guildhalls_.at(address);
     if (auto* grants = std::get_if<rpc::RegisterResponse>(&message)) {
@@ -140,7 +140,7 @@
     }
 }
 
-void HollowStall::serve(std::uint32_t version, const std::string& document) {
+void SimulatedProxy::serve(std::uint32_t version, const std::string& document) {
     const auto json = mesh_config::Json::parse(document, nullptr, false);
     if (json.is_discarded()) return;
     const auto config = mesh_config::read_config(json);
@@ -155,7 +155,7 @@
     announce();
 }
 
-void HollowStall::apply(const std::vector<std::string>& nodes) {
+void SimulatedProxy::apply(const std::vector<std::string>& nodes) {
     using Kind = outbound::UpstreamTable::Change::Kind;
     for (const auto& step : upstream_table_.apply(view_, nodes)) {
         if (step.kind == Kind::Set) outbound_policy_.set_upstream(step.id, step.upstream);
@@ -173,13 +173,13 @@
                       std::memory_order_relaxed);
 }
 
-void HollowStall::show_touch() {
+void SimulatedProxy::show_touch() {
     const auto count = std::count_if(guildhalls_.begin(), guildhalls_.end(),
                                      [](const auto& g) { return g.second.in_touch; });
     gauge_.in_touch.store(static_cast<std::uint32_t>(count), std::memory_order_relaxed);
 }
 
-void HollowStall::tick() {
+void SimulatedProxy::tick() {
     const Time now = loop_.now();
     ticker_.set(now + kTick, [this] { tick(); });
     if (now - announced_ >= kAnnounce) announce();
@@ -200,4 +200,4 @@
     }
 }
 
-}  // namespace martenford::hollow
+}  // namespace martenford::scale_test
--- a/tools/scale_test/simulated_proxy.h
+++ b/tools/scale_test/simulated_proxy.h
@@ -1,6 +1,6 @@
-// A hollow node: the control side of a stall without its requests. The objects are the stall's own (registry,
-// upstreams, quotas, routes, the rpc's connections); what joins them follows src/stall/stall.cpp, and a run
-// of both side by side shows whether it still does (docs/CAPACITY.md).
+// A simulated node: the control side of a stall without its requests. The objects are the stall's own
+// (registry, upstreams, quotas, routes, the rpc's connections); what joins them follows src/stall/stall.cpp,
+// and a run of both side by side shows whether it still does (docs/CAPACITY.md).
 #pragma once
 
 #include <atomic>
@@ -20,7 +20,7 @@
 #include "rpc/channel.h"
 #include "stall/config_version_gate.h"
 
-namespace martenford::hollow {
+namespace martenford::scale_test {
 
 /// What one stall shows to the process that measures. Written by its own process alone.
 struct Gauge {
@@ -30,14 +30,14 @@
     std::atomic<std::uint32_t> in_touch = 0;     ///< guildhalls that say that they hear the leader
 };
 
-class HollowStall {
+class SimulatedProxy {
   public:
     struct Options {
         std::string node, gate, service, zone;
         std::vector<Address> guildhalls;  ///< the seeds' own addresses
         Duration first_tick{};            ///< so that many in one process don't tick together
     };
-    HollowStall(Loop& loop, const Options& options, Gauge& gauge);
+    SimulatedProxy(Loop& loop, const Options& options, Gauge& gauge);
     /// The endpoint beside it ends; another is there from replace() on.
     void end_endpoint();
     void replace_endpoint();
@@ -81,4 +81,4 @@
     Timer ticker_, intake_timer_;
 };
 
-}  // namespace martenford::hollow
+}  // namespace martenford::scale_test
