--- a/adapter/host.cpp
+++ b/adapter/host.cpp
@@ -5,7 +5,7 @@
 #include <ostream>
 #include <utility>
 
-namespace loftfront::wire {
+namespace martenford::decision::wire {
 
 std::string Host::reply(const std::string& line) {
     // The whole batch is read before anything acts on it: a fault in it gives no partial reply.
@@ -39,11 +39,11 @@
         try {
             out << host.reply(line) << '\n' << std::flush;
         } catch (const WireError& error) {
-            err << "loftfront_adapter: " << error.what() << '\n';
+            err << "martenford_adapter: " << error.what() << '\n';
             return 1;
         }
     }
     return 0;
 }
 
-}  // namespace loftfront::wire
+}  // namespace martenford::decision::wire
--- a/adapter/host.h
+++ b/adapter/host.h
@@ -7,7 +7,7 @@
 
 #include "wire.h"
 
-namespace loftfront::wire {
+namespace martenford::decision::wire {
 
 class Host {
   public:
@@ -22,4 +22,4 @@
 /// Answers batches, one flush a reply, until the input ends. Returns the exit code.
 int serve(std::istream& in, std::ostream& out, std::ostream& err);
 
-}  // namespace loftfront::wire
+}  // namespace martenford::decision::wire
--- a/adapter/main.cpp
+++ b/adapter/main.cpp
@@ -5,5 +5,5 @@
 int main() {
     std::ios::sync_with_stdio(false);
     std::cin.tie(nullptr);
-    return loftfront::wire::serve(std::cin, std::cout, std::cerr);
+    return martenford::decision::wire::serve(std::cin, std::cout, std::cerr);
 }
--- a/adapter/wire.cpp
+++ b/adapter/wire.cpp
@@ -6,7 +6,7 @@
 
 #include "config/read_settings.h"
 
-namespace loftfront::wire {
+namespace martenford::decision::wire {
 namespace {
 
 using namespace json;
@@ -40,7 +40,7 @@
 
 Status read_status(const object& from) {
     constexpr Status kStatus[] = {Status::Error,         Status::Ok,    Status::Full,      Status::Timeout,
-                                  Status::ConnectFailed, Status::Reset, Status::Cancelled, Status::Moot};
+                                  Status::ConnectFailed, Status::Reset, Status::Cancelled, Status::NotSent};
     return kStatus[need_u32(from, "ending", 7)];
 }
 
@@ -141,7 +141,7 @@
     } else if (tag == "due") {
         message.body = Event{TimerFired{to_unsigned(need(event, "label"), "label", kMostToken)}};
     } else if (tag == "lapsed") {
-        message.body = Event{Lapsed{need_request(event)}};
+        message.body = Event{DeadlineExpired{need_request(event)}};
     } else if (tag == "first_byte") {
         message.body = Event{FirstByte{need_request(event), need_u32(event, "go"), need_endpoint(event),
                                        need_span(event, "wait_time")}};
@@ -272,4 +272,4 @@
     return std::move(text_);
 }
 
-}  // namespace loftfront::wire
+}  // namespace martenford::decision::wire
--- a/adapter/wire.h
+++ b/adapter/wire.h
@@ -13,9 +13,9 @@
 #include <vector>
 
 #include "config/fields.h"
-#include "loftfront/balancer.h"
+#include "martenford/decision/balancer.h"
 
-namespace loftfront::wire {
+namespace martenford::decision::wire {
 
 /// Malformed input: the text names the round and the field.
 using WireError = json::FieldError;
@@ -78,4 +78,4 @@
     bool first_ = true;
 };
 
-}  // namespace loftfront::wire
+}  // namespace martenford::decision::wire
--- a/benchmarks/membership_benchmark.cpp
+++ b/benchmarks/membership_benchmark.cpp
@@ -20,13 +20,13 @@
 
 using namespace martenford;
 
-loftfront::Settings settings() {
-    loftfront::Settings s;
-    loftfront::RequestClass look;
+martenford::decision::Settings settings() {
+    martenford::decision::Settings s;
+    martenford::decision::RequestClass look;
     look.name = "look";
     look.aim = 1s;
     look.deadline = 2s;
-    look.effect = loftfront::Effect::Free;
+    look.effect = martenford::decision::Effect::Free;
     s.classes = {look};
     s.limits.max_attempts = 3;
     s.limits.connection_idle = 30s;
--- a/benchmarks/policy_benchmark.cpp
+++ b/benchmarks/policy_benchmark.cpp
@@ -8,12 +8,12 @@
 #include <variant>
 #include <vector>
 
-#include "loftfront/balancer.h"
+#include "martenford/decision/balancer.h"
 #include "standins/usual_rules.h"
 
 namespace {
 
-using namespace loftfront;
+using namespace martenford::decision;
 using namespace std::chrono_literals;
 
 Settings settings(std::uint32_t replicas = 1) {
--- a/benchmarks/subset_report.cpp
+++ b/benchmarks/subset_report.cpp
@@ -11,7 +11,7 @@
 namespace {
 
 using namespace martenford::subset;
-using loftfront::EndpointId;
+using martenford::decision::EndpointId;
 
 struct Fleet {
     std::uint32_t sidecars;
@@ -19,7 +19,7 @@
 };
 
 std::vector<EndpointId> tier(std::size_t size) {
-    loftfront::Random random(1);
+    martenford::decision::Random random(1);
     std::set<EndpointId> ids;
     while (ids.size() < size) ids.insert(EndpointId{static_cast<std::uint32_t>(random.next())});
     return {ids.begin(), ids.end()};
@@ -33,7 +33,7 @@
                   std::size_t width, double down = 0.0) {
     std::vector<double> callers(members.size());
     double all = 0.0, up = 0.0;
-    loftfront::Random random(2);
+    martenford::decision::Random random(2);
     for (std::uint32_t p = 0; p < replicas; ++p) {
         if (random.unit() < down) continue;
         up += 1.0;
--- a/emulator/draws.h
+++ b/emulator/draws.h
@@ -37,7 +37,7 @@
     }
 
   private:
-    loftfront::Random random_;
+    decision::Random random_;
 };
 
 }  // namespace martenford::emulator
--- a/emulator/model/registry.cpp
+++ b/emulator/model/registry.cpp
@@ -20,7 +20,7 @@
     changes_.emplace(revision_, listing.uid);
     while (!changes_.empty() && changes_.begin()->first + kRemembered < revision_) {
         const auto it = entries_.find(changes_.begin()->second);
-        if (it->second.listing.state == loftfront::Availability::Gone) entries_.erase(it);
+        if (it->second.listing.state == decision::Availability::Gone) entries_.erase(it);
         changes_.erase(changes_.begin());
     }
     serve();
@@ -39,7 +39,7 @@
 ListAnswer Registry::all() const {
     ListAnswer answer{revision_, true, {}};
     for (const auto& [uid, entry] : entries_) {
-        if (entry.listing.state != loftfront::Availability::Gone) answer.entries.push_back(entry.listing);
+        if (entry.listing.state != decision::Availability::Gone) answer.entries.push_back(entry.listing);
     }
     return answer;
 }
--- a/emulator/model/registry.h
+++ b/emulator/model/registry.h
@@ -11,14 +11,14 @@
 #include <vector>
 
 #include "core/scheduler.h"
-#include "loftfront/balancer.h"
+#include "martenford/decision/balancer.h"
 
 namespace martenford::emulator {
 
 struct Listing {
     std::string uid, address, zone = "a", kind = "std";
     std::uint32_t pod = 0;
-    loftfront::Availability state = loftfront::Availability::Ready;
+    decision::Availability state = decision::Availability::Ready;
     std::int64_t boot_ms = 0;  ///< Unix time; 0: long ago
     std::uint32_t node = 0;    ///< index in the emulated fleet; told to nobody
 };
--- a/emulator/model/rule_checker.cpp
+++ b/emulator/model/rule_checker.cpp
@@ -9,8 +9,8 @@
 
 namespace martenford::emulator {
 
-using loftfront::Availability;
-using loftfront::Effect;
+using decision::Availability;
+using decision::Effect;
 
 namespace {
 constexpr std::size_t kMostExamples = 5;
--- a/emulator/model/rule_checker.h
+++ b/emulator/model/rule_checker.h
@@ -36,7 +36,7 @@
     /// How an attempt ended, as the endpoint knows it.
     enum class Ran { Never, Maybe };
 
-    RuleChecker(const RuleFigures& figures, const std::vector<loftfront::RequestClass>& classes)
+    RuleChecker(const RuleFigures& figures, const std::vector<decision::RequestClass>& classes)
         : figures_(figures), classes_(classes) {}
 
     // ---- requests. An id is open from taken() until it is answered and its attempts are over.
@@ -61,7 +61,7 @@
 
     // ---- what sidecars have been told
 
-    void told(std::uint32_t sidecar, std::uint32_t node, loftfront::Availability state, Time at);
+    void told(std::uint32_t sidecar, std::uint32_t node, decision::Availability state, Time at);
     /// Work that has reached a cold endpoint, also what it turned away. True: it falls over by this.
     bool cold_work(std::uint32_t sidecar, std::uint32_t node, double work, double capacity, Time at);
     void forget_node(std::uint32_t node);
@@ -103,7 +103,7 @@
     void forget_if_over(const std::string& id);
 
     RuleFigures figures_;
-    std::vector<loftfront::RequestClass> classes_;
+    std::vector<decision::RequestClass> classes_;
     std::array<Verdict, 4> verdicts_;
     std::unordered_map<std::string, Request> requests_;
     std::deque<std::pair<Time, std::string>> closed_;  // answered and over, in order
--- a/emulator/scenario.cpp
+++ b/emulator/scenario.cpp
@@ -117,11 +117,11 @@
     from.number("late_worth", result.late_worth, 0.0, 1.0);
     from.need("effect");
     from.word("effect", result.effect,
-              {{"safe", loftfront::Effect::Free},
-               {"keyed", loftfront::Effect::Guarded},
-               {"unsafe", loftfront::Effect::SingleShot}});
+              {{"safe", decision::Effect::Free},
+               {"keyed", decision::Effect::Guarded},
+               {"unsafe", decision::Effect::SingleShot}});
     from.span("window", result.window, true);
-    if (result.effect == loftfront::Effect::Guarded && result.window == Duration{}) {
+    if (result.effect == decision::Effect::Guarded && result.window == Duration{}) {
         from.fail("a keyed class needs 'window'");
     }
     from.end();
--- a/emulator/scenario.h
+++ b/emulator/scenario.h
@@ -11,7 +11,7 @@
 
 #include "assembly/features.h"
 #include "emulator/model/endpoint_model.h"
-#include "loftfront/balancer.h"
+#include "martenford/decision/balancer.h"
 
 namespace martenford::emulator {
 
@@ -27,7 +27,7 @@
     double spread = 0.5;  ///< lognormal: standard deviation over mean
     Duration aim{}, deadline{};
     double worth = 1.0, late_worth = 0.0;
-    loftfront::Effect effect = loftfront::Effect::SingleShot;
+    decision::Effect effect = decision::Effect::SingleShot;
     Duration window{};  ///< keyed: how long the endpoints of a pod drop repeats
 };
 
--- a/emulator/socket_peers.cpp
+++ b/emulator/socket_peers.cpp
@@ -64,9 +64,9 @@
     nlohmann::ordered_json root{
         {"rev", list.revision}, {"all", list.all}, {"targets", nlohmann::ordered_json::array()}};
     for (const Listing& entry : list.entries) {
-        const char* state = entry.state == loftfront::Availability::Ready      ? "Ready"
-                            : entry.state == loftfront::Availability::Draining ? "Terminating"
-                                                                               : "Gone";
+        const char* state = entry.state == decision::Availability::Ready      ? "Ready"
+                            : entry.state == decision::Availability::Draining ? "Terminating"
+                                                                              : "Gone";
         root["targets"].push_back({{"uid", entry.uid},
                                    {"endpoint", entry.address},
                                    {"az", entry.zone},
--- a/emulator/virtual_transport.cpp
+++ b/emulator/virtual_transport.cpp
@@ -11,9 +11,9 @@
 
 namespace martenford::emulator {
 
-using loftfront::Availability;
-using loftfront::Discovered;
-using loftfront::Status;
+using decision::Availability;
+using decision::Discovered;
+using decision::Status;
 
 namespace {
 
@@ -28,10 +28,10 @@
     return address.address().to_v4().to_uint();
 }
 
-loftfront::Settings settings_of(const World& world, const World::Sidecar& sidecar) {
+decision::Settings settings_of(const World& world, const World::Sidecar& sidecar) {
     simdjson::dom::parser parser;
     const std::string text = world.settings_json(sidecar);
-    return loftfront::json::read_settings(parser.parse(text).get_object().value());
+    return decision::json::read_settings(parser.parse(text).get_object().value());
 }
 
 }  // namespace
@@ -57,7 +57,7 @@
     void send(std::string id, Time end, Back::Done done);
     void cancel() override { finish(Status::Cancelled); }
     void withdraw_unwritten() override {
-        if (stage_ == Stage::Connecting) finish(Status::Moot);
+        if (stage_ == Stage::Connecting) finish(Status::NotSent);
     }
     void end_at(Time end) override {
         end_at_ = end;
@@ -99,7 +99,7 @@
 /// One running sidecar: engine, pools and discovery.
 class VirtualTransport::Instance : public Back {
   public:
-    Instance(VirtualTransport& transport, const World::Sidecar& sidecar, const loftfront::Settings& settings,
+    Instance(VirtualTransport& transport, const World::Sidecar& sidecar, const decision::Settings& settings,
              std::uint64_t seed)
         : transport_(transport),
           index_(sidecar.index),
@@ -132,11 +132,11 @@
     // ---- requests
 
     void take(const CallSpec& spec, CallId call) {
-        loftfront::Request request;
+        decision::Request request;
         request.id = spec.id;
         request.class_index = spec.class_index;
         request.deadline = time_.now() + spec.timeout - kOnTheWay;
-        request.write = settings_.classes[spec.class_index].effect != loftfront::Effect::Free;
+        request.write = settings_.classes[spec.class_index].effect != decision::Effect::Free;
         request.resent = spec.retried;
         request.key = mix(0, spec.key);
         engine_.take(std::move(request), std::make_shared<NamedMessage>(spec.id),
@@ -163,7 +163,7 @@
     Handle send(EndpointId id, std::shared_ptr<const Message> message, Time end, Done done) override;
     void probe(EndpointId id, Done done) override {
         const auto pool = pools_.find(id);
-        if (pool == pools_.end()) return done(Result{Status::Moot});
+        if (pool == pools_.end()) return done(Result{Status::NotSent});
         const std::uint32_t node = pool->second.node;
         time_.add(time_.now() + transport_.delay_ * 2, [this, node, done = std::move(done)] {
             const NodeState& state = transport_.state(node);
@@ -292,7 +292,7 @@
     friend class Connection;
     VirtualTransport& transport_;
     std::uint32_t index_, tier_;
-    loftfront::Settings settings_;
+    decision::Settings settings_;
     std::shared_ptr<int> alive_ = std::make_shared<int>(0);
     ScopedTime time_;
     std::unordered_map<EndpointId, Pool> pools_;
@@ -413,7 +413,7 @@
 }
 
 void VirtualTransport::Connection::idle_for(Time since) {
-    const Duration most = loftfront::scaled(transport_.world_.scenario().network.idle, kIdleShare);
+    const Duration most = decision::scaled(transport_.world_.scenario().network.idle, kIdleShare);
     limit_.set(since + most, [self = shared_from_this()] {
         if (self->stage_ != Stage::Idle) return;
         self->owner_->forget_idle(*self);
@@ -468,7 +468,7 @@
                                               Done done) {
     const auto pool = pools_.find(id);
     if (gone_ || pool == pools_.end()) {
-        done(Result{Status::Moot});
+        done(Result{Status::NotSent});
         return {};
     }
     std::shared_ptr<Connection> connection;
--- a/emulator/virtual_transport.h
+++ b/emulator/virtual_transport.h
@@ -21,7 +21,7 @@
   public:
     struct Options {
         /// Stands in for the decision module; empty: the real one.
-        std::function<std::unique_ptr<Policy>(const loftfront::Settings&, std::uint64_t seed)> policy;
+        std::function<std::unique_ptr<Policy>(const decision::Settings&, std::uint64_t seed)> policy;
         /// Drops each so-manieth answer on its way to the caller, as a broken front would; 0: none.
         std::uint64_t lose_every = 0;
     };
--- a/emulator/world.cpp
+++ b/emulator/world.cpp
@@ -12,8 +12,8 @@
 
 namespace martenford::emulator {
 
-using loftfront::Availability;
-using loftfront::Effect;
+using decision::Availability;
+using decision::Effect;
 
 namespace {
 
@@ -109,9 +109,9 @@
 
 World::World(Scheduler& scheduler, const Scenario& scenario, Options options)
     : scheduler_(scheduler), scenario_(scenario), options_(std::move(options)), origin_(scheduler.now()) {
-    std::vector<loftfront::RequestClass> classes;
+    std::vector<decision::RequestClass> classes;
     for (const ClassSpec& c : scenario_.classes) {
-        loftfront::RequestClass rules;
+        decision::RequestClass rules;
         rules.name = c.name;
         rules.effect = c.effect;
         rules.window = c.window;
@@ -901,7 +901,7 @@
     const ClassSpec& spec = scenario_.classes[root.class_index];
     const Time now = scheduler_.now();
     const Duration left = root.began + spec.deadline - now;
-    const Duration timeout = std::min(left, loftfront::scaled(spec.deadline, scenario_.clients.give_up));
+    const Duration timeout = std::min(left, decision::scaled(spec.deadline, scenario_.clients.give_up));
     CallSpec call;
     call.id = fmt::format("r{}-{}", number, root.tries);
     call.class_index = root.class_index;
@@ -916,7 +916,7 @@
     // latest.
     Draws draws(options_.seed, "patience " + call.id);
     const bool leaves = draws.chance(scenario_.clients.impatient) || draws.chance(chance_of_any(leaves_));
-    const Duration patience = leaves ? loftfront::scaled(call.timeout, draws.unit())
+    const Duration patience = leaves ? decision::scaled(call.timeout, draws.unit())
                                      : call.timeout + kPatience + options_.wire_slack;
     root.timer.set(now + patience, [this, number] {
         Root& client = roots_.at(number);
@@ -1174,7 +1174,7 @@
             return schedule(node);
         case Verb::Pauses: {
             Draws draws(options_.seed, fmt::format("pauses {} {}", number, node.name));
-            for (Duration at = loftfront::scaled(event.every, draws.unit()); at < event.length;
+            for (Duration at = decision::scaled(event.every, draws.unit()); at < event.length;
                  at += event.every) {
                 later(at, [this, &node, span = event.span] {
                     if (!node.model) return;
--- a/emulator/world.h
+++ b/emulator/world.h
@@ -107,7 +107,7 @@
     void respond(Attempt& attempt, AttemptReply&& reply);
     void forget(std::uint64_t attempt);
     void started(Node& node, Attempt& attempt);
-    void list(Node& node, loftfront::Availability state, Duration after);
+    void list(Node& node, decision::Availability state, Duration after);
     void show(Node& node);
     Duration draw_work(const Call& call) const;
 
--- a/examples/quickstart.cpp
+++ b/examples/quickstart.cpp
@@ -4,9 +4,9 @@
 #include <string>
 #include <vector>
 
-#include "loftfront/balancer.h"
+#include "martenford/decision/balancer.h"
 
-using namespace loftfront;
+using namespace martenford::decision;
 using namespace std::chrono_literals;
 
 namespace {
--- a/include/martenford/decision/balancer.h
+++ b/include/martenford/decision/balancer.h
@@ -1,4 +1,4 @@
-// loftfront: the interface of the decision module. Every decision is made in src/logic.cpp.
+// martenford decision library: the interface of the decision module. Every decision is made in src/logic.cpp.
 //
 // A Balancer is one sidecar's decision maker. It does no I/O, reads no clock and starts no thread:
 // the host hands it typed events, each with its time, and performs the actions it gives back, in order.
@@ -13,7 +13,7 @@
 #include <variant>
 #include <vector>
 
-namespace loftfront {
+namespace martenford::decision {
 
 /// The host's clock: it starts anywhere and only advances.
 struct Clock {
@@ -145,7 +145,7 @@
     std::optional<double> in_flight, queued, utilisation, service_ms, served_per_s, errors_per_s;
 };
 
-enum class Status { Error, Ok, Full, Timeout, ConnectFailed, Reset, Cancelled, Moot };
+enum class Status { Error, Ok, Full, Timeout, ConnectFailed, Reset, Cancelled, NotSent };
 
 /// News from discovery. Full and Cached replace the list, Delta changes it, Failed carries nothing.
 struct Discovered {
@@ -188,7 +188,7 @@
     bool kept = true;  ///< of an answer: its connection can carry another
 };
 /// The client left; the request is over.
-struct Lapsed {
+struct DeadlineExpired {
     RequestId id;
 };
 struct TimerFired {
@@ -204,7 +204,7 @@
     std::uint32_t from = 0;
     std::string data;
 };
-using Event = std::variant<Discovered, Request, FirstByte, Outcome, Lapsed, TimerFired, ProbeResult,
+using Event = std::variant<Discovered, Request, FirstByte, Outcome, DeadlineExpired, TimerFired, ProbeResult,
                            PeerMessage, Received>;
 
 // ---- actions --------------------------------------------------------------------------------------
@@ -262,4 +262,4 @@
     std::unique_ptr<Impl> impl_;
 };
 
-}  // namespace loftfront
+}  // namespace martenford::decision
--- a/src/admission/admission_controller.cpp
+++ b/src/admission/admission_controller.cpp
@@ -4,7 +4,7 @@
 
 namespace martenford::admission {
 
-using namespace loftfront;
+using namespace martenford::decision;
 
 namespace {
 constexpr std::size_t kMostSpent = 20000;
@@ -51,7 +51,7 @@
     return it == statistics_by_kind_.end() ? typical_service_time_ : it->second.typical_service_time;
 }
 
-void AdmissionController::handle(Time now, const loftfront::Event& event, std::vector<Action>& out) {
+void AdmissionController::handle(Time now, const decision::Event& event, std::vector<Action>& out) {
     now_ = now;
     actions_ = &out;
     std::visit([this](const auto& e) { on(e); }, event);
@@ -208,7 +208,7 @@
     call.in_flight = false;
     --in_flight_;
     const bool never_ran = outcome.status == Status::Full || outcome.status == Status::ConnectFailed ||
-                           outcome.status == Status::Moot;
+                           outcome.status == Status::NotSent;
     if (never_ran && !call.inbound.idempotent) delivered_attempts_.erase(call.inbound.attempt_id);
     if (outcome.status == Status::Ok) {
         const Duration took = now_ - call.sent_at;
@@ -227,7 +227,7 @@
     admit_next();
 }
 
-void AdmissionController::on(const Lapsed& lapsed) {
+void AdmissionController::on(const DeadlineExpired& lapsed) {
     const auto known = calls_.find(lapsed.id);
     if (known == calls_.end()) return;
     Call& call = known->second;
--- a/src/admission/admission_controller.h
+++ b/src/admission/admission_controller.h
@@ -17,11 +17,11 @@
 
 namespace martenford::admission {
 
-using loftfront::Duration;
-using loftfront::EndpointId;
-using loftfront::RequestId;
-using loftfront::Status;
-using loftfront::Time;
+using decision::Duration;
+using decision::EndpointId;
+using decision::RequestId;
+using decision::Status;
+using decision::Time;
 
 /// What a hop says of its request, told before the engine takes it.
 struct InboundRequest {
@@ -62,12 +62,12 @@
     std::size_t queue_length() const { return queue_.size(); }
     std::size_t in_flight() const { return in_flight_; }
 
-    void start(Time, std::vector<loftfront::Action>&) override {}
-    void handle(Time now, const loftfront::Event& event, std::vector<loftfront::Action>& out) override;
+    void start(Time, std::vector<decision::Action>&) override {}
+    void handle(Time now, const decision::Event& event, std::vector<decision::Action>& out) override;
 
   private:
     struct Call {
-        loftfront::Request request;
+        decision::Request request;
         InboundRequest inbound;
         Time latency_target_at{};
         bool queued = false, in_flight = false, open = true;
@@ -81,10 +81,10 @@
         double wait_factor =
             1;  ///< how much longer they waited than was expected when they came: others overtook them
     };
-    void on(const loftfront::Request& request);
-    void on(const loftfront::Outcome& outcome);
-    void on(const loftfront::Lapsed& lapsed);
-    void on(const loftfront::TimerFired& timer);
+    void on(const decision::Request& request);
+    void on(const decision::Outcome& outcome);
+    void on(const decision::DeadlineExpired& lapsed);
+    void on(const decision::TimerFired& timer);
     template <class T>
     void on(const T&) {}
     void send(Call& call);
@@ -127,7 +127,7 @@
         newest_forgotten_at_;  // when the newest of those was spent that are not remembered any more
     std::uint64_t last_call_number_ = 0;
     Time now_{};
-    std::vector<loftfront::Action>* actions_ = nullptr;
+    std::vector<decision::Action>* actions_ = nullptr;
 };
 
 }  // namespace martenford::admission
--- a/src/assembly/features.cpp
+++ b/src/assembly/features.cpp
@@ -199,18 +199,18 @@
     return read_features(read_toml_file(path), path);
 }
 
-Membership::Options membership_options(const Features& features, const loftfront::Settings& settings) {
+Membership::Options membership_options(const Features& features, const decision::Settings& settings) {
     Membership::Options result;
     if (!features.caution_share) return result;
     result.caution_share = *features.caution_share;
-    result.caution = loftfront::scaled(settings.rules.drain_grace, kDoubtShare);
+    result.caution = decision::scaled(settings.rules.drain_grace, kDoubtShare);
     return result;
 }
 
-std::unique_ptr<Policy> make_policy(const loftfront::Settings& settings, std::uint64_t seed,
+std::unique_ptr<Policy> make_policy(const decision::Settings& settings, std::uint64_t seed,
                                     const Features& features, Counters& counters,
                                     outlier::OutlierPolicy** outliers) {
-    loftfront::validate(settings);
+    decision::validate(settings);
     const auto of_module = features.subset ? subset::SubsetPolicy::alone(settings) : settings;
     std::unique_ptr<Policy> policy = std::make_unique<BalancerPolicy>(of_module, seed);
     // Nearest to the module: it remembers those that are used only, and a subset sees what it ejects as
--- a/src/assembly/features.h
+++ b/src/assembly/features.h
@@ -43,12 +43,12 @@
 
 /// The doubt as the membership takes it. Its length is two fifths of the drain grace: what is late on the way
 /// or in the loop has the rest.
-Membership::Options membership_options(const Features& features, const loftfront::Settings& settings);
+Membership::Options membership_options(const Features& features, const decision::Settings& settings);
 
 /// The decision module with what is switched on around it. Throws std::invalid_argument, as
-/// loftfront::validate() does. `outliers`: gets the one within, which lives as long; null where there is
+/// decision::validate() does. `outliers`: gets the one within, which lives as long; null where there is
 /// none.
-std::unique_ptr<Policy> make_policy(const loftfront::Settings& settings, std::uint64_t seed,
+std::unique_ptr<Policy> make_policy(const decision::Settings& settings, std::uint64_t seed,
                                     const Features& features, Counters& counters,
                                     outlier::OutlierPolicy** outliers = nullptr);
 
--- a/src/config/config.cpp
+++ b/src/config/config.cpp
@@ -7,7 +7,7 @@
 
 namespace martenford {
 
-using namespace loftfront::json;
+using namespace martenford::decision::json;
 
 namespace {
 
@@ -91,7 +91,7 @@
 Address read_discovery_again() {
     return with_file([](const object& top) {
         const Config whole = read_all(top);
-        loftfront::validate(whole.settings);
+        decision::validate(whole.settings);
         // The variable is the start's: only the file can have changed since.
         return address(top, nullptr, "discovery");
     });
--- a/src/config/config.h
+++ b/src/config/config.h
@@ -25,7 +25,7 @@
     std::size_t sockets = 1024;
     Names names;
     std::optional<TargetList> known;
-    loftfront::Settings settings;
+    decision::Settings settings;
 };
 
 /// Reads the environment and the file that it names. Throws ConfigError.
--- a/src/config/fields.h
+++ b/src/config/fields.h
@@ -14,9 +14,9 @@
 #include <utility>
 #include <vector>
 
-#include "loftfront/balancer.h"
+#include "martenford/decision/balancer.h"
 
-namespace loftfront::json {
+namespace martenford::decision::json {
 
 using simdjson::dom::array;
 using simdjson::dom::element;
@@ -123,4 +123,4 @@
     bad("field '" + std::string(name) + "' has an unknown word");
 }
 
-}  // namespace loftfront::json
+}  // namespace martenford::decision::json
--- a/src/config/read_settings.cpp
+++ b/src/config/read_settings.cpp
@@ -1,6 +1,6 @@
 #include "config/read_settings.h"
 
-namespace loftfront::json {
+namespace martenford::decision::json {
 namespace {
 
 RequestClass read_class(const object& from) {
@@ -125,4 +125,4 @@
     return result;
 }
 
-}  // namespace loftfront::json
+}  // namespace martenford::decision::json
--- a/src/config/read_settings.h
+++ b/src/config/read_settings.h
@@ -3,9 +3,9 @@
 
 #include "config/fields.h"
 
-namespace loftfront::json {
+namespace martenford::decision::json {
 
 /// Throws FieldError that names the field where the object is malformed or makes no sense.
 Settings read_settings(const object& from);
 
-}  // namespace loftfront::json
+}  // namespace martenford::decision::json
--- a/src/config/targets.cpp
+++ b/src/config/targets.cpp
@@ -6,8 +6,8 @@
 
 namespace martenford {
 
-using namespace loftfront;
-using namespace loftfront::json;
+using namespace martenford::decision;
+using namespace martenford::decision::json;
 
 namespace {
 
@@ -71,8 +71,9 @@
     }
     // One line for a list, however long: nothing from the network may fill the log.
     if (!result.unreadable.empty()) {
-        tell(Event::EntriesSkipped, "discovery: entries were skipped: " +
-                                        std::to_string(result.unreadable.size()) + "; the first: " + first);
+        tell(martenford::Event::EntriesSkipped,
+             "discovery: entries were skipped: " + std::to_string(result.unreadable.size()) +
+                 "; the first: " + first);
     }
     return result;
 }
--- a/src/config/targets.h
+++ b/src/config/targets.h
@@ -20,6 +20,6 @@
 
 /// Throws FieldError where the list as a whole makes no sense; entries that make none are skipped, with one
 /// line of log for all of them.
-TargetList parse_targets(const loftfront::json::object& from, const Names& names);
+TargetList parse_targets(const decision::json::object& from, const Names& names);
 
 }  // namespace martenford
--- a/src/control_api/control_api.cpp
+++ b/src/control_api/control_api.cpp
@@ -65,12 +65,12 @@
     limits_.head_time = 10s;
 }
 
-std::variant<loftfront::Request, TurnAway> ApiServer::read(Fields& head, Time arrived) {
+std::variant<decision::Request, TurnAway> ApiServer::read(Fields& head, Time arrived) {
     const auto target = head.target();
     const Match found = match(head.method(), {target.data(), target.size()});
     if (found.wrong_method) return TurnAway{http::status::method_not_allowed};
     if (!found.spec || !handlers_.contains(found.spec->name)) return TurnAway{http::status::not_found};
-    loftfront::Request request;
+    decision::Request request;
     request.id = std::to_string(++last_);
     request.class_index = static_cast<std::uint32_t>(found.spec - call_table().data());
     request.deadline = arrived + kLongest;
@@ -78,7 +78,7 @@
     return request;
 }
 
-bool ApiServer::take(loftfront::Request request, std::shared_ptr<const Message> message, Reply reply) {
+bool ApiServer::take(decision::Request request, std::shared_ptr<const Message> message, Reply reply) {
     const auto& from = static_cast<const HttpMessage&>(*message);
     const CallSpec& kind = call_table()[request.class_index];
     Call call{kind.name, std::string(from.field("Mesh-Id")), from.body};
@@ -107,7 +107,7 @@
     return true;
 }
 
-void ApiServer::write(const Answer& answer, const loftfront::RequestId&, http::response_header<>& head) {
+void ApiServer::write(const Answer& answer, const decision::RequestId&, http::response_header<>& head) {
     if (const auto* own = dynamic_cast<const HttpAnswerHead*>(answer.head.get())) {
         head.result(own->status);
         for (const auto& field : own->fields) head.insert(field.name_string(), field.value());
--- a/src/control_api/control_api.h
+++ b/src/control_api/control_api.h
@@ -62,17 +62,17 @@
   private:
     const FrontLimits& limits() const override { return limits_; }
     DrainTimes drain_times() const override { return {100ms, 0ms, 500ms, 0ms}; }
-    std::variant<loftfront::Request, TurnAway> read(Fields& head, Time arrived) override;
-    void write(const Answer& answer, const loftfront::RequestId& id, http::response_header<>& head) override;
-    bool take(loftfront::Request request, std::shared_ptr<const Message> message, Reply reply) override;
-    void received(const loftfront::RequestId&, Time) override {}
-    void leave(const loftfront::RequestId& id) override { pending_replies_.erase(id); }
+    std::variant<decision::Request, TurnAway> read(Fields& head, Time arrived) override;
+    void write(const Answer& answer, const decision::RequestId& id, http::response_header<>& head) override;
+    bool take(decision::Request request, std::shared_ptr<const Message> message, Reply reply) override;
+    void received(const decision::RequestId&, Time) override {}
+    void leave(const decision::RequestId& id) override { pending_replies_.erase(id); }
 
     Loop& loop_;
     std::map<CallName, Handler> handlers_;
     FrontLimits limits_;
     std::uint64_t last_ = 0;
-    std::map<loftfront::RequestId, Reply> pending_replies_;
+    std::map<decision::RequestId, Reply> pending_replies_;
     Http1Front front_;
 };
 
--- a/src/core/back.h
+++ b/src/core/back.h
@@ -42,9 +42,9 @@
     virtual ~AnswerHead() = default;
 };
 
-/// How an attempt or a probe ended. Full, ConnectFailed and Moot prove that it never ran.
+/// How an attempt or a probe ended. Full, ConnectFailed and NotSent prove that it never ran.
 struct Result {
-    loftfront::Status status = loftfront::Status::Error;
+    decision::Status status = decision::Status::Error;
     std::string body{};                     ///< of an answer that served, or what has come of it
     std::string content_type{};             ///< and its type, where it gives one
     std::shared_ptr<Pipe> rest{};           ///< what follows the body; empty: it is whole
--- a/src/core/engine.cpp
+++ b/src/core/engine.cpp
@@ -5,7 +5,7 @@
 
 namespace martenford {
 
-using namespace loftfront;
+using namespace martenford::decision;
 using Why = Observer::Why;
 
 namespace {
@@ -43,7 +43,7 @@
     request.arriving |= call.held;
     // Guards against a request that is lost because the module holds it, or has forgotten it.
     call.backstop.set(call.deadline + kBackstopAfter, [this, id = request.id] {
-        if (complete(id, Answer{}, Why::Deadline)) post(Lapsed{id});
+        if (complete(id, Answer{}, Why::Deadline)) post(DeadlineExpired{id});
     });
     post(std::move(request));
     return true;
@@ -55,7 +55,7 @@
     Call& call = it->second;
     call.deadline = deadline;
     call.backstop.set(deadline + kBackstopAfter, [this, id] {
-        if (complete(id, Answer{}, Why::Deadline)) post(Lapsed{id});
+        if (complete(id, Answer{}, Why::Deadline)) post(DeadlineExpired{id});
     });
     for (const Attempt& attempt : call.attempts) {
         if (!attempt.out) continue;
@@ -84,13 +84,13 @@
     it->second.reply = [](Answer&&) {};  // nobody is left to read one
     if (witness_) witness_->left(id);
     complete(id, Answer{}, Why::Client);
-    post(Lapsed{id});
+    post(DeadlineExpired{id});
 }
 
 void Engine::give_up(const RequestId& id, bool refused) {
     if (complete(id, Answer{refused ? Answer::Kind::Refused : Answer::Kind::Failed, {}, {}, {}},
                  Why::Journal))
-        post(Lapsed{id});
+        post(DeadlineExpired{id});
 }
 
 void Engine::cancel(const RequestId& id, AttemptNumber number) {
@@ -155,7 +155,7 @@
     const std::size_t number = call.attempts.size();
     call.attempts.push_back({{}, now});
     if (!call.reply || now >= call.deadline || number >= limits_.max_attempts) {
-        return ended(send.id, number, send.endpoint, Result{Status::Moot});
+        return ended(send.id, number, send.endpoint, Result{Status::NotSent});
     }
     if (observer_) observer_->sent(send.id, number, send.endpoint);
     const Time end = send.timeout == Duration{} ? call.deadline : std::min(call.deadline, now + send.timeout);
@@ -197,7 +197,7 @@
     } else if (call.message && !call.message->resendable()) {
         // Its body has been handed on and let go: there is nothing left that could be sent.
         const bool never_ran = result.status == Status::Full || result.status == Status::ConnectFailed ||
-                               result.status == Status::Moot;
+                               result.status == Status::NotSent;
         complete(id, Answer{never_ran ? Answer::Kind::Refused : Answer::Kind::Failed, {}, {}, {}},
                  Why::Spent);
     }
--- a/src/core/engine.h
+++ b/src/core/engine.h
@@ -41,11 +41,11 @@
     virtual ~Desk() = default;
     /// Takes a request; `reply` is called once, unless the client leaves first. False where one with the same
     /// id is still under way: then nothing was taken.
-    virtual bool take(loftfront::Request request, std::shared_ptr<const Message> message, Reply reply) = 0;
+    virtual bool take(decision::Request request, std::shared_ptr<const Message> message, Reply reply) = 0;
     /// All of a request that was taken while it was arriving is here: its client waits until `deadline`.
-    virtual void received(const loftfront::RequestId& id, Time deadline) = 0;
+    virtual void received(const decision::RequestId& id, Time deadline) = 0;
     /// The client of an open request has gone.
-    virtual void leave(const loftfront::RequestId& id) = 0;
+    virtual void leave(const decision::RequestId& id) = 0;
 };
 
 /// Sees the requests that the engine takes, from their beginning to their one answer.
@@ -53,42 +53,42 @@
   public:
     virtual ~Witness() = default;
     /// False: the request is refused at once, as one that never ran.
-    virtual bool admits(const loftfront::Request& request) = 0;
+    virtual bool admits(const decision::Request& request) = 0;
     /// True: its first attempt will be held for a while by what stands before the back, which then says
     /// Engine::released().
-    virtual bool holds(const loftfront::Request& request) = 0;
+    virtual bool holds(const decision::Request& request) = 0;
     /// A request is complete. What it gives back is called once the answer is written; empty: no need.
-    virtual std::function<void()> completed(const loftfront::RequestId& id, Answer::Kind kind) = 0;
+    virtual std::function<void()> completed(const decision::RequestId& id, Answer::Kind kind) = 0;
     /// Its client has gone before that.
-    virtual void left(const loftfront::RequestId& id) = 0;
+    virtual void left(const decision::RequestId& id) = 0;
 };
 
 class Engine : public Desk {
   public:
     /// `policy` decides; attempts go through `back`. Both, and the scheduler, outlive what they carry.
-    Engine(Scheduler& scheduler, Back& back, const loftfront::Limits& limits, std::unique_ptr<Policy> policy,
+    Engine(Scheduler& scheduler, Back& back, const decision::Limits& limits, std::unique_ptr<Policy> policy,
            Tally& tally);
 
     /// What the module's Subscribe calls.
     void on_subscribe(std::function<void()> subscribe) { subscribe_ = std::move(subscribe); }
     /// Sees how each attempt ended, whatever the module makes of it.
-    void on_ended(std::function<void(EndpointId, loftfront::Status)> ended) { ended_ = std::move(ended); }
+    void on_ended(std::function<void(EndpointId, decision::Status)> ended) { ended_ = std::move(ended); }
     /// Sees requests begin and end.
     void watched_by(Witness* witness) { witness_ = witness; }
     /// Hears of everything, and has no say.
     void observed_by(Observer* observer) { observer_ = observer; }
     void start();
 
-    bool take(loftfront::Request request, std::shared_ptr<const Message> message, Reply reply) override;
-    void received(const loftfront::RequestId& id, Time deadline) override;
+    bool take(decision::Request request, std::shared_ptr<const Message> message, Reply reply) override;
+    void received(const decision::RequestId& id, Time deadline) override;
     /// The first attempt of a request that was held goes out: until now it was no work to any endpoint.
-    void released(const loftfront::RequestId& id);
-    void leave(const loftfront::RequestId& id) override;
+    void released(const decision::RequestId& id);
+    void leave(const decision::RequestId& id) override;
     /// Answers an open request at once, without the module: `refused` only where nothing of it can have run.
-    void give_up(const loftfront::RequestId& id, bool refused);
+    void give_up(const decision::RequestId& id, bool refused);
     /// Ends one attempt that is out, as the module's Cancel does: its outcome is Cancelled.
-    void cancel(const loftfront::RequestId& id, loftfront::AttemptNumber attempt);
-    void tell(loftfront::Discovered news) {
+    void cancel(const decision::RequestId& id, decision::AttemptNumber attempt);
+    void tell(decision::Discovered news) {
         if (observer_) observer_->listed(news);
         post(std::move(news));
     }
@@ -113,26 +113,26 @@
         bool arriving = false, held = false;  // the module hears Received once it is neither
     };
 
-    void post(loftfront::Event event);
-    void act(const loftfront::Action& action);
-    void begin_work(const loftfront::RequestId& id, Call& call);
-    void send(const loftfront::Send& send);
-    void ended(const loftfront::RequestId& id, std::size_t number, EndpointId endpoint, Result&& result);
-    bool complete(const loftfront::RequestId& id, Answer&& answer, Observer::Why why);
-    void forget_if_over(const loftfront::RequestId& id);
+    void post(decision::Event event);
+    void act(const decision::Action& action);
+    void begin_work(const decision::RequestId& id, Call& call);
+    void send(const decision::Send& send);
+    void ended(const decision::RequestId& id, std::size_t number, EndpointId endpoint, Result&& result);
+    bool complete(const decision::RequestId& id, Answer&& answer, Observer::Why why);
+    void forget_if_over(const decision::RequestId& id);
 
     Scheduler& scheduler_;
     Back& back_;
-    loftfront::Limits limits_;
+    decision::Limits limits_;
     std::unique_ptr<Policy> policy_;
     Tally& tally_;
     std::function<void()> subscribe_;
-    std::function<void(EndpointId, loftfront::Status)> ended_;
-    std::deque<loftfront::Event> events_;
+    std::function<void(EndpointId, decision::Status)> ended_;
+    std::deque<decision::Event> events_;
     Witness* witness_ = nullptr;
     Observer* observer_ = nullptr;
     bool handling_ = false;
-    std::unordered_map<loftfront::RequestId, Call> calls_;
+    std::unordered_map<decision::RequestId, Call> calls_;
 };
 
 }  // namespace martenford
--- a/src/core/observer.h
+++ b/src/core/observer.h
@@ -5,7 +5,7 @@
 
 #include "core/scheduler.h"
 #include "core/tally.h"
-#include "loftfront/balancer.h"
+#include "martenford/decision/balancer.h"
 
 namespace martenford {
 
@@ -22,11 +22,11 @@
     };
 
     virtual ~Observer() = default;
-    virtual void taken(const loftfront::Request& request) = 0;
-    virtual void sent(const loftfront::RequestId& id, std::size_t attempt, EndpointId endpoint) = 0;
-    virtual void ended(const loftfront::RequestId& id, std::size_t attempt, loftfront::Status status) = 0;
-    virtual void completed(const loftfront::RequestId& id, Tally::End how, Why why) = 0;
-    virtual void listed(const loftfront::Discovered& news) = 0;
+    virtual void taken(const decision::Request& request) = 0;
+    virtual void sent(const decision::RequestId& id, std::size_t attempt, EndpointId endpoint) = 0;
+    virtual void ended(const decision::RequestId& id, std::size_t attempt, decision::Status status) = 0;
+    virtual void completed(const decision::RequestId& id, Tally::End how, Why why) = 0;
+    virtual void listed(const decision::Discovered& news) = 0;
 };
 
 }  // namespace martenford
--- a/src/core/policy.h
+++ b/src/core/policy.h
@@ -3,33 +3,31 @@
 
 #include <vector>
 
-#include "loftfront/balancer.h"
+#include "martenford/decision/balancer.h"
 
 namespace martenford {
 
 class Policy {
   public:
     virtual ~Policy() = default;
-    virtual void start(loftfront::Time now, std::vector<loftfront::Action>& out) = 0;
-    virtual void handle(loftfront::Time now, const loftfront::Event& event,
-                        std::vector<loftfront::Action>& out) = 0;
+    virtual void start(decision::Time now, std::vector<decision::Action>& out) = 0;
+    virtual void handle(decision::Time now, const decision::Event& event,
+                        std::vector<decision::Action>& out) = 0;
 };
 
 /// The one that serves.
 class BalancerPolicy : public Policy {
   public:
-    /// Throws std::invalid_argument, as loftfront::validate() does.
-    BalancerPolicy(const loftfront::Settings& settings, std::uint64_t seed) : balancer_(settings, seed) {}
-    void start(loftfront::Time now, std::vector<loftfront::Action>& out) override {
-        balancer_.start(now, out);
-    }
-    void handle(loftfront::Time now, const loftfront::Event& event,
-                std::vector<loftfront::Action>& out) override {
+    /// Throws std::invalid_argument, as decision::validate() does.
+    BalancerPolicy(const decision::Settings& settings, std::uint64_t seed) : balancer_(settings, seed) {}
+    void start(decision::Time now, std::vector<decision::Action>& out) override { balancer_.start(now, out); }
+    void handle(decision::Time now, const decision::Event& event,
+                std::vector<decision::Action>& out) override {
         balancer_.handle(now, event, out);
     }
 
   private:
-    loftfront::Balancer balancer_;
+    decision::Balancer balancer_;
 };
 
 }  // namespace martenford
--- a/src/core/scheduler.h
+++ b/src/core/scheduler.h
@@ -6,13 +6,13 @@
 #include <optional>
 #include <utility>
 
-#include "loftfront/balancer.h"
+#include "martenford/decision/balancer.h"
 
 namespace martenford {
 
-using loftfront::Duration;
-using loftfront::EndpointId;
-using loftfront::Time;
+using decision::Duration;
+using decision::EndpointId;
+using decision::Time;
 using namespace std::chrono_literals;
 
 /// A clock that never goes back, and what is to be done when. One thread; callbacks run one after another.
--- a/src/core/tally.h
+++ b/src/core/tally.h
@@ -7,7 +7,7 @@
 #include <vector>
 
 #include "core/counters.h"
-#include "loftfront/balancer.h"
+#include "martenford/decision/balancer.h"
 
 namespace martenford {
 
@@ -40,8 +40,8 @@
     };
 
     /// Outlives the tickets; `counters` outlives it.
-    Tally(Counters& counters, const std::vector<loftfront::RequestClass>& classes) {
-        for (const loftfront::RequestClass& c : classes) {
+    Tally(Counters& counters, const std::vector<decision::RequestClass>& classes) {
+        for (const decision::RequestClass& c : classes) {
             by_class_.push_back(
                 {&counters.counter("requests.served", "answered by an endpoint", c.name),
                  &counters.counter("requests.refused", "turned away: harmless to repeat", c.name),
--- a/src/discovery/discovery.cpp
+++ b/src/discovery/discovery.cpp
@@ -11,7 +11,7 @@
 
 namespace martenford {
 
-using namespace loftfront;
+using namespace martenford::decision;
 namespace http = boost::beast::http;
 using boost::system::error_code;
 
@@ -97,7 +97,7 @@
 void Discovery::move(const Address& address) {
     if (address == address_) return;
     drop(silent_);
-    tell(Event::DiscoveryMoves,
+    tell(martenford::Event::DiscoveryMoves,
          "discovery: moves to " + address.address().to_string() + ":" + std::to_string(address.port()));
     address_ = address;
     // Guards against a revision that means something else to the new agent: it is asked for the whole list,
@@ -179,7 +179,7 @@
     random_ = random.next();
     suspect_.set(Loop::monotonic() + scaled(kAskSpread, random.unit()), [this] {
         if (!exchange_) return;
-        tell(Event::DiscoveryAnew, "discovery: endpoints are not as listed; asked anew");
+        tell(martenford::Event::DiscoveryAnew, "discovery: endpoints are not as listed; asked anew");
         asked_anew_.add();
         // The old watch is heard on until the fresh call is answered. Guards against losing what discovery
         // has just written to it: that counts as told, and the fresh call may wait its turn for longer than
@@ -199,7 +199,7 @@
 }
 
 void Discovery::failed(const std::string& why) {
-    tell(Event::DiscoveryTrouble, "discovery: " + why);
+    tell(martenford::Event::DiscoveryTrouble, "discovery: " + why);
     drop(exchange_);
     if (config_.settings.subscribe) return engine_.tell({Discovered::Kind::Failed, nullptr});
     // The module asks only where lists must be asked for. Jitter: all sidecars may have failed at once.
@@ -233,7 +233,7 @@
 }
 
 void Discovery::apply(Membership::Update&& update) {
-    if (!update.remark.empty()) tell(Event::DiscoveryRemark, "discovery: " + update.remark);
+    if (!update.remark.empty()) tell(martenford::Event::DiscoveryRemark, "discovery: " + update.remark);
     for (const EndpointId id : update.removed) placement_.remove(id);
     for (const auto& [id, address, ready, uid] : update.placed) {
         if (uid) placement_.name(id, *uid);
--- a/src/discovery/discovery.h
+++ b/src/discovery/discovery.h
@@ -33,7 +33,7 @@
     void move(const Address& address);
     /// How an attempt ended: where a watch is silent and endpoints are not as listed, discovery is asked
     /// anew.
-    void saw(EndpointId id, loftfront::Status status);
+    void saw(EndpointId id, decision::Status status);
     /// What others than discovery say of an endpoint.
     void guide(const std::string& uid, const Membership::Guide& guide) {
         apply(membership_.guide(uid, guide));
--- a/src/grpc/h2_client.cpp
+++ b/src/grpc/h2_client.cpp
@@ -216,7 +216,7 @@
     const auto stream = std::move(it->second);
     streams_.erase(it);
     stream->answer.ending = ending;
-    if (outcome_of(ending) != loftfront::Status::Ok) stream->answer.body = {};
+    if (outcome_of(ending) != decision::Status::Ok) stream->answer.body = {};
     // Trailers-only: the one head is the trailers (PROTOCOL-HTTP2.md, Responses).
     if (stream->answer.trailers.empty() && stream->status)
         stream->answer.trailers = std::move(stream->answer.head);
--- a/src/grpc/routes.cpp
+++ b/src/grpc/routes.cpp
@@ -23,7 +23,7 @@
 
 }  // namespace
 
-Routes Routes::read(TomlReader::Table& table, const std::vector<loftfront::RequestClass>& classes) {
+Routes Routes::read(TomlReader::Table& table, const std::vector<decision::RequestClass>& classes) {
     Routes result;
     for (TomlReader::Table& entry : table.tables("route")) {
         std::string path, name;
--- a/src/grpc/routes.h
+++ b/src/grpc/routes.h
@@ -9,7 +9,7 @@
 #include <vector>
 
 #include "config/toml_reader.h"
-#include "loftfront/balancer.h"
+#include "martenford/decision/balancer.h"
 
 namespace martenford::grpc {
 
@@ -22,7 +22,7 @@
   public:
     /// `table` is [grpc]. Throws TomlError where a path is no "/package.Service/Method" or
     /// "/package.Service/*", is there twice, or where its class is none of these.
-    static Routes read(TomlReader::Table& table, const std::vector<loftfront::RequestClass>& classes);
+    static Routes read(TomlReader::Table& table, const std::vector<decision::RequestClass>& classes);
     /// The method's own entry, else its service's; nothing where neither is there. `path` as in `:path`.
     std::optional<Route> find(std::string_view path) const;
     std::size_t size() const { return by_path_.size(); }
--- a/src/grpc/status.cpp
+++ b/src/grpc/status.cpp
@@ -4,7 +4,7 @@
 
 namespace martenford::grpc {
 
-using loftfront::Status;
+using decision::Status;
 
 namespace {
 
--- a/src/grpc/status.h
+++ b/src/grpc/status.h
@@ -60,7 +60,7 @@
 };
 
 /// In the platform's terms. Ok: the endpoint has answered the call, whatever it says.
-loftfront::Status outcome_of(const Ending& ending);
+decision::Status outcome_of(const Ending& ending);
 
 /// Whether an endpoint that ends a call with this code has given its answer: one that another attempt would
 /// get again. The others say that something failed on the way or meanwhile, and the call may have run.
--- a/src/http1/back.cpp
+++ b/src/http1/back.cpp
@@ -11,7 +11,7 @@
 
 namespace martenford {
 
-using loftfront::Status;
+using decision::Status;
 
 namespace {
 
@@ -74,7 +74,7 @@
     /// For an attempt that is no longer wanted.
     void cancel() override { finish(Status::Cancelled); }
     void withdraw_unwritten() override {
-        if (stage_ == Stage::Connecting || (stage_ == Stage::Writing && arriving())) finish(Status::Moot);
+        if (stage_ == Stage::Connecting || (stage_ == Stage::Writing && arriving())) finish(Status::NotSent);
     }
     void end_at(Time end) override {
         if (!done_) return;  // its outcome is known already
@@ -117,7 +117,7 @@
         socket_.async_connect(address, [self = shared_from_this()](const error_code& error) {
             if (self->stage_ != Stage::Connecting) return;
             self->limit_.cancel();
-            if (error) return self->finish(own_fault(error) ? Status::Moot : Status::ConnectFailed);
+            if (error) return self->finish(own_fault(error) ? Status::NotSent : Status::ConnectFailed);
             error_code ignored;
             self->socket_.set_option(asio::ip::tcp::no_delay(true), ignored);
             bound_send_buffer(self->socket_);
@@ -353,7 +353,7 @@
     Back::Done done_;
 };
 
-Http1Back::Http1Back(Loop& loop, ClientProtocol& protocol, const loftfront::Limits& limits, std::size_t most,
+Http1Back::Http1Back(Loop& loop, ClientProtocol& protocol, const decision::Limits& limits, std::size_t most,
                      std::size_t per_endpoint, Counters& counters)
     : loop_(loop),
       protocol_(protocol),
@@ -415,7 +415,7 @@
     if (!connection) {
         // Guards against blaming the endpoint for our own lack of places, or for having left the list.
         Result result;
-        result.status = Status::Moot;
+        result.status = Status::NotSent;
         done(std::move(result));
         return {};
     }
--- a/src/http1/back.h
+++ b/src/http1/back.h
@@ -24,7 +24,7 @@
     /// that would need one more takes the place of the connection that has been idle longest; where none is
     /// idle, or its endpoint has as many as it may, it ends as never sent.
     /// `protocol` outlives it.
-    Http1Back(Loop& loop, ClientProtocol& protocol, const loftfront::Limits& limits, std::size_t most,
+    Http1Back(Loop& loop, ClientProtocol& protocol, const decision::Limits& limits, std::size_t most,
               std::size_t per_endpoint, Counters& counters);
     ~Http1Back() override;
 
@@ -65,7 +65,7 @@
 
     Loop& loop_;
     ClientProtocol& protocol_;
-    loftfront::Limits limits_;
+    decision::Limits limits_;
     std::size_t most_, per_endpoint_, count_ = 0;
     std::unordered_map<EndpointId, Pool> pools_;
     ByIdleTime by_idle_time_;
--- a/src/http1/front.cpp
+++ b/src/http1/front.cpp
@@ -17,7 +17,7 @@
 
 namespace martenford {
 
-using namespace loftfront;
+using namespace martenford::decision;
 using Reply = Writer<false>;
 
 namespace {
--- a/src/http1/protocol.cpp
+++ b/src/http1/protocol.cpp
@@ -8,7 +8,7 @@
 
 namespace martenford {
 
-using namespace loftfront;
+using namespace martenford::decision;
 
 std::optional<std::int64_t> whole_number(boost::beast::string_view text) {
     std::int64_t value = 0;
--- a/src/http1/protocol.h
+++ b/src/http1/protocol.h
@@ -60,10 +60,10 @@
     virtual std::string_view ready_path() const { return {}; }
     /// The event that a request stands for, or what turns it away. `arrived` is when its last byte came.
     /// Fields may be added and taken off.
-    virtual std::variant<loftfront::Request, TurnAway> read(Fields& head, Time arrived) = 0;
+    virtual std::variant<decision::Request, TurnAway> read(Fields& head, Time arrived) = 0;
     /// The status and the fields of the answer to request `id`; its length and its connection are the
     /// front's.
-    virtual void write(const Answer& answer, const loftfront::RequestId& id,
+    virtual void write(const Answer& answer, const decision::RequestId& id,
                        http::response_header<>& head) = 0;
 };
 
@@ -78,8 +78,8 @@
     /// The request that asks an endpoint for its health.
     virtual void prepare_probe(http::request_header<>& head) = 0;
     /// How the attempt ended. Nothing: the answer is not to this request, and is passed over.
-    virtual std::optional<loftfront::Status> classify(const http::response_header<>& head,
-                                                      const HttpMessage* message, EndpointId from) = 0;
+    virtual std::optional<decision::Status> classify(const http::response_header<>& head,
+                                                     const HttpMessage* message, EndpointId from) = 0;
     /// Whether answers are passed on with their heads.
     virtual bool passes_heads() const { return false; }
     /// Whether the end of a connection may end an answer of untold length.
@@ -108,15 +108,15 @@
 /// The protocol of the platform in service: X-Request-ID, X-Timeout-Ms and the rest of it.
 class SidecarServerProtocol : public ServerProtocol {
   public:
-    explicit SidecarServerProtocol(const loftfront::Settings& settings) : settings_(settings) {}
+    explicit SidecarServerProtocol(const decision::Settings& settings) : settings_(settings) {}
     const FrontLimits& limits() const override { return limits_; }
     DrainTimes drain_times() const override;
     std::string_view ready_path() const override { return "/-/ready"; }
-    std::variant<loftfront::Request, TurnAway> read(Fields& head, Time arrived) override;
-    void write(const Answer& answer, const loftfront::RequestId& id, http::response_header<>& head) override;
+    std::variant<decision::Request, TurnAway> read(Fields& head, Time arrived) override;
+    void write(const Answer& answer, const decision::RequestId& id, http::response_header<>& head) override;
 
   private:
-    const loftfront::Settings& settings_;
+    const decision::Settings& settings_;
     FrontLimits limits_;
 };
 
@@ -124,8 +124,8 @@
   public:
     void prepare(http::request_header<>& head, const HttpMessage& message, EndpointId to, Time end) override;
     void prepare_probe(http::request_header<>& head) override;
-    std::optional<loftfront::Status> classify(const http::response_header<>& head, const HttpMessage* message,
-                                              EndpointId from) override;
+    std::optional<decision::Status> classify(const http::response_header<>& head, const HttpMessage* message,
+                                             EndpointId from) override;
 };
 
 }  // namespace martenford
--- a/src/ledger/life.cpp
+++ b/src/ledger/life.cpp
@@ -58,7 +58,7 @@
             return Effect::Ran;
         case Ending::Full:
         case Ending::ConnectFailed:
-        case Ending::Moot:
+        case Ending::NotSent:
         case Ending::Withheld:
             return Effect::NeverRan;
         default:
--- a/src/ledger/record.h
+++ b/src/ledger/record.h
@@ -18,7 +18,7 @@
     Cancelled = 5,      ///< written or not, and no longer wanted
     Full = 6,           ///< turned away with proof that it never ran
     ConnectFailed = 7,  ///< not written whole
-    Moot = 8,           ///< never sent
+    NotSent = 8,        ///< never sent
     Withheld = 9,       ///< never sent, since this journal could not take it in time
 };
 constexpr int kEndings = 10;
--- a/src/ledger/recorder.cpp
+++ b/src/ledger/recorder.cpp
@@ -9,8 +9,8 @@
 
 namespace martenford::ledger {
 
-using loftfront::RequestId;
-using loftfront::Status;
+using decision::RequestId;
+using decision::Status;
 
 namespace {
 
@@ -33,8 +33,8 @@
             return Ending::Reset;
         case Status::Cancelled:
             return Ending::Cancelled;
-        case Status::Moot:
-            return Ending::Moot;
+        case Status::NotSent:
+            return Ending::NotSent;
     }
     return Ending::Open;
 }
@@ -93,14 +93,14 @@
         const RequestId id(message_->id());
         const auto self = shared_from_this();
         recorder_.withhold(id);  // completes the request, and so withdraws this attempt
-        end(Ending::Withheld, Status::Moot);
+        end(Ending::Withheld, Status::NotSent);
     }
     void cancel() override {
-        if (waits()) return end(Ending::Moot, Status::Cancelled);
+        if (waits()) return end(Ending::NotSent, Status::Cancelled);
         if (const auto inner = inner_.lock()) inner->cancel();
     }
     void withdraw_unwritten() override {
-        if (waits()) return end(Ending::Withheld, Status::Moot);
+        if (waits()) return end(Ending::Withheld, Status::NotSent);
         if (const auto inner = inner_.lock()) inner->withdraw_unwritten();
     }
     void end_at(Time end) override {
@@ -137,7 +137,7 @@
 };
 
 Recorder::Recorder(Scheduler& scheduler, Back& back, Placement& placement, WriterLink& link,
-                   const Options& options, const std::vector<loftfront::RequestClass>& classes,
+                   const Options& options, const std::vector<decision::RequestClass>& classes,
                    Counters& counters)
     : scheduler_(scheduler),
       back_(back),
@@ -151,7 +151,7 @@
           counters.counter("ledger.unjournaled", "attempts sent although the journal could not take them")) {
     for (const auto& each : classes) {
         const auto named = options.classes.find(each.name);
-        const bool unsafe = each.effect == loftfront::Effect::SingleShot;
+        const bool unsafe = each.effect == decision::Effect::SingleShot;
         classes_.push_back(named != options.classes.end() ? named->second
                            : unsafe                       ? options.unsafe
                                                           : ClassOptions{});
@@ -171,14 +171,14 @@
     return class_index < classes_.size() ? classes_[class_index] : kOff;
 }
 
-bool Recorder::admits(const loftfront::Request& request) {
+bool Recorder::admits(const decision::Request& request) {
     const ClassOptions& options = of(request.class_index);
     if (link_.outbox().decide(options.level, options.outage) != Outbox::Verdict::Refuse) return true;
     refused_.add();
     return false;
 }
 
-bool Recorder::holds(const loftfront::Request& request) {
+bool Recorder::holds(const decision::Request& request) {
     const ClassOptions& options = of(request.class_index);
     return link_.outbox().decide(options.level, options.outage) == Outbox::Verdict::Hold;
 }
@@ -205,7 +205,7 @@
         withhold(request);
         ended(request, attempt, Ending::Withheld);
         Result result;
-        result.status = Status::Moot;
+        result.status = Status::NotSent;
         done(std::move(result));
         return {};
     }
--- a/src/ledger/recorder.h
+++ b/src/ledger/recorder.h
@@ -24,16 +24,16 @@
   public:
     /// All references outlive it. Throws std::runtime_error where the digest's key can't be read.
     Recorder(Scheduler& scheduler, Back& back, Placement& placement, WriterLink& link, const Options& options,
-             const std::vector<loftfront::RequestClass>& classes, Counters& counters);
+             const std::vector<decision::RequestClass>& classes, Counters& counters);
     ~Recorder() override;
 
     /// Answers an open request at once: `refused`, or failed where something of it may have run.
-    void on_give_up(std::function<void(const loftfront::RequestId&, bool refused)> give_up) {
+    void on_give_up(std::function<void(const decision::RequestId&, bool refused)> give_up) {
         give_up_ = std::move(give_up);
     }
 
     /// The first attempt of a request is on its way: it is held no more.
-    void on_release(std::function<void(const loftfront::RequestId&)> release) {
+    void on_release(std::function<void(const decision::RequestId&)> release) {
         release_ = std::move(release);
     }
 
@@ -45,10 +45,10 @@
     void remove(EndpointId id) override;
     void name(EndpointId id, const std::string& uid) override;
 
-    bool admits(const loftfront::Request& request) override;
-    bool holds(const loftfront::Request& request) override;
-    std::function<void()> completed(const loftfront::RequestId& id, Answer::Kind kind) override;
-    void left(const loftfront::RequestId& id) override;
+    bool admits(const decision::Request& request) override;
+    bool holds(const decision::Request& request) override;
+    std::function<void()> completed(const decision::RequestId& id, Answer::Kind kind) override;
+    void left(const decision::RequestId& id) override;
 
   private:
     class Held;
@@ -69,19 +69,19 @@
     };
 
     const ClassOptions& of(std::uint32_t class_index) const;
-    Call& call_of(const loftfront::RequestId& id);
+    Call& call_of(const decision::RequestId& id);
     bool tell(std::uint64_t serial, bool urgent, decltype(Record::what) what);
     bool intend(Call& call, const Message& message, EndpointId id, std::uint32_t attempt, bool urgent);
     Handle pass_on(EndpointId id, const std::shared_ptr<const Message>& message, Time end, Done done,
                    std::uint32_t attempt);
-    void ended(const loftfront::RequestId& id, std::uint32_t attempt, Ending ending);
+    void ended(const decision::RequestId& id, std::uint32_t attempt, Ending ending);
     void written(const Message& message, EndpointId endpoint);
     void tell_written();
-    void withhold(const loftfront::RequestId& id);
+    void withhold(const decision::RequestId& id);
     void went_unkept();
     void journal_changed();
     void close_gap();
-    void forget_if_over(const loftfront::RequestId& id);
+    void forget_if_over(const decision::RequestId& id);
 
     Scheduler& scheduler_;
     Back& back_;
@@ -91,14 +91,14 @@
     std::vector<ClassOptions> classes_;
     std::vector<std::string> class_names_;
     std::unique_ptr<Digest> digest_;
-    std::function<void(const loftfront::RequestId&, bool)> give_up_;
-    std::function<void(const loftfront::RequestId&)> release_;
+    std::function<void(const decision::RequestId&, bool)> give_up_;
+    std::function<void(const decision::RequestId&)> release_;
     std::unordered_map<EndpointId, Node> nodes_;  // as many as discovery lists
-    std::unordered_map<loftfront::RequestId, Call> calls_;
+    std::unordered_map<decision::RequestId, Call> calls_;
     std::uint64_t serial_ = 0;
     std::deque<std::pair<std::uint64_t, std::shared_ptr<Held>>> held_;  // by sequence
     struct WrittenAt {
-        loftfront::RequestId id;
+        decision::RequestId id;
         std::uint32_t attempt = 0;
         std::int64_t wall_ms = 0;
     };
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -122,7 +122,7 @@
               loop_, engine_, front_dialect_, half_, [this] { return knows_enough(); }, counters_),
           late_(loop_) {
         engine_.on_subscribe([this] { discovery_.subscribe(); });
-        engine_.on_ended([this](EndpointId id, loftfront::Status status) { discovery_.saw(id, status); });
+        engine_.on_ended([this](EndpointId id, decision::Status status) { discovery_.saw(id, status); });
         if (keeper_) {
             keeper_->on_guide([this](const std::string& uid, const replica::Guide& guide) {
                 Membership::Guide to{guide.away, guide.weight, {}};
@@ -147,9 +147,9 @@
         if (telemetry_) engine_.observed_by(&telemetry_->collector);
         if (!journal_) return;
         engine_.watched_by(&journal_->recorder);
-        journal_->recorder.on_release([this](const loftfront::RequestId& id) { engine_.released(id); });
+        journal_->recorder.on_release([this](const decision::RequestId& id) { engine_.released(id); });
         journal_->recorder.on_give_up(
-            [this](const loftfront::RequestId& id, bool refused) { engine_.give_up(id, refused); });
+            [this](const decision::RequestId& id, bool refused) { engine_.give_up(id, refused); });
     }
 
     int run() {
--- a/src/membership/membership.cpp
+++ b/src/membership/membership.cpp
@@ -5,9 +5,9 @@
 
 namespace martenford {
 
-using loftfront::Availability;
-using loftfront::Discovered;
-using loftfront::EndpointList;
+using decision::Availability;
+using decision::Discovered;
+using decision::EndpointList;
 
 namespace {
 constexpr Duration kRest = 60s;  // longer than any attempt that may still bear the id
@@ -112,7 +112,7 @@
 
 /// `uid` is a key of known_: it stays until the next list.
 void Membership::place(const std::string& uid, const Known& known, EndpointList& news, Update& update) {
-    const loftfront::Endpoint endpoint = effective(uid, known);
+    const decision::Endpoint endpoint = effective(uid, known);
     news.push_back(endpoint);
     update.placed.push_back({known.id, known.address, endpoint.availability == Availability::Ready, &uid});
 }
@@ -123,8 +123,8 @@
            guide.drains->revision > *revision_;
 }
 
-loftfront::Endpoint Membership::effective(const std::string& uid, const Known& known) {
-    loftfront::Endpoint endpoint = known.endpoint;
+decision::Endpoint Membership::effective(const std::string& uid, const Known& known) {
+    decision::Endpoint endpoint = known.endpoint;
     if (guides_.empty()) return endpoint;
     const auto it = guides_.find(uid);
     const bool hint = it != guides_.end() && hint_counts(known, it->second);
@@ -147,7 +147,7 @@
     Update update;
     update.news.kind = Discovered::Kind::Failed;
     const auto known = known_.find(uid);
-    std::optional<loftfront::Endpoint> before;
+    std::optional<decision::Endpoint> before;
     if (known != known_.end()) before = effective(uid, known->second);
     if (guide == Guide{}) {
         guides_.erase(uid);
@@ -156,7 +156,7 @@
         guides_[uid] = guide;
     }
     if (!before) return update;
-    const loftfront::Endpoint after = effective(uid, known->second);
+    const decision::Endpoint after = effective(uid, known->second);
     if (after.availability == before->availability && after.weight == before->weight) return update;
     auto news = std::make_shared<EndpointList>();
     place(known->first, known->second, *news, update);
@@ -174,7 +174,7 @@
         update.drained.push_back({uid, it->second.boot_ms});
     }
     hinted_.erase(uid);
-    loftfront::Endpoint gone = it->second.endpoint;
+    decision::Endpoint gone = it->second.endpoint;
     gone.availability = Availability::Gone;
     gone.started.reset();
     news.push_back(gone);
--- a/src/membership/membership.h
+++ b/src/membership/membership.h
@@ -72,7 +72,7 @@
     };
     /// What follows from a list.
     struct Update {
-        loftfront::Discovered news;       ///< for the module; of kind Failed there is none
+        decision::Discovered news;        ///< for the module; of kind Failed there is none
         std::vector<EndpointId> removed;  ///< for the back, before `placed`
         std::vector<Placed> placed;
         bool ask_whole = false;  ///< the whole list is wanted, at once
@@ -117,7 +117,7 @@
   private:
     struct Known {
         EndpointId id{};
-        loftfront::Endpoint endpoint;
+        decision::Endpoint endpoint;
         Address address;
         std::int64_t boot_ms = 0;
     };
@@ -125,12 +125,12 @@
         EndpointId id{};
         Time until{};
     };
-    using List = loftfront::EndpointList;
+    using List = decision::EndpointList;
     void enter(const Target& target, Time now, Time epoch, List& news, Update& update);
     void remove(const std::string& uid, Time now, List& news, Update& update);
     bool doubts(std::size_t going) const;
     bool hint_counts(const Known& known, const Guide& guide) const;
-    loftfront::Endpoint effective(const std::string& uid, const Known& known);
+    decision::Endpoint effective(const std::string& uid, const Known& known);
     void place(const std::string& uid, const Known& known, List& news, Update& update);
     EndpointId new_id(const std::string& uid);
     void free_rested(Time now);
--- a/src/membership/staleness.cpp
+++ b/src/membership/staleness.cpp
@@ -4,7 +4,7 @@
 
 namespace martenford {
 
-using namespace loftfront;
+using namespace martenford::decision;
 
 namespace {
 
--- a/src/membership/staleness.h
+++ b/src/membership/staleness.h
@@ -7,7 +7,7 @@
 #include <unordered_map>
 
 #include "core/scheduler.h"
-#include "loftfront/balancer.h"
+#include "martenford/decision/balancer.h"
 
 namespace martenford {
 
@@ -20,7 +20,7 @@
 
     /// How an attempt at a listed endpoint ended. True: discovery is worth asking again, not before `told`
     /// has been silent for a while and no oftener than every 2 s to 16 s.
-    bool ended(loftfront::EndpointId id, loftfront::Status status, Time now);
+    bool ended(decision::EndpointId id, decision::Status status, Time now);
     /// Discovery has answered; `changed`: with news.
     void told(bool changed, Time now);
 
@@ -42,7 +42,7 @@
     Time told_at_{}, asked_at_{};
     bool asked_ = false;
     std::uint64_t served_ = 0, turned_away_ = 0;  // by all
-    std::unordered_map<loftfront::EndpointId, Run> runs_;
+    std::unordered_map<decision::EndpointId, Run> runs_;
 };
 
 }  // namespace martenford
--- a/src/membership/target.h
+++ b/src/membership/target.h
@@ -13,8 +13,8 @@
 struct Target {
     std::string uid;
     Address address;
-    loftfront::Endpoint endpoint;  ///< its id and start are left to the membership
-    std::int64_t boot_ms = 0;      ///< Unix time; 0: long ago
+    decision::Endpoint endpoint;  ///< its id and start are left to the membership
+    std::int64_t boot_ms = 0;     ///< Unix time; 0: long ago
 };
 
 struct TargetList {
--- a/src/outbound/outbound_policy.cpp
+++ b/src/outbound/outbound_policy.cpp
@@ -4,7 +4,7 @@
 
 namespace martenford::outbound {
 
-using namespace loftfront;
+using namespace martenford::decision;
 
 namespace {
 constexpr Duration kShunUnreached = 500ms;                           // a gate that could not be reached
@@ -102,7 +102,7 @@
 
 /// A second attempt beside one that is doubted. Guards against breaking off work that its endpoint is at: a
 /// proxy that is silent to the core, or told as another life, may be busy all the same.
-void OutboundPolicy::on(const loftfront::Discovered&) {
+void OutboundPolicy::on(const decision::Discovered&) {
     std::vector<RequestId> lonely, anew;
     for (const auto& [request, call] : calls_) {
         if (call.open && call.held_until && call.plan_renewed) anew.push_back(request);
@@ -126,7 +126,7 @@
     }
 }
 
-void OutboundPolicy::handle(Time now, const loftfront::Event& event, std::vector<Action>& out) {
+void OutboundPolicy::handle(Time now, const decision::Event& event, std::vector<Action>& out) {
     now_ = now;
     actions_ = &out;
     std::visit([this](const auto& e) { on(e); }, event);
@@ -225,7 +225,7 @@
     const auto upstream = upstreams_.find(attempt.to);
     if (upstream != upstreams_.end()) --upstream->second.in_flight;
     const bool never_ran = outcome.status == Status::Full || outcome.status == Status::ConnectFailed ||
-                           outcome.status == Status::Moot;
+                           outcome.status == Status::NotSent;
     const auto asked = attempt.queries_attempt;
     attempt.may_have_run = !never_ran && !asked;
     if (attempt.may_have_run) ++call.runs;
@@ -319,7 +319,7 @@
     forget_if_over(id);
 }
 
-void OutboundPolicy::on(const Lapsed& lapsed) {
+void OutboundPolicy::on(const DeadlineExpired& lapsed) {
     const auto known = calls_.find(lapsed.id);
     if (known == calls_.end()) return;
     Call& call = known->second;
--- a/src/outbound/outbound_policy.h
+++ b/src/outbound/outbound_policy.h
@@ -20,11 +20,11 @@
 
 namespace martenford::outbound {
 
-using loftfront::Duration;
-using loftfront::EndpointId;
-using loftfront::RequestId;
-using loftfront::Status;
-using loftfront::Time;
+using decision::Duration;
+using decision::EndpointId;
+using decision::RequestId;
+using decision::Status;
+using decision::Time;
 
 /// What a request's route says, told before the engine takes it.
 struct RequestPlan {
@@ -81,8 +81,8 @@
     const RequestPlan* plan(const RequestId& id) const;
     bool any_ready() const;
 
-    void start(Time, std::vector<loftfront::Action>&) override {}
-    void handle(Time now, const loftfront::Event& event, std::vector<loftfront::Action>& out) override;
+    void start(Time, std::vector<decision::Action>&) override {}
+    void handle(Time now, const decision::Event& event, std::vector<decision::Action>& out) override;
     /// A gate is gone or silent: what is out there and may be repeated is to go elsewhere as well, at the
     /// next Discovered. It is not broken off: it may be at work, and where nothing else serves it, it is
     /// waited for.
@@ -107,25 +107,25 @@
         std::optional<std::size_t> queries_attempt{};  // another: whether that one was ever handed on
     };
     struct Call {
-        loftfront::Request request;
+        decision::Request request;
         RequestPlan plan;
         std::vector<Attempt> attempts;
         std::vector<EndpointId> rejected_by;  // by whom since the last attempt that ran
         std::int64_t runs = 0;                // attempts that may have run
         std::size_t offers = 0;               // in this round
         AdmissionMode mode = AdmissionMode::IfSlotFree;
-        loftfront::Backoff backoff;
+        decision::Backoff backoff;
         bool open = true;
         bool outdated = false, plan_renewed = false;
         std::optional<Time> held_until;
         std::uint64_t number = 0;
     };
 
-    void on(const loftfront::Request& request);
-    void on(const loftfront::Outcome& outcome);
-    void on(const loftfront::Lapsed& lapsed);
-    void on(const loftfront::TimerFired& timer);
-    void on(const loftfront::Discovered& news);
+    void on(const decision::Request& request);
+    void on(const decision::Outcome& outcome);
+    void on(const decision::DeadlineExpired& lapsed);
+    void on(const decision::TimerFired& timer);
+    void on(const decision::Discovered& news);
     template <class T>
     void on(const T&) {}
     void try_send(Call& call);
@@ -140,10 +140,10 @@
     bool was_tried(const Call& call, EndpointId id) const;
 
     Options options_;
-    loftfront::Random random_;
+    decision::Random random_;
     std::map<EndpointId, UpstreamState> upstreams_;
     std::unordered_map<std::string, std::vector<EndpointId>> by_service_;
-    std::unordered_map<std::string, loftfront::RetryBudget> retry_budgets_;
+    std::unordered_map<std::string, decision::RetryBudget> retry_budgets_;
     std::unordered_map<RequestId, RequestPlan> prepared_plans_;
     std::unordered_map<RequestId, Call> calls_;
     std::unordered_map<std::uint64_t, RequestId> ids_by_number_;
@@ -151,7 +151,7 @@
     std::vector<EndpointId> withdrawn_upstreams_;
     bool draining_ = false;
     Time now_{};
-    std::vector<loftfront::Action>* actions_ = nullptr;
+    std::vector<decision::Action>* actions_ = nullptr;
 };
 
 }  // namespace martenford::outbound
--- a/src/outlier/outlier_policy.cpp
+++ b/src/outlier/outlier_policy.cpp
@@ -7,7 +7,7 @@
 
 namespace martenford::outlier {
 
-using namespace loftfront;
+using namespace martenford::decision;
 using namespace std::chrono_literals;
 
 namespace {
--- a/src/outlier/outlier_policy.h
+++ b/src/outlier/outlier_policy.h
@@ -17,11 +17,11 @@
 namespace martenford::outlier {
 
 struct Options {
-    std::uint32_t failures = 3;        ///< that eject an endpoint; a served call takes one off
-    loftfront::Duration apart{};       ///< failures closer than this count once; 0: 10 s
-    loftfront::Duration eject_for{};   ///< the first time, then twice as long each time; 0: 60 s
-    loftfront::Duration eject_most{};  ///< 0: 10 min
-    double most_share = 1.0 / 3.0;     ///< of the ready endpoints that may be out at once
+    std::uint32_t failures = 3;       ///< that eject an endpoint; a served call takes one off
+    decision::Duration apart{};       ///< failures closer than this count once; 0: 10 s
+    decision::Duration eject_for{};   ///< the first time, then twice as long each time; 0: 60 s
+    decision::Duration eject_most{};  ///< 0: 10 min
+    double most_share = 1.0 / 3.0;    ///< of the ready endpoints that may be out at once
 };
 
 /// The module is told an ejected endpoint as draining, so that what is out there goes on and nothing new
@@ -31,45 +31,43 @@
   public:
     OutlierPolicy(std::unique_ptr<Policy> module, const Options& options, Counters& counters);
 
-    void start(loftfront::Time now, std::vector<loftfront::Action>& out) override {
-        module_->start(now, out);
-    }
-    void handle(loftfront::Time now, const loftfront::Event& event,
-                std::vector<loftfront::Action>& out) override;
+    void start(decision::Time now, std::vector<decision::Action>& out) override { module_->start(now, out); }
+    void handle(decision::Time now, const decision::Event& event,
+                std::vector<decision::Action>& out) override;
 
     /// Others have ejected it: it is on its last failure here, and each call that it serves takes one off.
     /// What they say alone ejects nothing.
-    void warn(loftfront::EndpointId id);
+    void warn(decision::EndpointId id);
     /// Called with an endpoint that was ejected here, and its failures.
-    void on_ejected(std::function<void(loftfront::EndpointId, std::uint32_t)> call) {
+    void on_ejected(std::function<void(decision::EndpointId, std::uint32_t)> call) {
         on_ejected_ = std::move(call);
     }
-    bool ejected(loftfront::EndpointId id) const;
+    bool ejected(decision::EndpointId id) const;
     std::size_t ejected_now() const { return ejected_; }
 
   private:
     struct Record {
-        loftfront::Endpoint told;
+        decision::Endpoint told;
         std::uint32_t count = 0;  // failures, less what was served
         std::uint32_t times = 0;  // ejected, less what was served since
-        loftfront::Time counted{};
+        decision::Time counted{};
         bool heard = false;
         bool out = false;
-        loftfront::Time until{};
+        decision::Time until{};
     };
-    loftfront::Discovered take_in(const loftfront::Discovered& news);
-    loftfront::Endpoint seen(Record& record, const loftfront::Endpoint& told);
-    void judge(loftfront::Time now, const loftfront::Outcome& outcome, std::vector<loftfront::Action>& out);
-    void readmit(loftfront::Time now, std::vector<loftfront::Action>& out);
-    void tell(loftfront::Time now, const loftfront::Endpoint& endpoint, std::vector<loftfront::Action>& out);
+    decision::Discovered take_in(const decision::Discovered& news);
+    decision::Endpoint seen(Record& record, const decision::Endpoint& told);
+    void judge(decision::Time now, const decision::Outcome& outcome, std::vector<decision::Action>& out);
+    void readmit(decision::Time now, std::vector<decision::Action>& out);
+    void tell(decision::Time now, const decision::Endpoint& endpoint, std::vector<decision::Action>& out);
 
     std::unique_ptr<Policy> module_;
     Options options_;
-    std::unordered_map<loftfront::EndpointId, Record> records_;
+    std::unordered_map<decision::EndpointId, Record> records_;
     std::size_t ready_ = 0, ejected_ = 0;
-    using Due = std::pair<loftfront::Time, loftfront::EndpointId>;
+    using Due = std::pair<decision::Time, decision::EndpointId>;
     std::priority_queue<Due, std::vector<Due>, std::greater<>> due_;  // what is no longer out is passed over
-    std::function<void(loftfront::EndpointId, std::uint32_t)> on_ejected_;
+    std::function<void(decision::EndpointId, std::uint32_t)> on_ejected_;
     Counter &ejections_, &readmissions_, &spared_, &warnings_;
 };
 
--- a/src/policy/budget.h
+++ b/src/policy/budget.h
@@ -5,10 +5,10 @@
 #include <algorithm>
 #include <optional>
 
-#include "loftfront/balancer.h"
+#include "martenford/decision/balancer.h"
 #include "policy/mechanics.h"
 
-namespace loftfront {
+namespace martenford::decision {
 
 constexpr double kBucketCapacity = 100.0;  // tokens; the source's figure
 constexpr double kRetryCost = 10.0;        // tokens a retry; retries add at most a tenth (the source's)
@@ -39,7 +39,7 @@
         : told_(told), taken_(told ? told->look_back : Duration{}), further_(taken_) {}
     void took(Time now) { taken_.add(now); }
     void sent(Time now) { further_.add(now); }
-    void moot(Time sent) { further_.remove(sent); }  // it turned out never to have been sent
+    void not_sent(Time sent) { further_.remove(sent); }  // it turned out never to have been sent
     bool allows(Time now) {
         if (!told_) return true;
         return further_.count(now, true) + 1.0 <= told_->floor + told_->ratio * taken_.count(now, false);
@@ -50,4 +50,4 @@
     Window taken_, further_;
 };
 
-}  // namespace loftfront
+}  // namespace martenford::decision
--- a/src/policy/logic.cpp
+++ b/src/policy/logic.cpp
@@ -1,4 +1,4 @@
-// Every decision of loftfront. The interface is include/loftfront/balancer.h.
+// Every decision of the library. The interface is include/martenford/decision/balancer.h.
 //
 // The ordinary path follows "Retries Done Right": served calls earn tokens that retries spend, retries wait
 // by decorrelated jitter and end at the deadline; a pick takes the less loaded of two random ready servers
@@ -13,13 +13,13 @@
 #include <unordered_map>
 #include <utility>
 
-#include "loftfront/balancer.h"
+#include "martenford/decision/balancer.h"
 #include "policy/budget.h"
 #include "policy/mechanics.h"
 #include "policy/ring.h"
 #include "policy/waits.h"
 
-namespace loftfront {
+namespace martenford::decision {
 namespace {
 
 using namespace std::chrono_literals;
@@ -180,7 +180,7 @@
 };
 
 bool proves_never_ran(Status s) {
-    return s == Status::Full || s == Status::ConnectFailed || s == Status::Moot;
+    return s == Status::Full || s == Status::ConnectFailed || s == Status::NotSent;
 }
 
 bool may_still_run(Status s) {
@@ -717,7 +717,7 @@
         // Nothing went out, or it was turned away: by a moment's crowd of few places, a full table of
         // connections or a drain that is not listed yet. Guards against a fleet that takes chance meetings
         // at servers with one place for bad servers and for a queue, and refuses good work for it.
-        if (outcome.status == Status::Moot || outcome.status == Status::Full) return;
+        if (outcome.status == Status::NotSent || outcome.status == Status::Full) return;
         bool waits = true;
         if (const auto server = servers.find(outcome.endpoint); server != servers.end()) {
             const bool in_time = now - sent <= patience(index);
@@ -882,7 +882,7 @@
         attempt.out = false;
         if (!call.request.arriving) --total_in_flight;
         attempt.may_have_run = !proves_never_ran(outcome.status);
-        if (outcome.status == Status::Moot && outcome.attempt > 0) ration.moot(attempt.sent);
+        if (outcome.status == Status::NotSent && outcome.attempt > 0) ration.not_sent(attempt.sent);
         if (may_still_run(outcome.status)) call.rest_until = now + settings.rules.turn_gap;
         if (const auto server = servers.find(attempt.to.id); server != servers.end()) {
             const bool answered = outcome.status == Status::Ok || outcome.status == Status::Error;
@@ -960,7 +960,7 @@
         forget_if_over(number);
     }
 
-    void on(const Lapsed& lapsed) {
+    void on(const DeadlineExpired& lapsed) {
         const auto known = numbers.find(lapsed.id);
         if (known == numbers.end()) return;
         Call& call = calls.at(known->second);
@@ -1012,4 +1012,4 @@
     impl_->finish_event();
 }
 
-}  // namespace loftfront
+}  // namespace martenford::decision
--- a/src/policy/mechanics.h
+++ b/src/policy/mechanics.h
@@ -4,9 +4,9 @@
 #include <algorithm>
 #include <deque>
 
-#include "loftfront/balancer.h"
+#include "martenford/decision/balancer.h"
 
-namespace loftfront {
+namespace martenford::decision {
 
 /// splitmix64: small, fast, and the same on every machine.
 class Random {
@@ -60,4 +60,4 @@
     std::deque<Time> times_;
 };
 
-}  // namespace loftfront
+}  // namespace martenford::decision
--- a/src/policy/ring.h
+++ b/src/policy/ring.h
@@ -7,9 +7,9 @@
 #include <utility>
 #include <vector>
 
-#include "loftfront/balancer.h"
+#include "martenford/decision/balancer.h"
 
-namespace loftfront {
+namespace martenford::decision {
 
 /// In the order of a key and, where keys are alike, of the id. A change costs one move of memory: some
 /// microseconds at 10,000 places; a rank costs a search by halves.
@@ -51,4 +51,4 @@
     std::vector<Place> places_;
 };
 
-}  // namespace loftfront
+}  // namespace martenford::decision
--- a/src/policy/settings.cpp
+++ b/src/policy/settings.cpp
@@ -2,13 +2,13 @@
 #include <cmath>
 #include <stdexcept>
 
-#include "loftfront/balancer.h"
+#include "martenford/decision/balancer.h"
 
-namespace loftfront {
+namespace martenford::decision {
 namespace {
 
 void require(bool holds, const std::string& field, const char* rule) {
-    if (!holds) throw std::invalid_argument("loftfront: settings field '" + field + "' " + rule);
+    if (!holds) throw std::invalid_argument("decision library: settings field '" + field + "' " + rule);
 }
 void span(Duration value, const std::string& field) {
     require(value >= Duration{}, field, "is a negative span");
@@ -70,4 +70,4 @@
     }
 }
 
-}  // namespace loftfront
+}  // namespace martenford::decision
--- a/src/policy/waits.h
+++ b/src/policy/waits.h
@@ -3,10 +3,10 @@
 
 #include <algorithm>
 
-#include "loftfront/balancer.h"
+#include "martenford/decision/balancer.h"
 #include "policy/mechanics.h"
 
-namespace loftfront {
+namespace martenford::decision {
 
 using namespace std::chrono_literals;
 
@@ -33,4 +33,4 @@
     return deadline - now - kDeadlineBuffer;
 }
 
-}  // namespace loftfront
+}  // namespace martenford::decision
--- a/src/proxy/protocols.cpp
+++ b/src/proxy/protocols.cpp
@@ -7,7 +7,7 @@
 
 namespace martenford::proxy {
 
-using namespace loftfront;
+using namespace martenford::decision;
 
 namespace {
 
--- a/src/proxy/protocols.h
+++ b/src/proxy/protocols.h
@@ -45,8 +45,8 @@
 
     const FrontLimits& limits() const override { return limits_; }
     DrainTimes drain_times() const override;
-    std::variant<loftfront::Request, TurnAway> read(Fields& head, Time arrived) override;
-    void write(const Answer& answer, const loftfront::RequestId& id, http::response_header<>& head) override;
+    std::variant<decision::Request, TurnAway> read(Fields& head, Time arrived) override;
+    void write(const Answer& answer, const decision::RequestId& id, http::response_header<>& head) override;
 
   private:
     /// Of a request that waits for a version.
@@ -83,8 +83,8 @@
     void prepare(http::request_header<>& head, const HttpMessage& message, EndpointId to, Time end) override;
     bool carries_body(const HttpMessage& message) const override;
     void prepare_probe(http::request_header<>&) override {}
-    std::optional<loftfront::Status> classify(const http::response_header<>& head, const HttpMessage* message,
-                                              EndpointId from) override;
+    std::optional<decision::Status> classify(const http::response_header<>& head, const HttpMessage* message,
+                                             EndpointId from) override;
     bool passes_heads() const override { return true; }
     bool ends_by_close() const override { return false; }
 
@@ -114,8 +114,8 @@
     }
     const FrontLimits& limits() const override { return limits_; }
     DrainTimes drain_times() const override;
-    std::variant<loftfront::Request, TurnAway> read(Fields& head, Time arrived) override;
-    void write(const Answer& answer, const loftfront::RequestId& id, http::response_header<>& head) override;
+    std::variant<decision::Request, TurnAway> read(Fields& head, Time arrived) override;
+    void write(const Answer& answer, const decision::RequestId& id, http::response_header<>& head) override;
 
   private:
     const bootstrap::Settings& settings_;
@@ -136,8 +136,8 @@
     void set_health_path(const std::string& path) { health_path_ = path; }
     void prepare(http::request_header<>& head, const HttpMessage& message, EndpointId to, Time end) override;
     void prepare_probe(http::request_header<>& head) override;
-    std::optional<loftfront::Status> classify(const http::response_header<>& head, const HttpMessage* message,
-                                              EndpointId from) override;
+    std::optional<decision::Status> classify(const http::response_header<>& head, const HttpMessage* message,
+                                             EndpointId from) override;
     bool passes_heads() const override { return true; }
     bool ends_by_close() const override { return false; }
 
--- a/src/proxy/proxy.cpp
+++ b/src/proxy/proxy.cpp
@@ -59,8 +59,8 @@
 class Shared : public Policy {
   public:
     explicit Shared(P& policy) : policy_(policy) {}
-    void start(Time now, std::vector<loftfront::Action>& out) override { policy_.start(now, out); }
-    void handle(Time now, const loftfront::Event& event, std::vector<loftfront::Action>& out) override {
+    void start(Time now, std::vector<decision::Action>& out) override { policy_.start(now, out); }
+    void handle(Time now, const decision::Event& event, std::vector<decision::Action>& out) override {
         policy_.handle(now, event, out);
     }
 
@@ -68,8 +68,8 @@
     P& policy_;
 };
 
-loftfront::Limits limits_of(Duration connect, Duration idle) {
-    loftfront::Limits limits;
+decision::Limits limits_of(Duration connect, Duration idle) {
+    decision::Limits limits;
     limits.may_cancel = true;
     limits.max_attempts = 1000;  // the policies count by themselves
     limits.connect_timeout = connect;
@@ -133,11 +133,11 @@
         gate_front_.listen(*settings.inbound);
         control_.listen(*settings.control);
         readiness_.listen(*settings.readiness);
-        gate_engine_.on_ended([this](EndpointId, loftfront::Status status) {
+        gate_engine_.on_ended([this](EndpointId, decision::Status status) {
             // Nobody listens there: it is gone, whatever its last beat said.
-            if (status == loftfront::Status::ConnectFailed && ++unreached_ >= 2)
+            if (status == decision::Status::ConnectFailed && ++unreached_ >= 2)
                 loop_.add(loop_.now(), [this] { gone("not reached"); });
-            if (status == loftfront::Status::Ok) unreached_ = 0;
+            if (status == decision::Status::Ok) unreached_ = 0;
         });
         for (const Address& seed : settings.seeds)
             dial(seed.address().to_string() + ":" + std::to_string(settings.first_port));
@@ -358,7 +358,7 @@
         to_endpoint_.place(id, *settings_.app, true);
         to_endpoint_.probe(id, [this, id](Result&& result) {
             const auto* head = dynamic_cast<const HttpAnswerHead*>(result.head.get());
-            if (result.status == loftfront::Status::Ok && head && registration_.instance_id.empty() &&
+            if (result.status == decision::Status::Ok && head && registration_.instance_id.empty() &&
                 last_seq_ < 0) {
                 const auto instance = head->fields["Instance-Id"];
                 registration_.instance_id = std::string(instance.data(), instance.size());
--- a/src/subset/subset.cpp
+++ b/src/subset/subset.cpp
@@ -12,8 +12,8 @@
 
 namespace martenford::subset {
 
-using loftfront::EndpointId;
-using loftfront::Random;
+using decision::EndpointId;
+using decision::Random;
 
 namespace {
 
--- a/src/subset/subset.h
+++ b/src/subset/subset.h
@@ -8,7 +8,7 @@
 #include <string_view>
 #include <vector>
 
-#include "loftfront/balancer.h"
+#include "martenford/decision/balancer.h"
 
 namespace martenford::subset {
 
@@ -34,7 +34,7 @@
 
 /// The chosen ones as indices into `members`, which are in rising order without repeats; the result rises
 /// too. O(n log n). Throws std::invalid_argument where replicas or width is 0.
-std::vector<std::size_t> choose(Method method, const std::vector<loftfront::EndpointId>& members,
+std::vector<std::size_t> choose(Method method, const std::vector<decision::EndpointId>& members,
                                 const Place& place);
 
 }  // namespace martenford::subset
--- a/src/subset/subset_policy.cpp
+++ b/src/subset/subset_policy.cpp
@@ -7,7 +7,7 @@
 
 namespace martenford::subset {
 
-using namespace loftfront;
+using namespace martenford::decision;
 using namespace std::chrono_literals;
 
 namespace {
@@ -97,7 +97,7 @@
                 ++good_;
                 break;
             case Status::Cancelled:  // the module's own doing
-            case Status::Moot:       // nothing went out
+            case Status::NotSent:    // nothing went out
                 break;
             default:
                 ++bad_;
--- a/src/subset/subset_policy.h
+++ b/src/subset/subset_policy.h
@@ -29,21 +29,21 @@
 class SubsetPolicy : public Policy {
   public:
     /// `settings` are the sidecar's own; the module behind must have been given those of alone().
-    SubsetPolicy(std::unique_ptr<Policy> module, const loftfront::Settings& settings, const Options& options,
+    SubsetPolicy(std::unique_ptr<Policy> module, const decision::Settings& settings, const Options& options,
                  Counters& counters);
     /// The same settings for a module that is to use all that it is shown.
-    static loftfront::Settings alone(loftfront::Settings settings);
+    static decision::Settings alone(decision::Settings settings);
 
-    void start(loftfront::Time now, std::vector<loftfront::Action>& out) override;
-    void handle(loftfront::Time now, const loftfront::Event& event,
-                std::vector<loftfront::Action>& out) override;
+    void start(decision::Time now, std::vector<decision::Action>& out) override;
+    void handle(decision::Time now, const decision::Event& event,
+                std::vector<decision::Action>& out) override;
 
     std::size_t width() const { return width_; }
     /// Those that the module may send to, in rising order.
-    std::vector<loftfront::EndpointId> used() const;
+    std::vector<decision::EndpointId> used() const;
 
   private:
-    using Id = loftfront::EndpointId;
+    using Id = decision::EndpointId;
     /// Ready endpoints of a zone, or of all others, in the order of a hash: the same at every sidecar.
     class Order {
       public:
@@ -59,21 +59,21 @@
         // them fit into the nearest cache.
         std::vector<Id> places_;
     };
-    Order& order_of(const loftfront::Endpoint& e) { return e.zone == zone_ ? near_ : far_; }
-    loftfront::Discovered take_in(const loftfront::Discovered& news, std::vector<loftfront::Action>& out);
+    Order& order_of(const decision::Endpoint& e) { return e.zone == zone_ ? near_ : far_; }
+    decision::Discovered take_in(const decision::Discovered& news, std::vector<decision::Action>& out);
     void choose();
-    void shift(loftfront::EndpointList& news, std::vector<loftfront::Action>& out);
-    void look_back(loftfront::Time now, std::vector<loftfront::Action>& out);
+    void shift(decision::EndpointList& news, std::vector<decision::Action>& out);
+    void look_back(decision::Time now, std::vector<decision::Action>& out);
 
     std::unique_ptr<Policy> module_;
     std::uint32_t position_, replicas_, zone_, zones_;
     Options options_;
     std::size_t width_;
-    std::unordered_map<Id, loftfront::Endpoint> members_;  // all that are listed
+    std::unordered_map<Id, decision::Endpoint> members_;  // all that are listed
     Order near_, far_;
-    std::vector<Id> chosen_;                             // rising
-    std::unordered_map<Id, loftfront::Endpoint> shown_;  // as the module knows them
-    loftfront::Time period_end_{}, calm_since_{};
+    std::vector<Id> chosen_;                            // rising
+    std::unordered_map<Id, decision::Endpoint> shown_;  // as the module knows them
+    decision::Time period_end_{}, calm_since_{};
     std::size_t good_ = 0, bad_ = 0, out_now_ = 0, out_most_ = 0;
     Counter &grown_, &shrunk_, &moved_;
 };
--- a/src/telemetry/collector.cpp
+++ b/src/telemetry/collector.cpp
@@ -10,8 +10,8 @@
 
 namespace martenford::telemetry {
 
-using loftfront::RequestId;
-using loftfront::Status;
+using decision::RequestId;
+using decision::Status;
 
 namespace {
 
@@ -35,7 +35,7 @@
             return "reset";
         case Status::Cancelled:
             return "cancelled";
-        case Status::Moot:
+        case Status::NotSent:
             return "never-sent";
     }
     return "unknown";
@@ -78,7 +78,7 @@
 
 }  // namespace
 
-Collector::Collector(const Scheduler& scheduler, const loftfront::Settings& settings, NamesOfNumbers names,
+Collector::Collector(const Scheduler& scheduler, const decision::Settings& settings, NamesOfNumbers names,
                      const Options& options, std::uint64_t seed, Counters& counters)
     : scheduler_(scheduler),
       settings_(settings),
@@ -107,10 +107,10 @@
     nodes_[id].uid = uid;
 }
 
-void Collector::listed(const loftfront::Discovered& news) {
+void Collector::listed(const decision::Discovered& news) {
     if (!news.endpoints) return;
-    for (const loftfront::Endpoint& each : *news.endpoints) {
-        if (each.availability == loftfront::Availability::Gone) {
+    for (const decision::Endpoint& each : *news.endpoints) {
+        if (each.availability == decision::Availability::Gone) {
             nodes_.erase(each.id);
         } else {
             Node& node = nodes_[each.id];
@@ -120,7 +120,7 @@
     }
 }
 
-void Collector::taken(const loftfront::Request& request) {
+void Collector::taken(const decision::Request& request) {
     Open& open = open_[request.id];
     open.story.id = request.id;
     open.story.klass = settings_.classes[request.class_index].name;
@@ -154,7 +154,7 @@
     step.to = scheduler_.now() - open.story.taken;
     step.outcome = name_of(status);
     --open.out;
-    if (status != Status::Moot && status != Status::Cancelled) {
+    if (status != Status::NotSent && status != Status::Cancelled) {
         const Node& where = node(open.endpoints[attempt]);
         attempts_.saw(
             scheduler_.now(),
--- a/src/telemetry/collector.h
+++ b/src/telemetry/collector.h
@@ -27,7 +27,7 @@
 class Collector : public Observer {
   public:
     /// Both references outlive it. `seed`: of the samples.
-    Collector(const Scheduler& scheduler, const loftfront::Settings& settings, NamesOfNumbers names,
+    Collector(const Scheduler& scheduler, const decision::Settings& settings, NamesOfNumbers names,
               const Options& options, std::uint64_t seed, Counters& counters);
 
     /// An endpoint's uid, as the placement hears it.
@@ -35,11 +35,11 @@
     /// It is listed no more, also where a whole list left it out without a word.
     void forget(EndpointId id) { nodes_.erase(id); }
 
-    void taken(const loftfront::Request& request) override;
-    void sent(const loftfront::RequestId& id, std::size_t attempt, EndpointId endpoint) override;
-    void ended(const loftfront::RequestId& id, std::size_t attempt, loftfront::Status status) override;
-    void completed(const loftfront::RequestId& id, Tally::End how, Why why) override;
-    void listed(const loftfront::Discovered& news) override;
+    void taken(const decision::Request& request) override;
+    void sent(const decision::RequestId& id, std::size_t attempt, EndpointId endpoint) override;
+    void ended(const decision::RequestId& id, std::size_t attempt, decision::Status status) override;
+    void completed(const decision::RequestId& id, Tally::End how, Why why) override;
+    void listed(const decision::Discovered& news) override;
 
     /// A call of an operator: `why [SECONDS]`, `story ID`, `slowest N [CLASS]`, `latencies`; nothing where it
     /// is none.
@@ -70,20 +70,20 @@
         std::size_t out = 0;
         bool over = false;
     };
-    void forget_if_over(const loftfront::RequestId& id);
+    void forget_if_over(const decision::RequestId& id);
     void keep(Open& open);
     const Node& node(EndpointId id) const;
     static std::string_view at(const std::vector<std::string>& names, std::uint32_t index);
     std::string tell(const Story& story) const;
 
     const Scheduler& scheduler_;
-    const loftfront::Settings& settings_;
+    const decision::Settings& settings_;
     NamesOfNumbers names_;
     Causes requests_, attempts_;
     TailSampler stories_;
-    std::vector<Sketch> latencies_;                        // by class, since the start
-    std::unordered_map<EndpointId, Node> nodes_;           // as many as discovery lists
-    std::unordered_map<loftfront::RequestId, Open> open_;  // as many as the engine has
+    std::vector<Sketch> latencies_;                       // by class, since the start
+    std::unordered_map<EndpointId, Node> nodes_;          // as many as discovery lists
+    std::unordered_map<decision::RequestId, Open> open_;  // as many as the engine has
     Counter &offered_, &kept_;
 };
 
--- a/src/telemetry/tail_sampler.cpp
+++ b/src/telemetry/tail_sampler.cpp
@@ -35,7 +35,7 @@
 }
 
 std::uint64_t TailSampler::draw(std::uint64_t below) {
-    loftfront::Random random(random_);
+    decision::Random random(random_);
     random_ = random.next();
     return random.below(below);
 }
--- a/tests/adapter/adapter_test.cpp
+++ b/tests/adapter/adapter_test.cpp
@@ -5,7 +5,7 @@
 
 #include "host.h"
 
-namespace loftfront::wire {
+namespace martenford::decision::wire {
 namespace {
 
 std::string settings(const std::string& discovery = "automatic") {
@@ -242,7 +242,7 @@
                   R"("discovery":"automatic","limits":{"try_limit":1},"invariants":{"answer_slack":1,)"
                   R"("cold_from":0.3,"fall_multiple":3.0,"ramp_time":5,"stop_sending_within":5,)"
                   R"("tip_after":2}}})"),
-            "round 2, message 'provision': loftfront: settings field 'replicas' is zero"},
+            "round 2, message 'provision': decision library: settings field 'replicas' is zero"},
         // A good event before the bad one must not show in the reply either.
         Malformed{"LateInTheBatch", batch(2, ingress("x") + R"(,{"t":"due","sidecar_id":0})"),
                   "round 2, message 'due': field 'label' is missing"}),
@@ -296,4 +296,4 @@
 }
 
 }  // namespace
-}  // namespace loftfront::wire
+}  // namespace martenford::decision::wire
--- a/tests/assembly/features_test.cpp
+++ b/tests/assembly/features_test.cpp
@@ -35,7 +35,7 @@
     EXPECT_EQ(all.outliers->most_share, 0.2);
     EXPECT_EQ(all.connections.most, 500u);
     EXPECT_EQ(all.connections.per_endpoint, 4u);
-    loftfront::Settings settings;
+    decision::Settings settings;
     settings.rules.drain_grace = 1s;
     const auto membership = membership_options(all, settings);
     EXPECT_EQ(membership.caution, 400ms);
--- a/tests/console/calls_test.cpp
+++ b/tests/console/calls_test.cpp
@@ -65,7 +65,7 @@
 
 TEST(Statsd, WritesEachClassAndGaugeOnceAndLeavesOthersOut) {
     Counters counters;
-    loftfront::RequestClass look, debit;
+    decision::RequestClass look, debit;
     look.name = "look";
     debit.name = "debit";
     Tally tally(counters, {look, debit});
@@ -82,7 +82,7 @@
 
 TEST(Tally, ATicketEndsOnceAndOneThatIsDroppedHasFailed) {
     Counters counters;
-    loftfront::RequestClass look;
+    decision::RequestClass look;
     look.name = "look";
     Tally tally(counters, {look});
     const auto count = [&](const char* name) { return counters.counter(name, "", "look").value(); };
--- a/tests/discovery/doubted_watch_test.cpp
+++ b/tests/discovery/doubted_watch_test.cpp
@@ -124,10 +124,10 @@
 
     /// Two refused connections with answers of another between them, as a drained endpoint's look.
     void doubt() {
-        discovery_->saw(drained(), loftfront::Status::ConnectFailed);
-        discovery_->saw(EndpointId{uid_hash("s-2")}, loftfront::Status::Ok);
+        discovery_->saw(drained(), decision::Status::ConnectFailed);
+        discovery_->saw(EndpointId{uid_hash("s-2")}, decision::Status::Ok);
         trigger_.set(Loop::monotonic() + 210ms, [this] {
-            discovery_->saw(drained(), loftfront::Status::ConnectFailed);
+            discovery_->saw(drained(), decision::Status::ConnectFailed);
             // Due before the fresh call, in the same turn: by then no socket is read any more.
             if (when_ == When::InTheTurn) trigger_.set(Loop::monotonic(), [this] { elder_speaks(); });
             std::this_thread::sleep_for(std::chrono::milliseconds(25));
--- a/tests/emulator/emulation_test.cpp
+++ b/tests/emulator/emulation_test.cpp
@@ -15,7 +15,7 @@
 namespace martenford::emulator {
 namespace {
 
-using namespace loftfront;
+using namespace martenford::decision;
 
 std::vector<std::string> shipped() {
     std::set<std::string> files;
--- a/tests/emulator/registry_test.cpp
+++ b/tests/emulator/registry_test.cpp
@@ -15,7 +15,7 @@
 namespace martenford::emulator {
 namespace {
 
-using loftfront::Availability;
+using decision::Availability;
 
 Listing entry(const std::string& uid, Availability state = Availability::Ready) {
     Listing listing;
--- a/tests/emulator/rule_checker_test.cpp
+++ b/tests/emulator/rule_checker_test.cpp
@@ -11,8 +11,8 @@
 namespace martenford::emulator {
 namespace {
 
-using loftfront::Availability;
-using loftfront::Effect;
+using decision::Availability;
+using decision::Effect;
 
 Time at(double s) {
     return Time{from_seconds(s)};
@@ -20,8 +20,8 @@
 
 constexpr std::uint32_t kSafe = 0, kKeyed = 1, kUnsafe = 2;
 
-std::vector<loftfront::RequestClass> classes() {
-    std::vector<loftfront::RequestClass> result(3);
+std::vector<decision::RequestClass> classes() {
+    std::vector<decision::RequestClass> result(3);
     result[kSafe].effect = Effect::Free;
     result[kKeyed].effect = Effect::Guarded;
     result[kKeyed].window = 6s;
--- a/tests/grpc/h2_client_test.cpp
+++ b/tests/grpc/h2_client_test.cpp
@@ -12,7 +12,7 @@
 using namespace martenford;
 using namespace martenford::grpc;
 using How = Ending::How;
-using loftfront::Status;
+using decision::Status;
 
 struct Ended : H2Client::Handler {
     std::vector<std::pair<std::int32_t, H2Answer>> all;
--- a/tests/grpc/status_test.cpp
+++ b/tests/grpc/status_test.cpp
@@ -11,7 +11,7 @@
 using namespace martenford;
 using namespace martenford::grpc;
 using How = Ending::How;
-using loftfront::Status;
+using decision::Status;
 
 struct Row {
     Ending ending;
--- a/tests/grpc/wire_test.cpp
+++ b/tests/grpc/wire_test.cpp
@@ -101,7 +101,7 @@
 }
 
 Routes read(const std::string& text) {
-    std::vector<loftfront::RequestClass> classes(2);
+    std::vector<decision::RequestClass> classes(2);
     classes[0].name = "rate-lookup";
     classes[1].name = "balance-debit";
     return with_toml(text, "own.toml", [&](const TomlReader& reader, const toml::table& root) {
--- a/tests/ledger/book_test.cpp
+++ b/tests/ledger/book_test.cpp
@@ -285,14 +285,14 @@
         if (answer != Final::None) records.push_back(record(++sequence, serial, Answered{answer}));
         book.write(boot, records);
     };
-    request(1, Ending::Served, Final::Served);   // agrees
-    request(2, Ending::Full, Final::Refused);    // agrees: not in the record
-    request(3, Ending::Reset, Final::Failed);    // possibly ran: it did
-    request(4, Ending::Timeout, Final::Failed);  // possibly ran: it did not
-    request(5, Ending::Served, Final::Served);   // ran, and is not recorded
-    request(6, Ending::Moot, Final::Refused);    // never ran, and is recorded
-    request(7, Ending::Served, Final::Served);   // twice
-    request(8, Ending::Open, Final::None);       // under way
+    request(1, Ending::Served, Final::Served);    // agrees
+    request(2, Ending::Full, Final::Refused);     // agrees: not in the record
+    request(3, Ending::Reset, Final::Failed);     // possibly ran: it did
+    request(4, Ending::Timeout, Final::Failed);   // possibly ran: it did not
+    request(5, Ending::Served, Final::Served);    // ran, and is not recorded
+    request(6, Ending::NotSent, Final::Refused);  // never ran, and is recorded
+    request(7, Ending::Served, Final::Served);    // twice
+    request(8, Ending::Open, Final::None);        // under way
     std::istringstream file(
         "uid,id\r\ns-1,r1\r\ns-1,\"r3\"\r\ns-1,r6\r\ns-1,r7\ns-2,r7\r\n\"a,\"\"b\",stranger\r\n");
     std::map<std::string, std::string> findings;
--- a/tests/ledger/golden_test.cpp
+++ b/tests/ledger/golden_test.cpp
@@ -151,7 +151,7 @@
     EXPECT_EQ(static_cast<int>(Ending::Cancelled), 5);
     EXPECT_EQ(static_cast<int>(Ending::Full), 6);
     EXPECT_EQ(static_cast<int>(Ending::ConnectFailed), 7);
-    EXPECT_EQ(static_cast<int>(Ending::Moot), 8);
+    EXPECT_EQ(static_cast<int>(Ending::NotSent), 8);
     EXPECT_EQ(static_cast<int>(Ending::Withheld), 9);
 }
 
--- a/tests/ledger/life_test.cpp
+++ b/tests/ledger/life_test.cpp
@@ -132,10 +132,10 @@
         {{first, Ended{0, Ending::Timeout}}, Effect::MayHaveRun, "attempt 0 ended: timeout"},
         {{first, Ended{0, Ending::Served}, Answered{Final::Served}}, Effect::Ran, "attempt 0 ended: served"},
         // Two that contradict each other: the worse stays.
-        {{first, Ended{0, Ending::Moot}, Ended{0, Ending::Reset}},
+        {{first, Ended{0, Ending::NotSent}, Ended{0, Ending::Reset}},
          Effect::MayHaveRun,
          "attempt 0 ended: reset"},
-        {{first, Ended{0, Ending::Reset}, Ended{0, Ending::Moot}},
+        {{first, Ended{0, Ending::Reset}, Ended{0, Ending::NotSent}},
          Effect::MayHaveRun,
          "attempt 0 ended: reset"},
     };
--- a/tests/membership/membership_test.cpp
+++ b/tests/membership/membership_test.cpp
@@ -9,8 +9,8 @@
 namespace {
 
 using namespace martenford;
-using loftfront::Availability;
-using loftfront::Discovered;
+using decision::Availability;
+using decision::Discovered;
 
 Target target(const std::string& uid, Availability state = Availability::Ready, std::int64_t boot_ms = 0) {
     Target result;
--- a/tests/membership/staleness_test.cpp
+++ b/tests/membership/staleness_test.cpp
@@ -9,7 +9,7 @@
 namespace martenford {
 namespace {
 
-using loftfront::Status;
+using decision::Status;
 
 constexpr EndpointId kGone{1}, kSound{2};
 constexpr struct {
@@ -18,7 +18,7 @@
     Status status;
 } kLetters[] = {{'c', kGone, Status::ConnectFailed}, {'t', kGone, Status::Full},
                 {'e', kGone, Status::Error},         {'o', kGone, Status::Ok},
-                {'m', kGone, Status::Moot},          {'O', kSound, Status::Ok},
+                {'m', kGone, Status::NotSent},       {'O', kSound, Status::Ok},
                 {'T', kSound, Status::Full}};
 
 /// Plays one letter each 100 ms: c, t: the first endpoint refuses the connection, turns the request away; e,
--- a/tests/mesh/admission_controller_test.cpp
+++ b/tests/mesh/admission_controller_test.cpp
@@ -6,7 +6,7 @@
 
 using namespace martenford;
 using namespace martenford::admission;
-using namespace loftfront;
+using namespace martenford::decision;
 
 namespace {
 
@@ -83,7 +83,7 @@
     CHECK(gate.said(third).empty());
     // Guards against a key that differs between going in and out: then a request that is over stays in the
     // queue.
-    gate.gate.handle(gate.now, Lapsed{third}, gate.out);
+    gate.gate.handle(gate.now, DeadlineExpired{third}, gate.out);
     gate.end(fifth, Status::Ok);
     gate.end(fourth, Status::Ok);
     CHECK(gate.said(third).empty());
--- a/tests/mesh/front_test.cpp
+++ b/tests/mesh/front_test.cpp
@@ -14,21 +14,21 @@
 struct Fixture : ServerProtocol, Desk {
     const FrontLimits& limits() const override { return limits_; }
     DrainTimes drain_times() const override { return {1ms, 1ms, 2ms, 1ms}; }
-    std::variant<loftfront::Request, TurnAway> read(Fields&, Time arrived) override {
-        loftfront::Request request;
+    std::variant<decision::Request, TurnAway> read(Fields&, Time arrived) override {
+        decision::Request request;
         request.id = "1";
         request.deadline = arrived + 10s;
         return request;
     }
-    void write(const Answer&, const loftfront::RequestId&, http::response_header<>& head) override {
+    void write(const Answer&, const decision::RequestId&, http::response_header<>& head) override {
         head.result(200);
     }
-    bool take(loftfront::Request, std::shared_ptr<const Message>, Reply reply) override {
+    bool take(decision::Request, std::shared_ptr<const Message>, Reply reply) override {
         held = std::move(reply);
         return true;
     }
-    void received(const loftfront::RequestId&, Time) override {}
-    void leave(const loftfront::RequestId&) override {}
+    void received(const decision::RequestId&, Time) override {}
+    void leave(const decision::RequestId&) override {}
 
     template <class Is>
     void until(Is is) {
--- a/tests/mesh/hop_test.cpp
+++ b/tests/mesh/hop_test.cpp
@@ -166,10 +166,10 @@
     http::response_header<> word;
     word.result(http::status::service_unavailable);
     word.set("Mesh-Refused", "5");
-    const auto classify = [&] { return world.hop_back().classify(word, &message, loftfront::EndpointId{1}); };
+    const auto classify = [&] { return world.hop_back().classify(word, &message, decision::EndpointId{1}); };
     CHECK_FALSE(classify());
     word.set("Attempt-Id", "b");
     CHECK_FALSE(classify());
     word.set("Attempt-Id", "a");
-    CHECK(classify() == loftfront::Status::Full);
+    CHECK(classify() == decision::Status::Full);
 }
--- a/tests/mesh/hop_world.h
+++ b/tests/mesh/hop_world.h
@@ -28,7 +28,7 @@
 namespace martenford::hop_world {
 
 using asio::ip::tcp;
-using Random = loftfront::Random;
+using Random = decision::Random;
 
 struct Heard {
     unsigned status = 0;
@@ -268,8 +268,8 @@
 class Lent : public Policy {
   public:
     explicit Lent(P& policy) : policy_(policy) {}
-    void start(Time now, std::vector<loftfront::Action>& out) override { policy_.start(now, out); }
-    void handle(Time now, const loftfront::Event& event, std::vector<loftfront::Action>& out) override {
+    void start(Time now, std::vector<decision::Action>& out) override { policy_.start(now, out); }
+    void handle(Time now, const decision::Event& event, std::vector<decision::Action>& out) override {
         policy_.handle(now, event, out);
     }
 
@@ -277,8 +277,8 @@
     P& policy_;
 };
 
-inline loftfront::Limits back_limits() {
-    loftfront::Limits limits;
+inline decision::Limits back_limits() {
+    decision::Limits limits;
     limits.may_cancel = true;
     limits.max_attempts = 1000;
     limits.connect_timeout = 300ms;
@@ -303,8 +303,8 @@
         own.service = service;
         engine.start();
         front.listen(*parse_address("127.0.0.1:0"));
-        to_endpoint.place(loftfront::EndpointId{1}, endpoint.at(), true);
-        admission.set_endpoint(loftfront::EndpointId{1}, instance, 1);
+        to_endpoint.place(decision::EndpointId{1}, endpoint.at(), true);
+        admission.set_endpoint(decision::EndpointId{1}, instance, 1);
         relay = std::make_unique<Relay>(loop, random, trouble, front.listens_at());
     }
     Endpoint endpoint;
@@ -343,7 +343,7 @@
         for (int i = 1; i <= gates_wanted; ++i) {
             const std::string instance = "i-" + std::to_string(i), service = i == gates_wanted ? last : "s";
             gates.push_back(std::make_unique<Gate>(loop_, random_, history, trouble, service, instance));
-            const auto id = static_cast<loftfront::EndpointId>(i);
+            const auto id = static_cast<decision::EndpointId>(i);
             hop_back_.set_upstream(id, instance, 7);
             hops_.place(id, gates.back()->relay->at(), true);
             outbound_policy_.set_upstream(id, {service, "z", true, false});
--- a/tests/mesh/outbound_policy_test.cpp
+++ b/tests/mesh/outbound_policy_test.cpp
@@ -11,7 +11,7 @@
 
 using namespace martenford;
 using namespace martenford::outbound;
-using namespace loftfront;
+using namespace martenford::decision;
 
 namespace {
 
@@ -169,7 +169,7 @@
 
 TEST_CASE("after a broken hop its gate alone is asked, and nothing but its refusal frees the request") {
     for (const Status word : {Status::Full, Status::Reset, Status::Error, Status::Timeout,
-                              Status::ConnectFailed, Status::Moot, Status::Cancelled}) {
+                              Status::ConnectFailed, Status::NotSent, Status::Cancelled}) {
         CAPTURE(static_cast<int>(word));
         Desk desk;
         desk.gates(2);
--- a/tests/mesh/raft_node_test.cpp
+++ b/tests/mesh/raft_node_test.cpp
@@ -112,7 +112,7 @@
     std::vector<Machine>& machines() { return machines_; }
     Time now() const { return now_; }
     const std::vector<std::string>& acknowledged() const { return acknowledged_; }
-    loftfront::Random& random() { return random_; }
+    decision::Random& random() { return random_; }
     std::size_t changes_of_voters() const { return voters_seen_.size(); }
 
   private:
@@ -181,7 +181,7 @@
         }
     }
 
-    loftfront::Random random_;
+    decision::Random random_;
     std::vector<Machine> machines_;
     Time now_{1s};
     std::vector<Flying> under_way_;
--- a/tests/mesh/register_explorer.cpp
+++ b/tests/mesh/register_explorer.cpp
@@ -1195,7 +1195,7 @@
     Counts& counts_;
     Options options_;
     raft::RaftOptions register_options_;
-    loftfront::Random random_;
+    decision::Random random_;
     Oracle oracle_;
     std::map<MemberId, std::size_t> machine_of_;
     std::deque<Machine> machines_;  // references hold while it grows
@@ -1330,7 +1330,7 @@
         std::optional<LogPosition> proposed;
         std::string token;
         void mix(std::uint64_t input) {
-            history = loftfront::Random(history ^ input * 0x9e3779b97f4a7c15u).next();
+            history = decision::Random(history ^ input * 0x9e3779b97f4a7c15u).next();
         }
     };
     struct Flying {
@@ -1353,10 +1353,10 @@
                 left.timeouts +
                 8 * (left.beats +
                      8 * (left.orders + 8 * (left.strikes + 8 * (left.duplicates + 8 * left.wipes)))));
-            for (const Node& node : nodes) key = loftfront::Random(key ^ node.history).next();
+            for (const Node& node : nodes) key = decision::Random(key ^ node.history).next();
             std::uint64_t sum = 0;  // in any order
-            for (const Flying& one : flying) sum += loftfront::Random(one.key).next();
-            return loftfront::Random(key ^ sum).next();
+            for (const Flying& one : flying) sum += decision::Random(one.key).next();
+            return decision::Random(key ^ sum).next();
         }
     };
 
@@ -1441,8 +1441,7 @@
                     const MemberId id = state.nodes[k].disk.self_id;
                     if (id != message.to && id != 1000 + message.to) continue;  // or what came after it
                     if (searching_ && tells_nothing(state.nodes[k], message)) continue;
-                    state.flying.push_back(
-                        {k, message, loftfront::Random(node.history + ++node.sent).next()});
+                    state.flying.push_back({k, message, decision::Random(node.history + ++node.sent).next()});
                 }
             }
             state.oracle.committed(held.committed_entry);
--- a/tests/mesh/registry_quota_test.cpp
+++ b/tests/mesh/registry_quota_test.cpp
@@ -86,7 +86,7 @@
     const std::map<std::string, Quota> quotas{{"t", {50, 50}}};
     for (std::uint64_t seed = 1; seed <= 20; ++seed) {
         CAPTURE(seed);
-        loftfront::Random random(seed);
+        decision::Random random(seed);
         std::vector<QuotaLimiter> proxies(12, QuotaLimiter({}));
         std::vector<std::uint64_t> taken(12);
         std::vector<QuotaAllocator> leaders(2, QuotaAllocator({}));
--- a/tests/mesh/rig/standins.cpp
+++ b/tests/mesh/rig/standins.cpp
@@ -114,9 +114,9 @@
            std::to_string(++seq_) + R"(,"cold_left_ms":0}})";
 }
 
-std::variant<loftfront::Request, TurnAway> Endpoint::read(Fields& head, Time arrived) {
+std::variant<decision::Request, TurnAway> Endpoint::read(Fields& head, Time arrived) {
     if (head["Expected-Instance"] != id_) return TurnAway{http::status::misdirected_request};
-    loftfront::Request request;
+    decision::Request request;
     request.id = std::to_string(++last_);  // an attempt's id may come again
     request.deadline = arrived + 5s;
     Asked& asked = asked_[request.id];
@@ -128,7 +128,7 @@
     return request;
 }
 
-bool Endpoint::take(loftfront::Request request, std::shared_ptr<const Message> message, Reply reply) {
+bool Endpoint::take(decision::Request request, std::shared_ptr<const Message> message, Reply reply) {
     Asked asked = std::move(asked_.extract(request.id).mapped());
     asked.body = std::string(message->held_body());
     Work work = runs_(asked);
@@ -144,7 +144,7 @@
     return true;
 }
 
-void Endpoint::answer(const loftfront::RequestId& id, const std::string& attempt, Work&& work) {
+void Endpoint::answer(const decision::RequestId& id, const std::string& attempt, Work&& work) {
     const auto open = open_.extract(id);
     if (open.empty()) return;
     Answer answer;
@@ -160,7 +160,7 @@
     open.mapped().reply(std::move(answer));
 }
 
-void Endpoint::write(const Answer& answer, const loftfront::RequestId&, http::response_header<>& head) {
+void Endpoint::write(const Answer& answer, const decision::RequestId&, http::response_header<>& head) {
     const auto* own = static_cast<const HttpAnswerHead*>(answer.head.get());
     if (!own) return;
     head.result(own->status);
--- a/tests/mesh/rig/standins.h
+++ b/tests/mesh/rig/standins.h
@@ -75,12 +75,12 @@
   private:
     const FrontLimits& limits() const override { return limits_; }
     DrainTimes drain_times() const override { return {}; }
-    std::variant<loftfront::Request, TurnAway> read(Fields& head, Time arrived) override;
-    bool take(loftfront::Request request, std::shared_ptr<const Message> message, Reply reply) override;
-    void received(const loftfront::RequestId&, Time) override {}
-    void leave(const loftfront::RequestId& id) override { open_.erase(id); }
-    void write(const Answer& answer, const loftfront::RequestId&, http::response_header<>& head) override;
-    void answer(const loftfront::RequestId& id, const std::string& attempt, Work&& work);
+    std::variant<decision::Request, TurnAway> read(Fields& head, Time arrived) override;
+    bool take(decision::Request request, std::shared_ptr<const Message> message, Reply reply) override;
+    void received(const decision::RequestId&, Time) override {}
+    void leave(const decision::RequestId& id) override { open_.erase(id); }
+    void write(const Answer& answer, const decision::RequestId&, http::response_header<>& head) override;
+    void answer(const decision::RequestId& id, const std::string& attempt, Work&& work);
 
     Loop& loop_;
     const std::string id_, at_;
@@ -88,12 +88,12 @@
     FrontLimits limits_;
     int seq_ = 0;
     std::uint64_t last_ = 0;
-    std::map<loftfront::RequestId, Asked> asked_;
+    std::map<decision::RequestId, Asked> asked_;
     struct Open {
         Reply reply;
         std::unique_ptr<Timer> timer;
     };
-    std::map<loftfront::RequestId, Open> open_;
+    std::map<decision::RequestId, Open> open_;
     Http1Front front_;
 };
 
--- a/tests/outlier/outlier_policy_test.cpp
+++ b/tests/outlier/outlier_policy_test.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-using namespace loftfront;
+using namespace martenford::decision;
 using namespace std::chrono_literals;
 using martenford::Counters;
 using martenford::outlier::Options;
@@ -119,7 +119,7 @@
 
 TEST(Outlier, BeingFullOrGivenUpIsNoFailure) {
     Sidecar sidecar;
-    for (const Status status : {Status::Full, Status::Cancelled, Status::Moot}) {
+    for (const Status status : {Status::Full, Status::Cancelled, Status::NotSent}) {
         for (int i = 0; i < 10; ++i) {
             sidecar.now += 60s;
             sidecar.outcome(7, status);
--- a/tests/policy/large_fleet_test.cpp
+++ b/tests/policy/large_fleet_test.cpp
@@ -10,11 +10,11 @@
 #include <variant>
 #include <vector>
 
-#include "loftfront/balancer.h"
+#include "martenford/decision/balancer.h"
 #include "policy/mechanics.h"
 #include "standins/usual_rules.h"
 
-namespace loftfront {
+namespace martenford::decision {
 namespace {
 
 using namespace std::chrono_literals;
@@ -238,4 +238,4 @@
 INSTANTIATE_TEST_SUITE_P(Groups, LargeFleet, testing::Values(Group::All, Group::Zone, Group::Cell));
 
 }  // namespace
-}  // namespace loftfront
+}  // namespace martenford::decision
--- a/tests/policy/logic_test.cpp
+++ b/tests/policy/logic_test.cpp
@@ -11,9 +11,9 @@
 #include <sstream>
 #include <stdexcept>
 
-#include "loftfront/balancer.h"
+#include "martenford/decision/balancer.h"
 
-namespace loftfront {
+namespace martenford::decision {
 namespace {
 
 using namespace std::chrono_literals;
@@ -155,7 +155,7 @@
         // A retry that isn't sent costs nothing, and one that is served earns: let it lapse while it is out.
         const auto retry = only<Send>(rig.advance(400ms));
         if (!retry) return -1;
-        rig.give(Lapsed{send->id});
+        rig.give(DeadlineExpired{send->id});
         rig.outcome(*retry, Status::Full, 1, true);
         rig.now += 3s;  // failures remembered by health fade meanwhile
     }
@@ -360,10 +360,10 @@
     Rig rig(plain());
     rig.list(servers(2));
     const auto send = only<Send>(rig.request("a"));
-    rig.give(Lapsed{"a"});
+    rig.give(DeadlineExpired{"a"});
     EXPECT_TRUE(rig.outcome(*send, Status::Error).empty());
     EXPECT_TRUE(rig.outcome(*send, Status::Error).empty());
-    EXPECT_TRUE(rig.give(Lapsed{"never"}).empty());
+    EXPECT_TRUE(rig.give(DeadlineExpired{"never"}).empty());
     EXPECT_TRUE(rig.give(TimerFired{123456}).empty());
     EXPECT_TRUE(rig.give(FirstByte{"never", 0, EndpointId{1}, 1ms}).empty());
     EXPECT_TRUE(rig.give(ProbeResult{EndpointId{99}, Status::Ok, 1ms, {}}).empty());
@@ -461,7 +461,7 @@
     rig.list(servers(4));
     const auto a = only<Send>(keyed(rig, "a", 7));
     keyed(rig, "b", 7);
-    EXPECT_FALSE(only<Send>(rig.give(Lapsed{"a"})));
+    EXPECT_FALSE(only<Send>(rig.give(DeadlineExpired{"a"})));
     EXPECT_FALSE(only<Send>(rig.advance(200ms)));
     EXPECT_EQ(only<Send>(rig.outcome(*a, Status::Error, 0, true))->id, "b");
 }
@@ -511,10 +511,10 @@
     rig.list(servers(4));
     const auto a = only<Send>(keyed(rig, "a", 7));
     for (const char* id : {"b", "c", "d"}) keyed(rig, id, 7);
-    rig.give(Lapsed{"c"});
+    rig.give(DeadlineExpired{"c"});
     const auto b = only<Send>(rig.outcome(*a, Status::Ok, 0, true));
     ASSERT_TRUE(b);
-    rig.give(Lapsed{"b"});
+    rig.give(DeadlineExpired{"b"});
     EXPECT_EQ(only<Send>(rig.outcome(*b, Status::Timeout, 0, true))->id, "d");
 }
 
@@ -578,7 +578,7 @@
     rig.outcome(*only<Send>(rig.request("a")), Status::Full);
     const auto again = only<Send>(rig.advance(310ms));
     ASSERT_TRUE(again);
-    rig.outcome(*again, Status::Moot, 1, true);
+    rig.outcome(*again, Status::NotSent, 1, true);
     rig.outcome(*only<Send>(rig.request("b")), Status::Full);
     EXPECT_EQ(all_of<Send>(rig.advance(310ms)).size(), 1u);
 }
@@ -592,7 +592,7 @@
         const auto send = only<Send>(rig.request(numbered("a", i)));
         ASSERT_TRUE(send);
         EXPECT_EQ(answers(rig.outcome(*send, Status::Error)), 0) << i;
-        rig.give(Lapsed{send->id});
+        rig.give(DeadlineExpired{send->id});
         rig.now += 3s;
     }
 }
@@ -1022,7 +1022,7 @@
     ASSERT_EQ(all_of<Send>(rig.request("slow")).size(), 1u);
     EXPECT_TRUE(all_of<Cancel>(rig.advance(2s)).empty());
     ASSERT_EQ(all_of<Send>(rig.request("left")).size(), 1u);
-    rig.give(Lapsed{"left"});
+    rig.give(DeadlineExpired{"left"});
     const auto ended = all_of<Cancel>(rig.advance(200ms));
     ASSERT_EQ(ended.size(), 1u);
     EXPECT_EQ(ended[0].id, "left");
@@ -1320,7 +1320,7 @@
         } else if (dice < 80 && !open_.empty()) {
             const RequestId id = std::next(open_.begin(), below(open_.size()))->first;
             open_.at(id).over = true;
-            rig_.give(Lapsed{id});
+            rig_.give(DeadlineExpired{id});
         } else if (dice < 83) {
             rig_.give(TimerFired{below(2000)});
         } else if (dice < 85) {
@@ -1388,13 +1388,13 @@
     void end_attempt(const RequestId& id, Call& call, AttemptNumber n, Status status, bool serves) {
         Sent& sent = call.sends[n];
         sent.out = false;
-        if (status == Status::Full || status == Status::ConnectFailed || status == Status::Moot) {
+        if (status == Status::Full || status == Status::ConnectFailed || status == Status::NotSent) {
             sent.may_have_run = false;
         }
         if (status == Status::Timeout || status == Status::Reset || status == Status::Cancelled) {
             call.rests_until = rig_.now + settings_.rules.turn_gap;
         }
-        if (status == Status::Moot && n > 0) further_.erase(further_.find(sent.at));
+        if (status == Status::NotSent && n > 0) further_.erase(further_.find(sent.at));
         const bool last = serves || call.over;
         if (serves) call.over = true;
         rig_.give(Outcome{id, n, sent.to, status, rig_.now - sent.at, last, {}});
@@ -1646,4 +1646,4 @@
 }
 
 }  // namespace
-}  // namespace loftfront
+}  // namespace martenford::decision
--- a/tests/policy/ring_test.cpp
+++ b/tests/policy/ring_test.cpp
@@ -10,7 +10,7 @@
 
 #include "policy/mechanics.h"
 
-namespace loftfront {
+namespace martenford::decision {
 namespace {
 
 using Plain = std::map<std::pair<std::uint64_t, EndpointId>, int*>;
@@ -58,4 +58,4 @@
 }
 
 }  // namespace
-}  // namespace loftfront
+}  // namespace martenford::decision
--- a/tests/standins/recording_policy.h
+++ b/tests/standins/recording_policy.h
@@ -14,16 +14,15 @@
   public:
     /// What it was told, kept after it has gone.
     struct Record {
-        std::map<loftfront::EndpointId, loftfront::Endpoint> listed;
+        std::map<decision::EndpointId, decision::Endpoint> listed;
         std::size_t lists = 0, changes = 0, outcomes = 0;
-        std::size_t endpoints_told = 0;       ///< entries over all changes
-        std::vector<loftfront::Action> next;  ///< given back at the next event
+        std::size_t endpoints_told = 0;      ///< entries over all changes
+        std::vector<decision::Action> next;  ///< given back at the next event
     };
     explicit RecordingPolicy(std::shared_ptr<Record> record) : record_(std::move(record)) {}
-    void start(loftfront::Time, std::vector<loftfront::Action>&) override {}
-    void handle(loftfront::Time, const loftfront::Event& event,
-                std::vector<loftfront::Action>& out) override {
-        using loftfront::Discovered;
+    void start(decision::Time, std::vector<decision::Action>&) override {}
+    void handle(decision::Time, const decision::Event& event, std::vector<decision::Action>& out) override {
+        using decision::Discovered;
         if (const auto* news = std::get_if<Discovered>(&event);
             news && news->kind != Discovered::Kind::Failed) {
             if (news->kind == Discovered::Kind::Delta) {
@@ -34,14 +33,14 @@
                 record_->listed.clear();
             }
             for (const auto& e : *news->endpoints) {
-                if (e.availability == loftfront::Availability::Gone) {
+                if (e.availability == decision::Availability::Gone) {
                     record_->listed.erase(e.id);
                 } else {
                     record_->listed[e.id] = e;
                 }
             }
         }
-        if (std::holds_alternative<loftfront::Outcome>(event)) ++record_->outcomes;
+        if (std::holds_alternative<decision::Outcome>(event)) ++record_->outcomes;
         for (auto& action : std::exchange(record_->next, {})) out.push_back(std::move(action));
     }
 
--- a/tests/standins/usual_rules.h
+++ b/tests/standins/usual_rules.h
@@ -1,13 +1,13 @@
 // The rules that tests and benchmarks of the module go by where their own figures don't matter.
 #pragma once
 
-#include "loftfront/balancer.h"
+#include "martenford/decision/balancer.h"
 
 namespace martenford::standins {
 
-inline loftfront::Rules usual_rules() {
+inline decision::Rules usual_rules() {
     using namespace std::chrono_literals;
-    loftfront::Rules rules;
+    decision::Rules rules;
     rules.answer_slack = 20ms;
     rules.ask_every = 6s;
     rules.drain_grace = 1s;
--- a/tests/subset/subset_policy_test.cpp
+++ b/tests/subset/subset_policy_test.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-using namespace loftfront;
+using namespace martenford::decision;
 using namespace std::chrono_literals;
 using martenford::Counters;
 using martenford::standins::RecordingPolicy;
--- a/tests/subset/subset_test.cpp
+++ b/tests/subset/subset_test.cpp
@@ -13,10 +13,10 @@
 namespace martenford::subset {
 namespace {
 
-using loftfront::EndpointId;
+using decision::EndpointId;
 
 std::vector<EndpointId> tier(std::size_t size, std::uint64_t seed = 1) {
-    loftfront::Random random(seed);
+    decision::Random random(seed);
     std::set<EndpointId> ids;
     while (ids.size() < size) ids.insert(EndpointId{static_cast<std::uint32_t>(random.next())});
     return {ids.begin(), ids.end()};
--- a/tools/emulator/verdicts.cpp
+++ b/tools/emulator/verdicts.cpp
@@ -15,15 +15,15 @@
 
 namespace {
 
-using loftfront::EndpointId;
+using decision::EndpointId;
 
 constexpr std::uint32_t kBad = 1, kSound = 2;  // the one that fails; the one that liars accuse
 
 /// In place of the module: the draws below choose.
 class NoModule : public Policy {
   public:
-    void start(Time, std::vector<loftfront::Action>&) override {}
-    void handle(Time, const loftfront::Event&, std::vector<loftfront::Action>&) override {}
+    void start(Time, std::vector<decision::Action>&) override {}
+    void handle(Time, const decision::Event&, std::vector<decision::Action>&) override {}
 };
 
 struct Played {
@@ -51,10 +51,10 @@
         std::vector<EndpointId> to_tell;
     };
     std::vector<Sidecar> sidecars(words.sidecars);
-    std::vector<loftfront::Action> ignored;
-    auto list = std::make_shared<loftfront::EndpointList>();
+    std::vector<decision::Action> ignored;
+    auto list = std::make_shared<decision::EndpointList>();
     for (std::uint32_t e = 1; e <= words.endpoints; ++e) {
-        loftfront::Endpoint endpoint;
+        decision::Endpoint endpoint;
         endpoint.id = EndpointId{e};
         list->push_back(endpoint);
     }
@@ -65,8 +65,7 @@
         s.guidance =
             std::make_unique<replica::Guidance>(model.copy(i), model.copy(i).self().name, "", seed + i);
         s.policy->on_ejected([&s](EndpointId id, std::uint32_t) { s.to_tell.push_back(id); });
-        s.policy->handle(model.now(), loftfront::Discovered{loftfront::Discovered::Kind::Full, list},
-                         ignored);
+        s.policy->handle(model.now(), decision::Discovered{decision::Discovered::Kind::Full, list}, ignored);
     }
     const auto tell = [&](std::size_t i, std::uint32_t endpoint) {
         model.copy(i).write(model.now(), model.wall(i),
@@ -88,9 +87,9 @@
                 while (s.policy->ejected(EndpointId{target}));
                 const bool fails = target == kBad && unit() < words.fails;
                 played.bad += fails ? 1 : 0;
-                loftfront::Outcome outcome;
+                decision::Outcome outcome;
                 outcome.endpoint = EndpointId{target};
-                outcome.status = fails ? loftfront::Status::Error : loftfront::Status::Ok;
+                outcome.status = fails ? decision::Status::Error : decision::Status::Ok;
                 s.policy->handle(model.now(), outcome, ignored);
             }
             if (s.policy->ejected(EndpointId{kSound})) ++played.sound_out;
