--- a/tests/long/sockets.sh
+++ b/tests/long/sockets.sh
@@ -36,4 +36,4 @@
 }
 export -f one
 export build work
-ls scenarios/*.toml | xargs -P "$jobs" -I{} bash -c 'one {}'
+printf '%s\n' scenarios/*.toml | xargs -P "$jobs" -I{} bash -c 'one {}'
