--- a/tests/run.sh
+++ b/tests/run.sh
@@ -30,6 +30,14 @@
 if [[ $reply != '{"round":1,"cmds":[]}' ]]; then echo "unexpected reply: $reply"; exit 1; fi
 echo "$reply"
 
+echo "== release build of the mesh: its deploy file's own, in the same copy"
+mesh_build=$(sed -n 's/^build = "\(.*\)".*/\1/p' deploy/system.toml)
+(cd "$copy" && quietly env CXXFLAGS=-Werror sh -c "$mesh_build")
+
+echo "== the deploy files list every package that their builds need"
+tools/check-packages deploy/balancer.toml "$copy"
+tools/check-packages deploy/system.toml "$copy"
+
 echo "== the deploy file's sidecar starts, answers /-/ready and ends on SIGTERM"
 run=$(read_key run)
 (cd "$copy" && PROXY_CONFIG="$root/tests/ready.json" exec sh -c "$run") 2>"$work/sidecar" &
