--- a/tests/run.sh
+++ b/tests/run.sh
@@ -59,10 +59,15 @@
 quietly cmake --build "$work/consumer" -j"$jobs"
 "$work/consumer/consumer"
 
-echo "== tests under the address and undefined behaviour sanitizers"
+echo "== build under the address and undefined behaviour sanitizers"
 quietly cmake -S . -B "$work/sanitized" -DCMAKE_BUILD_TYPE=Release -DCMAKE_CXX_FLAGS=-Werror \
     -DLOFTFRONT_SANITIZE=ON -DLOFTFRONT_TESTS=ON -DMARTENFORD_MESH=ON -DCMAKE_CXX_FLAGS_RELEASE=-O1
 quietly cmake --build "$work/sanitized" -j"$jobs"
+
+echo "== lint"
+tools/lint "$work/sanitized" "$jobs"
+
+echo "== tests under the address and undefined behaviour sanitizers"
 # What KNOWN-RED.txt lists is run too, and told, but fails nothing.
 red=$(sed -n 's/^\([^:]*\):.*/\1/p' KNOWN-RED.txt 2>/dev/null | paste -sd'|')
 if [[ -n $red ]]; then
