--- a/tests/run.sh
+++ b/tests/run.sh
@@ -30,6 +30,14 @@
 if [[ $reply != '{"round":1,"cmds":[]}' ]]; then echo "unexpected reply: $reply"; exit 1; fi
 echo "$reply"
 
+echo "== release build of the mesh: its deploy file's own, in the same copy"
+mesh_build=$(sed -n 's/^build = "\(.*\)".*/\1/p' deploy/system.toml)
+(cd "$copy" && quietly env CXXFLAGS=-Werror sh -c "$mesh_build")
+
+echo "== the deploy files list every package that their builds need"
+tools/check-packages deploy/balancer.toml "$copy"
+tools/check-packages deploy/system.toml "$copy"
+
 echo "== the deploy file's sidecar starts, answers /-/ready and ends on SIGTERM"
 run=$(read_key run)
 (cd "$copy" && PROXY_CONFIG="$root/tests/ready.json" exec sh -c "$run") 2>"$work/sidecar" &
@@ -51,10 +59,15 @@
 quietly cmake --build "$work/consumer" -j"$jobs"
 "$work/consumer/consumer"
 
-echo "== tests under the address and undefined behaviour sanitizers"
+echo "== build under the address and undefined behaviour sanitizers"
 quietly cmake -S . -B "$work/sanitized" -DCMAKE_BUILD_TYPE=Release -DCMAKE_CXX_FLAGS=-Werror \
     -DMARTENFORD_SANITIZE=ON -DMARTENFORD_TESTS=ON -DMARTENFORD_MESH=ON -DCMAKE_CXX_FLAGS_RELEASE=-O1
 quietly cmake --build "$work/sanitized" -j"$jobs"
+
+echo "== lint"
+tools/lint "$work/sanitized" "$jobs"
+
+echo "== tests under the address and undefined behaviour sanitizers"
 # What KNOWN-RED.txt lists is run too, and told, but fails nothing.
 red=$(sed -n 's/^\([^:]*\):.*/\1/p' KNOWN-RED.txt 2>/dev/null | paste -sd'|')
 if [[ -n $red ]]; then
