--- a/tests/mesh/golden_test.cpp
+++ b/tests/mesh/golden_test.cpp
@@ -171,12 +171,12 @@
 }
 /// Of a register's value.
 void check_value(const std::string& value) {
-    const auto word = rpc::decode_word(value);
+    const auto word = rpc::decode_config_record(value);
     REQUIRE(word);
     check_configurations(*word);
 }
 void check_value_before(const std::string& value) {
-    const auto word = rpc::decode_word(value);
+    const auto word = rpc::decode_config_record(value);
     REQUIRE(word);
     check_configurations_before(*word);
 }
@@ -294,7 +294,7 @@
     golden::Folder copy(path_of(name));
     const auto found = open(copy.at)->load();
     REQUIRE_FALSE(found.damaged);
-    const auto disk = rpc::disk_of(found.records);
+    const auto disk = rpc::from_records(found.records);
     REQUIRE(disk);
     return *disk;
 }
@@ -438,7 +438,7 @@
 TEST_CASE("golden register: the value, as it is written") {
     const std::string bytes = golden::kept(path_of("register-value.bin"), rpc::encode(configurations()));
     CHECK(rpc::encode(configurations()) == bytes);
-    const auto read = rpc::decode_word(bytes);
+    const auto read = rpc::decode_config_record(bytes);
     REQUIRE(read);
     check_configurations(*read);
     CHECK(rpc::encode(*read) == bytes);
@@ -446,7 +446,7 @@
 
 TEST_CASE("golden register: a value of programs before, with the document and the history in the clear") {
     // Never written any more: these two have no generator (golden/README.md).
-    const auto shortest = rpc::decode_word(golden::kept(path_of("register-value-2026-12-01.bin")));
+    const auto shortest = rpc::decode_config_record(golden::kept(path_of("register-value-2026-12-01.bin")));
     REQUIRE(shortest);
     CHECK(shortest->version == 9);
     CHECK(shortest->document == "{}");
@@ -456,7 +456,7 @@
     CHECK(shortest->accepted_changes[1].version == 9);
     CHECK(shortest->accepted_changes[1].digest == 99);
     CHECK(shortest->forgotten_up_to == 4);
-    const auto read = rpc::decode_word(golden::kept(path_of("register-value-before.bin")));
+    const auto read = rpc::decode_config_record(golden::kept(path_of("register-value-before.bin")));
     REQUIRE(read);
     check_configurations(*read);
     // Written again it has today's form.
@@ -466,23 +466,23 @@
 TEST_CASE("golden register: the disk in one record") {
     const std::string bytes = golden::kept(path_of("register-disk.bin"), rpc::encode(disk_in_change()));
     CHECK(rpc::encode(disk_in_change()) == bytes);
-    const auto read = rpc::decode_disk(bytes);
+    const auto read = rpc::decode_persistent_state(bytes);
     REQUIRE(read);
     check_disk_in_change(*read);
     CHECK(rpc::encode(*read) == bytes);
 }
 
 TEST_CASE("golden register: the disk's records, their names and their bytes") {
-    const auto now = rpc::records_of(disk_in_change());
+    const auto now = rpc::to_records(disk_in_change());
     const durable_store::Records kept{
         {"state", golden::kept(path_of("register-record-state.bin"), now.at("state"))},
         {"value.82.86", golden::kept(path_of("register-record-value.82.86.bin"), now.at("value.82.86"))},
         {"value.81.85", golden::kept(path_of("register-record-value.81.85.bin"), now.at("value.81.85"))}};
     CHECK(now == kept);
-    const auto read = rpc::disk_of(kept);
+    const auto read = rpc::from_records(kept);
     REQUIRE(read);
     check_disk_in_change(*read);
-    CHECK(rpc::records_of(*read) == kept);
+    CHECK(rpc::to_records(*read) == kept);
 }
 
 TEST_CASE("golden store: a data directory with a change of members is read, and saved again as it is") {
@@ -496,7 +496,7 @@
         voted.term = 82;
         voted.voted_for = 12;
         write_store("store",
-                    {rpc::records_of(before), rpc::records_of(voted), rpc::records_of(disk_in_change())});
+                    {rpc::to_records(before), rpc::to_records(voted), rpc::to_records(disk_in_change())});
     }
     golden::Folder copy(path_of("store"));
     {
@@ -507,16 +507,16 @@
         CHECK(found.records.at("state") == golden::kept(path_of("register-record-state.bin")));
         CHECK(found.records.at("value.82.86") == golden::kept(path_of("register-record-value.82.86.bin")));
         CHECK(found.records.at("value.81.85") == golden::kept(path_of("register-record-value.81.85.bin")));
-        const auto disk = rpc::disk_of(found.records);
+        const auto disk = rpc::from_records(found.records);
         REQUIRE(disk);
         check_disk_in_change(*disk);
         // What the next vote writes is read as well.
         auto later = *disk;
         later.term = 83;
         later.voted_for = 13;
-        save(*store, rpc::records_of(later));
+        save(*store, rpc::to_records(later));
     }
-    const auto again = rpc::disk_of(open(copy.at)->load().records);
+    const auto again = rpc::from_records(open(copy.at)->load().records);
     REQUIRE(again);
     CHECK(again->term == 83);
     CHECK(again->voted_for == 13);
@@ -569,7 +569,7 @@
 }
 
 TEST_CASE("golden store: a register alone starts from it, leads, and its newest entry is committed") {
-    if (golden::writes()) write_store("store-alone", {rpc::records_of(disk_alone())});
+    if (golden::writes()) write_store("store-alone", {rpc::to_records(disk_alone())});
     const raft::PersistentState disk = read_store("store-alone");
     check_disk_alone(disk);
     raft::RaftNode raft(kSecond, disk, {}, 2);
@@ -594,13 +594,13 @@
         const auto found = store->load();
         CHECK_FALSE(found.damaged);
         CHECK(found.records == durable_store::Records{{"word", golden::kept(path_of("register-disk.bin"))}});
-        const auto disk = rpc::disk_of(found.records);
+        const auto disk = rpc::from_records(found.records);
         REQUIRE(disk);
         check_disk_in_change(*disk);
-        save(*store, rpc::records_of(*disk));
+        save(*store, rpc::to_records(*disk));
     }
     const auto again = open(copy.at)->load();
-    CHECK(again.records == rpc::records_of(disk_in_change()));
+    CHECK(again.records == rpc::to_records(disk_in_change()));
 }
 
 TEST_CASE("golden store: the file keeps its name, by which a later program finds it") {
--- a/tests/mesh/store_test.cpp
+++ b/tests/mesh/store_test.cpp
@@ -142,14 +142,15 @@
     CHECK(back.registry.registrations.front().instance_id == "i");
     CHECK(back.registry.removed_nodes == news.registry.removed_nodes);
     CHECK(back.config == news.config);
-    for (std::size_t cut = 0; cut < bytes.size(); cut += 8) rpc::decode(bytes.substr(0, cut));
+    for (std::size_t cut = 0; cut < bytes.size(); cut += 8)
+        static_cast<void>(rpc::decode(bytes.substr(0, cut)));
     for (std::size_t i = 0; i < 400; ++i) {
         std::string other = bytes;
         other[i * 7 % other.size()] ^= static_cast<char>(1 << (i % 8));
-        rpc::decode(other);
+        static_cast<void>(rpc::decode(other));
     }
     raft::PersistentState disk{5, 6, 7, {{8, 9}, {{1, "x"}}, "value"}, {{7, 8}, {}, "older"}};
-    const auto kept = rpc::decode_disk(rpc::encode(disk));
+    const auto kept = rpc::decode_persistent_state(rpc::encode(disk));
     REQUIRE(kept);
     CHECK(kept->last_entry.value == "value");
     CHECK(kept->committed_entry.position == raft::LogPosition{7, 8});
@@ -158,8 +159,8 @@
 TEST_CASE("the disk's records: read as they were written; what doesn't belong together is nothing") {
     raft::PersistentState disk{
         5, 6, 7, {{8, 9}, {{1, "x"}}, std::string(60'000, 'n')}, {{7, 8}, {}, "older"}};
-    const auto records = rpc::records_of(disk);
-    const auto kept = rpc::disk_of(records);
+    const auto records = rpc::to_records(disk);
+    const auto kept = rpc::from_records(records);
     REQUIRE(kept);
     CHECK(kept->last_entry.value == disk.last_entry.value);
     CHECK(kept->last_entry.voters == disk.last_entry.voters);
@@ -167,23 +168,23 @@
     CHECK(kept->voted_for == 7);
     // A vote changes the state alone, and that is small.
     disk.voted_for = 8;
-    for (const auto& [name, record] : rpc::records_of(disk)) {
+    for (const auto& [name, record] : rpc::to_records(disk)) {
         CHECK((record == records.at(name)) == (name != "state"));
         if (name == "state") CHECK(record.size() < 300);
     }
     for (const auto& [name, record] : records) {
         auto others = records;
         others.erase(name);
-        CHECK_FALSE(rpc::disk_of(others));
+        CHECK_FALSE(rpc::from_records(others));
         if (name == "state") continue;
         others[name] = record + "x";  // whole in itself, of another write
-        CHECK_FALSE(rpc::disk_of(others));
+        CHECK_FALSE(rpc::from_records(others));
     }
     // What a program before left, all in one.
-    const auto before = rpc::disk_of({{"word", rpc::encode(disk)}});
+    const auto before = rpc::from_records({{"word", rpc::encode(disk)}});
     REQUIRE(before);
     CHECK(before->last_entry.value == disk.last_entry.value);
-    CHECK_FALSE(rpc::disk_of({}));
+    CHECK_FALSE(rpc::from_records({}));
 }
 
 TEST_CASE(
@@ -192,16 +193,16 @@
     rpc::ConfigRecord record{7, std::string(200'000, 'd'), {{3, 33}, {7, 77}}, 2};
     const std::string bytes = rpc::encode(record);
     CHECK(bytes.size() < 1000);
-    const auto read = rpc::decode_word(bytes);
+    const auto read = rpc::decode_config_record(bytes);
     REQUIRE(read);
     CHECK(read->version == 7);
     CHECK(read->document == record.document);
     CHECK(read->accepted_changes.back().digest == 77);
     CHECK(read->forgotten_up_to == 2);
     for (std::size_t cut = 8; cut < bytes.size(); cut += 8)
-        CHECK_FALSE(rpc::decode_word(bytes.substr(0, cut)));
+        CHECK_FALSE(rpc::decode_config_record(bytes.substr(0, cut)));
     record.document.assign(rpc::kMaxDocumentBytes + 1, 'd');
-    CHECK_FALSE(rpc::decode_word(rpc::encode(record)));
+    CHECK_FALSE(rpc::decode_config_record(rpc::encode(record)));
     // Version 9, the document "{}", versions 5 and 9 taken: as the program of 1 December 2026 wrote it.
     const unsigned char before[] = {
         0x00, 0x00, 0x00, 0x00, 0x0a, 0x00, 0x00, 0x00, 0x00, 0x00, 0x00, 0x00, 0x01, 0x00, 0x02,
@@ -210,7 +211,7 @@
         0x00, 0x00, 0x00, 0x08, 0x00, 0x00, 0x00, 0x02, 0x00, 0x00, 0x00, 0x05, 0x00, 0x00, 0x00,
         0x00, 0x00, 0x00, 0x00, 0x37, 0x00, 0x00, 0x00, 0x00, 0x00, 0x00, 0x00, 0x09, 0x00, 0x00,
         0x00, 0x00, 0x00, 0x00, 0x00, 0x63, 0x00, 0x00, 0x00, 0x00, 0x00, 0x00, 0x00};
-    const auto old = rpc::decode_word({reinterpret_cast<const char*>(before), sizeof before});
+    const auto old = rpc::decode_config_record({reinterpret_cast<const char*>(before), sizeof before});
     REQUIRE(old);
     CHECK(old->version == 9);
     CHECK(old->document == "{}");
