--- a/tests/mesh/config_service_test.cpp
+++ b/tests/mesh/config_service_test.cpp
@@ -130,6 +130,66 @@
     approve("operator", core.transcript);
 }
 
+TEST_CASE("every rejection of a change keeps its status, its body and its place in the order of checks") {
+    Core core;
+    const std::size_t leader = core.leader();
+    const auto replace = [&](const std::string& who, const std::string& body) {
+        core.call(leader, who, "replace", body);
+    };
+    const auto modify = [&](const std::string& who, const std::string& body) {
+        core.call(leader, who, "modify", body);
+    };
+    const std::string empty = R"("listeners":[],"clusters":[]})";
+    modify("modify before any configuration", R"({"version":"1","upserts":{"clusters":[{"name":"x"}]}})");
+    replace("no object", "[1]");
+    replace("empty body", "");
+    replace("version missing", "{" + empty);
+    replace("version a number", R"({"version":3,)" + empty);
+    replace("version too long", R"({"version":"000000003",)" + empty);
+    replace("version not hexadecimal", R"({"version":"0x3",)" + empty);
+    replace("version 0", R"({"version":"0",)" + empty);
+    replace("version 0 and bad base", R"({"version":"0","base_version":"zz",)" + empty);
+    replace("base not hexadecimal", R"({"version":"3","base_version":"zz",)" + empty);
+    replace("base null", R"({"version":"3","base_version":null,)" + empty);
+    replace("base false", R"({"version":"3","base_version":false,)" + empty);
+    replace("base 1", R"({"version":"3","base_version":1,)" + empty);
+    replace("bad version before bad base", R"({"version":"zz","base_version":"zz",)" + empty);
+    replace("wrong base before unknown member type",
+            R"({"version":"3","base_version":"9","limits":7,)" + empty);
+    replace("no lists", R"({"version":"3"})");
+    replace("limits of another type", R"({"version":"3","limits":7,)" + empty);
+    replace("base the number 0.0", R"({"version":"3","base_version":0.0,)" + empty);
+    replace("accepted: short version, no base", R"({"version":"3",)" + empty);
+    replace("wrong base before old version", R"({"version":"2","base_version":"9",)" + empty);
+    replace("same version", R"({"version":"3","base_version":"3",)" + empty);
+    replace("old version before invalid document", R"({"version":"2","base_version":"3"})");
+    const auto next = [](const std::string& more) {
+        return R"({"version":"5","base_version":"3",)" + more + "}";
+    };
+    modify("removal from an unknown list", next(R"("removals":{"cats":["a"]})"));
+    modify("upsert into an unknown list", next(R"("upserts":{"cats":["a"]})"));
+    modify("upserts no object", next(R"("upserts":[])"));
+    modify("removals no object", next(R"("removals":3)"));
+    modify("upserts checked before removals", next(R"("upserts":[],"removals":3)"));
+    modify("a name that is a number", next(R"("removals":{"routes":[1]})"));
+    modify("a listener without a host", next(R"("upserts":{"listeners":[{"rule_set":[{"name":"r"}]}]})"));
+    modify("a service without a name", next(R"("upserts":{"services":[{}]})"));
+    modify("a limit of another type", next(R"("upserts":{"limits":{"idle_timeout_ms":"x"}})"));
+    modify("limits no object", next(R"("upserts":{"limits":3})"));
+    modify("two tenants with one key",
+           next(R"("upserts":{"tenants":[{"name":"t","api_keys":["a"]},{"name":"u","api_keys":["a"]}]})"));
+    modify("accepted: nothing but a version", R"({"version":"6","base_version":"3"})");
+    modify("accepted: services, tenants, limits",
+           R"({"version":"00000007","base_version":"6","upserts":{)"
+           R"("services":[{"name":"y"}],"tenants":[{"name":"t","api_keys":["a"],"rate_per_s":1.5}],)"
+           R"("limits":{"idle_timeout_ms":9}}})");
+    modify("accepted: removals by both names of a list",
+           R"({"version":"8","base_version":"7","removals":{)"
+           R"("services":["y","none"],"tenants":["t"],"listeners":["none"],"rules":["none"]}})");
+    core.call(leader, "operator", "read");
+    approve("operator_rejections", core.transcript);
+}
+
 TEST_CASE("a leader that is cut off answers nothing that it can't be sure of") {
     Core core;
     const std::size_t old = core.leader();
