--- a/src/config_service/config_service.cpp
+++ b/src/config_service/config_service.cpp
@@ -1,6 +1,5 @@
 #include "config_service/config_service.h"
 
-#include <algorithm>
 #include <utility>
 #include <vector>
 
@@ -9,199 +8,222 @@
 using mesh_config::Json;
 
 namespace {
-// A call that is undecided for so long is told that nothing was done: callers go on after a second of
-// silence.
-constexpr Duration kUndecided = 900ms;
-// One that was proposed is held longer, as long as it may yet be committed: no answer would be clearer, and
-// the caller of a large body waits for more than that second.
-constexpr Duration kLongest = 4s;
-constexpr std::size_t kMostJobs = 64;                      // calls that wait
-constexpr std::size_t kMostHeld = 32 * 1024 * 1024;        // bytes of their bodies
-constexpr std::size_t kMostHistory = 4096;                 // two days at 2,200 changes a day; 12 bytes each
-constexpr std::size_t kMostBody = rpc::kMaxDocumentBytes;  // a longer one could not be sent to the others
-constexpr Duration kComeBack = 300ms;
-
-control_api::Response refusal(unsigned status, const std::string& why) {
-    return {status, Json{{"error", why}}.dump()};
-}
-control_api::Response unclear(const std::string& why) {
-    return {503, Json{{"error", why}}.dump(), "", kComeBack};
+
+/// How long an undecided call is held before it is answered with 503. Operators' clients give up after 1 s
+/// without an answer.
+constexpr Duration kDecisionTimeout = 900ms;
+
+/// How long a proposed change is held, since receipt, while it may still commit. Longer than
+/// kDecisionTimeout: no earlier answer would be definite, and clients wait longer than 1 s for large bodies.
+constexpr Duration kCommitTimeout = 4s;
+
+/// Calls that may be pending at once; further ones are answered with 503.
+constexpr std::size_t kMaxPendingCalls = 64;
+
+/// Bytes of the bodies of pending calls, a bound on memory; further calls are answered with 503.
+constexpr std::size_t kMaxPendingBytes = 32 * 1024 * 1024;
+
+/// Bytes of one body. A longer document would not fit a message between controllers.
+constexpr std::size_t kMaxBodyBytes = rpc::kMaxDocumentBytes;
+
+/// Pause that a 503 asks of the caller before it repeats the call. Below the shortest election timeout (500
+/// ms), so that little time is lost once a leader is elected.
+constexpr Duration kRetryAfter = 300ms;
+
+/// Seeds that keep a replace and a modify with the same body apart. Digests are stored in records: never
+/// change them.
+constexpr std::uint64_t kReplaceDigestSeed = 1, kModifyDigestSeed = 2;
+
+control_api::Response error_response(unsigned status, const std::string& message) {
+    return {status, Json{{"error", message}}.dump()};
+}
+
+/// Neither done nor rejected for certain: the caller repeats the call.
+control_api::Response indefinite(const std::string& message) {
+    return {503, Json{{"error", message}}.dump(), "", kRetryAfter};
 }
+
+const char* path_of(CallKind kind) {
+    switch (kind) {
+        case CallKind::Replace:
+            return "/v1/configuration/replace";
+        case CallKind::Modify:
+            return "/v1/configuration/modify";
+        case CallKind::Read:
+            return "/v1/configuration/read";
+    }
+    return "";
+}
+
 }  // namespace
 
 const rpc::ConfigRecord& ConfigService::record() {
     const raft::LogEntry& committed = raft_.persistent_state().committed_entry;
     if (committed.position != record_position_) {
-        // A new term's entry most often has the value that was there.
-        auto read = rpc::decode_word(committed.value);
-        record_readable_ = read.has_value();
-        if (read) record_ = std::move(*read);
+        // The first entry of a new term mostly repeats the value that was there.
+        auto decoded = rpc::decode_word(committed.value);
+        record_readable_ = decoded.has_value();
+        if (decoded) record_ = std::move(*decoded);
         record_position_ = committed.position;
     }
     return record_;
 }
 
-control_api::Response ConfigService::redirect_to_leader(Time now, Call call) const {
+bool ConfigService::has_no_uncommitted_entry() const {
+    const raft::PersistentState& state = raft_.persistent_state();
+    return state.committed_entry.position == state.last_entry.position;
+}
+
+control_api::Response ConfigService::redirect_to_leader(Time now, CallKind kind) const {
     const auto leader = raft_.leader();
-    if (leader && raft_.role() != raft::RaftNode::Role::Leader && raft_.has_quorum_contact(now, 1s) &&
-        control_address_of) {
-        return {307, "",
-                control_address_of(*leader) + (call == Call::Read      ? "/v1/configuration/read"
-                                               : call == Call::Replace ? "/v1/configuration/replace"
-                                                                       : "/v1/configuration/modify")};
-    }
-    return unclear("no leader is known");
-}
-
-void ConfigService::submit(Time now, Call call, const std::string& body, control_api::Respond respond) {
-    if (raft_.role() != raft::RaftNode::Role::Leader) return respond(redirect_to_leader(now, call));
-    if (body.size() > kMostBody) return respond(refusal(413, "the body is too long"));
-    if (pending_calls_.size() >= kMostJobs || pending_bytes_ + body.size() > kMostHeld)
-        return respond(unclear("too many calls wait"));
-    PendingCall job;
-    job.call = call;
-    job.body = body;
-    job.digest = mesh_config::digest(body, call == Call::Replace ? 1 : 2);
-    job.respond = std::move(respond);
-    job.received_at = now;
+    const bool is_leader = raft_.role() == raft::RaftNode::Role::Leader;
+    if (leader && !is_leader && raft_.has_quorum_contact(now, 1s) && control_address_of)
+        return {307, "", control_address_of(*leader) + path_of(kind)};
+    return indefinite("no leader is known");
+}
+
+void ConfigService::submit(Time now, CallKind kind, const std::string& body, control_api::Respond respond) {
+    if (raft_.role() != raft::RaftNode::Role::Leader) return respond(redirect_to_leader(now, kind));
+    if (body.size() > kMaxBodyBytes) return respond(error_response(413, "the body is too long"));
+    if (pending_calls_.size() >= kMaxPendingCalls || pending_bytes_ + body.size() > kMaxPendingBytes)
+        return respond(indefinite("too many calls wait"));
+    PendingCall call;
+    call.kind = kind;
+    call.body = body;
+    call.digest =
+        mesh_config::digest(body, kind == CallKind::Replace ? kReplaceDigestSeed : kModifyDigestSeed);
+    call.respond = std::move(respond);
+    call.received_at = now;
     pending_bytes_ += body.size();
-    pending_calls_.push_back(std::move(job));
+    pending_calls_.push_back(std::move(call));
     process_pending(now);
 }
 
-void ConfigService::answer_when_confirmed(Time now, PendingCall& job, control_api::Response answer) {
-    job.answer = std::move(answer);
-    job.read_round = raft_.request_read_index(now);
+// ---- Deciding. Runs on a leader with a lease, whose committed record is therefore the newest. ----
+
+void ConfigService::decide(Time now, PendingCall& call) {
+    const rpc::ConfigRecord& committed = record();
+    if (!record_readable_)
+        return answer_when_confirmed(now, call, indefinite("what is in place can't be read"));
+    if (call.kind == CallKind::Read) return decide_read(now, call, committed);
+    decide_change(now, call, committed);
 }
 
-void ConfigService::reject(Time now, PendingCall& job, unsigned status, const std::string& why,
-                           const std::string& logged) {
-    if (on_decided) on_decided(false, job.version, logged.empty() ? why : logged);
-    answer_when_confirmed(now, job, refusal(status, why));
+void ConfigService::decide_read(Time now, PendingCall& call, const rpc::ConfigRecord& committed) {
+    if (committed.version == 0)
+        return answer_when_confirmed(now, call, error_response(404, "no configuration has been taken yet"));
+    answer_when_confirmed(now, call, {200, committed.document});
 }
 
-/// Here, on a leader that has all that was committed. What depends on which version is current is answered
-/// only once a majority has said that it still leads.
-void ConfigService::decide(Time now, PendingCall& job) {
-    const rpc::ConfigRecord& held = record();
-    job.term = raft_.persistent_state().term;
-    if (!record_readable_) return answer_when_confirmed(now, job, unclear("what is in place can't be read"));
-    if (job.call == Call::Read) {
-        if (held.version == 0)
-            return answer_when_confirmed(now, job, refusal(404, "no configuration has been taken yet"));
-        return answer_when_confirmed(now, job, {200, held.document});
-    }
-    // Before it is read at all: a call that was taken stays taken, whatever is thought of it now.
-    if (std::any_of(held.accepted_changes.begin(), held.accepted_changes.end(),
-                    [&](const auto& taken) { return taken.digest == job.digest; })) {
-        job.committed_by = record_position_;
-        job.already_applied = true;
+void ConfigService::decide_change(Time now, PendingCall& call, const rpc::ConfigRecord& committed) {
+    // Before the body is parsed: a call that was accepted stays accepted, also by a release whose validation
+    // is stricter. I1: a repeated call is answered from the history and never applied a second time. I2: it
+    // waits until the record that holds that history is durable.
+    if (was_accepted(committed, call.digest)) {
+        call.state = AwaitingCommit{record_position_, true};
         return;
     }
-    // What is proposed may be this very call, sent before; and one at a time is decided.
+    // I1: one change at a time. The uncommitted entry may also be this very call, sent before.
     if (!has_no_uncommitted_entry()) return;
-    if (job.next_record && job.next_record->first == record_position_) return propose(now, job);
-    const auto read = mesh_config::parse_object(job.body);
-    if (!read) return reject(now, job, 400, "the body is no JSON object", "no JSON");
-    const Json& change = *read;
-    const auto text = [&](const char* field) {
-        const auto it = change.find(field);
-        return it != change.end() && it->is_string() ? mesh_config::parse_version(it->get<std::string>())
-                                                     : std::nullopt;
-    };
-    const auto version = text("version");
-    if (!version) return reject(now, job, 400, "version: eight hexadecimal digits are wanted", "version");
-    job.version = *version;
-    if (*version <= held.forgotten_up_to)
-        return answer_when_confirmed(now, job, unclear("too long ago to tell whether it was taken"));
-    std::uint32_t base = 0;
-    if (change.contains("base_version")) {
-        const auto named = text("base_version");
-        if (named) {
-            base = *named;
-        } else if (change["base_version"] != 0) {
-            return reject(now, job, 400, "base_version: eight hexadecimal digits are wanted", "base_version");
-        }
-    }
-    if (base != held.version)
-        return reject(now, job, 412, "version " + mesh_config::text_of(held.version) + " is in place",
-                      "another version is in place");
-    if (*version <= held.version)
-        return reject(now, job, 400, "version is not above " + mesh_config::text_of(held.version),
-                      "its version is not above");
-    std::variant<Json, mesh_config::ConfigError> whole = change;
-    if (job.call == Call::Modify) {
-        const Json document =
-            held.document.empty() ? Json::object() : Json::parse(held.document, nullptr, false);
-        whole = mesh_config::modified(document, change);
-    }
-    if (const auto* problem = std::get_if<mesh_config::ConfigError>(&whole))
-        return reject(now, job, 400, problem->text());
-    const Json& document = std::get<Json>(whole);
-    const auto config = mesh_config::read_config(document);
-    if (const auto* problem = std::get_if<mesh_config::ConfigError>(&config))
-        return reject(now, job, 400, problem->text());
-    rpc::ConfigRecord next{*version, document.dump(), held.accepted_changes, held.forgotten_up_to};
-    if (next.document.size() > rpc::kMaxDocumentBytes)
-        return reject(now, job, 413, "the configuration is too long");
-    next.accepted_changes.push_back({*version, job.digest});
-    if (const auto size = next.accepted_changes.size(); size > kMostHistory) {
-        const auto kept = next.accepted_changes.begin() + static_cast<std::ptrdiff_t>(size - kMostHistory);
-        next.forgotten_up_to = std::prev(kept)->version;
-        next.accepted_changes.erase(next.accepted_changes.begin(), kept);
+    auto& state = std::get<AwaitingDecision>(call.state);
+    if (state.prepared && state.prepared->based_on == record_position_) return propose(now, call, state);
+    prepare_change(now, call, committed);
+}
+
+/// The order of the checks decides which answer a request with several faults gets: it is part of the API.
+void ConfigService::prepare_change(Time now, PendingCall& call, const rpc::ConfigRecord& committed) {
+    const auto parsed = parse_change_request(call.kind, call.body);
+    const auto version = requested_version(parsed);
+    call.version = version.value_or(0);
+    // I1: beyond the history, a rejection could contradict an earlier 200.
+    if (version && is_before_history(committed, *version))
+        return answer_when_confirmed(now, call, indefinite("too long ago to tell whether it was taken"));
+    if (const auto* error = std::get_if<RequestError>(&parsed))
+        return reject(now, call, {400, error->message(), error->log_reason()});
+    const auto& request = std::get<ChangeRequest>(parsed);
+    // I1: of two changes on one base version, the second finds another version in place.
+    if (const auto rejection = check_base_version(committed, request)) return reject(now, call, *rejection);
+    // I1: versions rise, so none is used twice.
+    if (const auto rejection = check_version_rises(committed, request)) return reject(now, call, *rejection);
+    const auto document = next_document(committed, request);
+    if (const auto* rejection = std::get_if<Rejection>(&document)) return reject(now, call, *rejection);
+    const auto next = next_record(committed, request.version, std::get<Json>(document), call.digest);
+    if (const auto* rejection = std::get_if<Rejection>(&next)) return reject(now, call, *rejection);
+    // I1: the position ties the record to the one it was checked against; decide_change() compares it.
+    AwaitingDecision state{PreparedRecord{record_position_, rpc::encode(std::get<rpc::ConfigRecord>(next))}};
+    propose(now, call, call.state.emplace<AwaitingDecision>(std::move(state)));
+}
+
+/// If Raft takes no proposal now, the prepared record is kept for the next poll.
+void ConfigService::propose(Time now, PendingCall& call, AwaitingDecision& state) {
+    const auto entry = raft_.propose(now, state.prepared->encoded);
+    if (!entry) return;
+    call.state = AwaitingCommit{*entry, false};
+    pending_bytes_ -= std::exchange(call.body, {}).size();
+}
+
+void ConfigService::reject(Time now, PendingCall& call, const Rejection& rejection) {
+    if (on_decided) {
+        const bool has_reason = !rejection.log_reason.empty();
+        on_decided(false, call.version, has_reason ? rejection.log_reason : rejection.message);
     }
-    job.next_record = {record_position_, rpc::encode(next)};
-    propose(now, job);
+    answer_when_confirmed(now, call, error_response(rejection.status, rejection.message));
 }
 
-void ConfigService::propose(Time now, PendingCall& job) {
-    job.committed_by = raft_.propose(now, job.next_record->second);
-    if (!job.committed_by) return;  // not now: the value is kept, so that nothing is read twice
-    job.next_record.reset();
-    pending_bytes_ -= std::exchange(job.body, {}).size();
+void ConfigService::answer_when_confirmed(Time now, PendingCall& call, control_api::Response answer) {
+    const auto read_index = raft_.request_read_index(now);
+    call.state = AwaitingReadConfirmation{raft_.persistent_state().term, read_index, std::move(answer)};
 }
 
-std::optional<control_api::Response> ConfigService::poll_call(Time now, PendingCall& job) {
-    if (!job.committed_by && !job.read_round) {
-        if (raft_.role() != raft::RaftNode::Role::Leader) return redirect_to_leader(now, job.call);
-        if (raft_.has_leader_lease(now)) decide(now, job);
+// ---- Answering ----
+
+std::optional<control_api::Response> ConfigService::poll_call(Time now, PendingCall& call) {
+    if (std::holds_alternative<AwaitingDecision>(call.state)) {
+        if (raft_.role() != raft::RaftNode::Role::Leader) return redirect_to_leader(now, call.kind);
+        if (raft_.has_leader_lease(now)) decide(now, call);
     }
-    // What the register holds now may be on no disk yet, not even here: a core of one commits by itself, and
-    // an answer that speaks of it, be it a refusal, would outlive it.
-    const bool is_written = !raft_.has_output();
-    if (job.committed_by) {
-        // Committed in the term in which it was proposed, or never by us: then nothing clear can be said.
-        if (!raft_.may_still_commit(*job.committed_by))
-            return unclear("the lead was lost; it may be in force or not");
-        if (is_written && raft_.is_durable(*job.committed_by)) {
-            if (on_decided && !job.already_applied) on_decided(true, job.version, "");
-            return control_api::Response{200, "{}"};
-        }
-        if (now - job.received_at >= kLongest) return unclear("undecided; it may be in force or not");
-        return std::nullopt;
+    if (const auto* commit = std::get_if<AwaitingCommit>(&call.state)) return poll_commit(now, call, *commit);
+    if (auto* confirmation = std::get_if<AwaitingReadConfirmation>(&call.state)) {
+        // Another term's confirmation says nothing about which record was current in this one.
+        if (!raft_.may_still_commit({confirmation->decided_in_term, 0}))
+            return redirect_to_leader(now, call.kind);
+        // has_output(): the record that the answer speaks of may be on no disk yet (a group of one commits by
+        // itself); the answer, also a rejection, must not outlive it.
+        if (!raft_.has_output() && raft_.is_read_confirmed(confirmation->read_index))
+            return std::move(confirmation->answer);
     }
-    if (job.read_round) {
-        // A confirmation of another term says nothing about what was current in this one.
-        if (!raft_.may_still_commit({job.term, 0})) return redirect_to_leader(now, job.call);
-        if (is_written && raft_.is_read_confirmed(*job.read_round)) return std::move(job.answer);
+    if (now - call.received_at >= kDecisionTimeout) return indefinite("undecided; nothing was done");
+    return std::nullopt;
+}
+
+std::optional<control_api::Response> ConfigService::poll_commit(Time now, const PendingCall& call,
+                                                                const AwaitingCommit& state) const {
+    // I1: after a change of leader the entry may be committed or replaced, so neither 200 nor a rejection is
+    // safe.
+    if (!raft_.may_still_commit(state.entry))
+        return indefinite("the lead was lost; it may be in force or not");
+    // I2: has_output(): a group of one commits before its own disk has the entry.
+    if (!raft_.has_output() && raft_.is_durable(state.entry)) {
+        if (on_decided && !state.is_duplicate) on_decided(true, call.version, "");
+        return control_api::Response{200, "{}"};
     }
-    if (now - job.received_at >= kUndecided) return unclear("undecided; nothing was done");
+    if (now - call.received_at >= kCommitTimeout) return indefinite("undecided; it may be in force or not");
     return std::nullopt;
 }
 
 void ConfigService::process_pending(Time now) {
     std::vector<std::pair<control_api::Respond, control_api::Response>> answers;
-    for (auto job = pending_calls_.begin(); job != pending_calls_.end();) {
-        auto answer = poll_call(now, *job);
+    for (auto call = pending_calls_.begin(); call != pending_calls_.end();) {
+        auto answer = poll_call(now, *call);
         if (!answer) {
-            ++job;
+            ++call;
             continue;
         }
-        pending_bytes_ -= job->body.size();
-        answers.emplace_back(std::move(job->respond), std::move(*answer));
-        job = pending_calls_.erase(job);
+        pending_bytes_ -= call->body.size();
+        answers.emplace_back(std::move(call->respond), std::move(*answer));
+        call = pending_calls_.erase(call);
     }
-    // Last, since an answer may bring the next call with it.
+    // After the loop: an answer may submit the next call, which changes pending_calls_.
     for (auto& [respond, answer] : answers) respond(std::move(answer));
 }
 
--- a/tests/mesh/config_service_test.cpp
+++ b/tests/mesh/config_service_test.cpp
@@ -1,4 +1,5 @@
-// The operator's calls on a core of three in virtual time, as whole exchanges.
+// ConfigService on a Raft group of three in virtual time: whole exchanges of an operator, as approved
+// transcripts.
 #include "config_service/config_service.h"
 
 #include <doctest/doctest.h>
@@ -12,19 +13,19 @@
 
 namespace {
 
-/// Three registers and their clerks; messages arrive at once unless a machine is cut off.
-class Core {
+/// Three Raft nodes, each with its ConfigService. Messages arrive at once unless a machine is partitioned.
+class RaftGroup {
   public:
-    Core() {
+    RaftGroup() {
         std::vector<raft::Member> voters;
         for (std::size_t i = 0; i < 3; ++i)
             voters.push_back({i + 1, "10.0.0." + std::to_string(i + 1) + ":7000"});
         for (std::size_t i = 0; i < 3; ++i) {
-            raft::PersistentState disk;
-            disk.self_id = i + 1;
-            disk.last_entry.voters = disk.committed_entry.voters = voters;
+            raft::PersistentState state;
+            state.self_id = i + 1;
+            state.last_entry.voters = state.committed_entry.voters = voters;
             auto& machine = machines_[i];
-            machine.raft = std::make_unique<raft::RaftNode>(voters[i], disk, raft::RaftOptions{}, i + 11);
+            machine.raft = std::make_unique<raft::RaftNode>(voters[i], state, raft::RaftOptions{}, i + 11);
             machine.config_service = std::make_unique<config_service::ConfigService>(*machine.raft);
             machine.config_service->control_address_of = [](const raft::Member& m) {
                 return "http://" + m.address.substr(0, m.address.find(':')) + ":8000";
@@ -44,9 +45,10 @@
         }
         return 3;
     }
-    void cut(std::size_t i, bool is) { machines_[i].cut = is; }
+    void set_partitioned(std::size_t i, bool partitioned) { machines_[i].partitioned = partitioned; }
 
-    /// A call and its answer, added to the transcript.
+    /// Sends a call to machine `at`, adds it and its answer to the transcript, and returns the status; 0: no
+    /// answer.
     unsigned call(std::size_t at, const std::string& who, const std::string& what,
                   const std::string& body = "") {
         std::optional<control_api::Response> answer;
@@ -62,7 +64,7 @@
             return 0;
         }
         transcript += "  -> " + std::to_string(answer->status);
-        // Which machine leads is drawn: its address is not part of what was approved.
+        // The leader is elected at random: its address is no part of the transcript.
         if (!answer->location.empty())
             transcript += " to the leader, " + answer->location.substr(answer->location.rfind(":8000") + 5);
         if (!answer->body.empty()) transcript += " " + answer->body;
@@ -75,7 +77,7 @@
     struct Machine {
         std::unique_ptr<raft::RaftNode> raft;
         std::unique_ptr<config_service::ConfigService> config_service;
-        bool cut = false;
+        bool partitioned = false;
     };
     void deliver() {
         for (bool more = true; more;) {
@@ -84,7 +86,7 @@
                 while (from.raft->take_persist_request()) from.raft->on_persisted(now_);
                 for (const auto& message : from.raft->take_messages()) {
                     Machine& to = machines_[message.to - 1];
-                    if (from.cut != to.cut) continue;
+                    if (from.partitioned != to.partitioned) continue;
                     to.raft->receive(now_, message);
                     more = true;
                 }
@@ -106,38 +108,38 @@
 
 }  // namespace
 
-TEST_CASE("an operator's day: taken, resent, raced, invalid, changed by name, read") {
-    Core core;
-    const std::size_t leader = core.leader(), other = (leader + 1) % 3;
+TEST_CASE("an operator's changes: accepted, repeated, conflicting, invalid, by name; and a read") {
+    RaftGroup group;
+    const std::size_t leader = group.leader(), other = (leader + 1) % 3;
     REQUIRE(leader < 3);
-    core.call(leader, "operator", "read");
-    core.call(other, "operator", "replace", config("00000003", "00000000"));
-    core.call(leader, "operator", "replace", config("00000003", "00000000"));
-    core.call(leader, "operator, resent", "replace", config("00000003", "00000000"));
-    core.call(leader, "one of two", "replace", config("00000005", "00000003"));
-    core.call(leader, "the other", "replace", config("00000006", "00000003", "huvo", 2000));
-    core.call(leader, "operator, resent late", "replace", config("00000003", "00000000"));
-    core.call(leader, "unknown service", "replace", config("00000007", "00000005", "nobody"));
-    core.call(leader, "no timeout", "replace", config("00000007", "00000005", "huvo", 0));
-    core.call(leader, "long timeout", "replace", config("00000007", "00000005", "huvo", 600001));
-    core.call(leader, "bare prefix", "replace", config("00000007", "00000005", "huvo", 3000, "a/"));
-    core.call(leader, "old version", "replace", config("00000004", "00000005"));
-    core.call(leader, "cut short", "replace", config("00000007", "00000005").substr(0, 120));
-    core.call(
+    group.call(leader, "operator", "read");
+    group.call(other, "operator", "replace", config("00000003", "00000000"));
+    group.call(leader, "operator", "replace", config("00000003", "00000000"));
+    group.call(leader, "operator, resent", "replace", config("00000003", "00000000"));
+    group.call(leader, "one of two", "replace", config("00000005", "00000003"));
+    group.call(leader, "the other", "replace", config("00000006", "00000003", "huvo", 2000));
+    group.call(leader, "operator, resent late", "replace", config("00000003", "00000000"));
+    group.call(leader, "unknown service", "replace", config("00000007", "00000005", "nobody"));
+    group.call(leader, "no timeout", "replace", config("00000007", "00000005", "huvo", 0));
+    group.call(leader, "long timeout", "replace", config("00000007", "00000005", "huvo", 600001));
+    group.call(leader, "bare prefix", "replace", config("00000007", "00000005", "huvo", 3000, "a/"));
+    group.call(leader, "old version", "replace", config("00000004", "00000005"));
+    group.call(leader, "cut short", "replace", config("00000007", "00000005").substr(0, 120));
+    group.call(
         leader, "operator", "modify",
         R"({"version":"00000009","base_version":"00000005","upserts":{"listeners":[{"host":"h.example","rule_set":[{"name":"r-2","route_kind":"non_idempotent","matcher":{"path_prefix":"/b/"},"route_action":{"service":"huvo","timeout_ms":1000}}]}]},"removals":{"routes":["r-1"]}})");
-    core.call(leader, "operator", "read");
-    approve("operator", core.transcript);
+    group.call(leader, "operator", "read");
+    approve("operator", group.transcript);
 }
 
 TEST_CASE("every rejection of a change keeps its status, its body and its place in the order of checks") {
-    Core core;
-    const std::size_t leader = core.leader();
+    RaftGroup group;
+    const std::size_t leader = group.leader();
     const auto replace = [&](const std::string& who, const std::string& body) {
-        core.call(leader, who, "replace", body);
+        group.call(leader, who, "replace", body);
     };
     const auto modify = [&](const std::string& who, const std::string& body) {
-        core.call(leader, who, "modify", body);
+        group.call(leader, who, "modify", body);
     };
     const std::string empty = R"("listeners":[],"clusters":[]})";
     modify("modify before any configuration", R"({"version":"1","upserts":{"clusters":[{"name":"x"}]}})");
@@ -186,42 +188,42 @@
     modify("accepted: removals by both names of a list",
            R"({"version":"8","base_version":"7","removals":{)"
            R"("services":["y","none"],"tenants":["t"],"listeners":["none"],"rules":["none"]}})");
-    core.call(leader, "operator", "read");
-    approve("operator_rejections", core.transcript);
+    group.call(leader, "operator", "read");
+    approve("operator_rejections", group.transcript);
 }
 
-TEST_CASE("a leader that is cut off answers nothing that it can't be sure of") {
-    Core core;
-    const std::size_t old = core.leader();
-    REQUIRE(core.call(old, "operator", "replace", config("00000003", "00000000")) == 200);
-    core.cut(old, true);
-    // Taken in, but never on a majority: no 200; and what is current there is not said either.
-    const unsigned answer = core.call(old, "operator", "replace", config("00000004", "00000003"));
+TEST_CASE("a partitioned leader gives neither 200 nor 412") {
+    RaftGroup group;
+    const std::size_t old_leader = group.leader();
+    REQUIRE(group.call(old_leader, "operator", "replace", config("00000003", "00000000")) == 200);
+    group.set_partitioned(old_leader, true);
+    // Appended, but never on a majority: no 200. Nor is its committed version known to be current: no 412.
+    const unsigned answer = group.call(old_leader, "operator", "replace", config("00000004", "00000003"));
     CHECK(answer != 200);
     CHECK(answer != 412);
-    CHECK(core.call(old, "operator", "read") != 200);
-    core.run(2s);
-    const std::size_t fresh = core.leader();
-    REQUIRE(fresh < 3);
-    CHECK(fresh != old);
-    CHECK(core.call(fresh, "operator", "replace", config("00000005", "00000003")) == 200);
-    core.cut(old, false);
-    core.run(3s);
-    // What was refused by the cut is not in force anywhere.
-    CHECK(core.call(core.leader(), "operator", "replace", config("00000004", "00000003")) == 412);
+    CHECK(group.call(old_leader, "operator", "read") != 200);
+    group.run(2s);
+    const std::size_t new_leader = group.leader();
+    REQUIRE(new_leader < 3);
+    CHECK(new_leader != old_leader);
+    CHECK(group.call(new_leader, "operator", "replace", config("00000005", "00000003")) == 200);
+    group.set_partitioned(old_leader, false);
+    group.run(3s);
+    // The change that the partitioned leader could not commit is not in force anywhere.
+    CHECK(group.call(group.leader(), "operator", "replace", config("00000004", "00000003")) == 412);
 }
 
 TEST_CASE(
-    "thousands of changes later: a call that is known is taken still, one that is forgotten is never "
-    "refused") {
-    Core core;
-    const std::size_t leader = core.leader();
+    "after thousands of changes: a repeated call in the history gets 200, one before the history never a "
+    "rejection") {
+    RaftGroup group;
+    const std::size_t leader = group.leader();
     const auto version = [](std::uint32_t i) { return mesh_config::text_of(i * 3); };
     constexpr std::uint32_t kChanges = 4200;
     for (std::uint32_t i = 1; i <= kChanges; ++i)
-        REQUIRE(core.call(leader, "", "replace", config(version(i), version(i - 1))) == 200);
+        REQUIRE(group.call(leader, "", "replace", config(version(i), version(i - 1))) == 200);
     const auto sent = [&](std::uint32_t i, int timeout = 3000) {
-        return core.call(leader, "", "replace", config(version(i), version(i - 1), "huvo", timeout));
+        return group.call(leader, "", "replace", config(version(i), version(i - 1), "huvo", timeout));
     };
     CHECK(sent(1) == 503);
     CHECK(sent(kChanges - 4096) == 503);
@@ -230,10 +232,44 @@
     CHECK(sent(kChanges) == 200);
 }
 
-TEST_CASE("a body that is nested without end is refused, and the leader lives") {
-    Core core;
+TEST_CASE("a body nested a million deep is rejected, and the leader goes on") {
+    RaftGroup group;
     const std::string deep = R"({"version":"00000003","base_version":0,"listeners":[],"clusters":[],"x":)" +
                              std::string(1'000'000, '[') + std::string(1'000'000, ']') + "}";
-    CHECK(core.call(core.leader(), "", "replace", deep) == 400);
-    CHECK(core.call(core.leader(), "", "replace", config("00000003", "00000000")) == 200);
+    CHECK(group.call(group.leader(), "", "replace", deep) == 400);
+    CHECK(group.call(group.leader(), "", "replace", config("00000003", "00000000")) == 200);
+}
+
+TEST_CASE("parse_change_request: types at the edge, and errors with the version where it was readable") {
+    using namespace config_service;
+    const auto parse = [](const char* body) { return parse_change_request(CallKind::Replace, body); };
+    const auto accepted = [&](const char* body) {
+        const auto parsed = parse(body);
+        REQUIRE(std::holds_alternative<ChangeRequest>(parsed));
+        return std::get<ChangeRequest>(parsed);
+    };
+    CHECK(accepted(R"({"version":"1f","base_version":"1e"})").version == 0x1f);
+    CHECK(accepted(R"({"version":"1f","base_version":"1e"})").base_version == 0x1e);
+    CHECK(accepted(R"({"version":"ffffffff"})").base_version == 0);
+    CHECK(accepted(R"({"version":"1","base_version":0})").base_version == 0);
+    CHECK(std::holds_alternative<ReplaceDocument>(accepted(R"({"version":"1"})").operation));
+    const auto modify = parse_change_request(CallKind::Modify, R"({"version":"1"})");
+    CHECK(std::holds_alternative<ModifyDocument>(std::get<ChangeRequest>(modify).operation));
+
+    const auto fails = [&](const char* body, RequestError::Code code, std::optional<std::uint32_t> version) {
+        CAPTURE(body);
+        const auto parsed = parse(body);
+        REQUIRE(std::holds_alternative<RequestError>(parsed));
+        CHECK(std::get<RequestError>(parsed).code == code);
+        CHECK(requested_version(parsed) == version);
+    };
+    using Code = RequestError::Code;
+    fails("", Code::NotAnObject, std::nullopt);
+    fails("[]", Code::NotAnObject, std::nullopt);
+    fails(R"({"version":"1")", Code::NotAnObject, std::nullopt);
+    fails("{}", Code::InvalidVersion, std::nullopt);
+    fails(R"({"version":1})", Code::InvalidVersion, std::nullopt);
+    fails(R"({"version":"123456789"})", Code::InvalidVersion, std::nullopt);
+    fails(R"({"version":"1","base_version":"x"})", Code::InvalidBaseVersion, 1);
+    fails(R"({"version":"1","base_version":2})", Code::InvalidBaseVersion, 1);
 }
