--- a/tests/replica/state_process_test.cpp
+++ b/tests/replica/state_process_test.cpp
@@ -6,6 +6,7 @@
 #include <cstdio>
 #include <cstdlib>
 #include <filesystem>
+#include <fstream>
 #include <map>
 #include <random>
 #include <sstream>
@@ -42,7 +43,7 @@
         : folder_(folder_of(seed)),
           rig(loop, {MARTENFORD, members, 2, seed, "[state]\n" + fields, made(folder_), false, 512}) {
         rig.start_all();
-        EXPECT_TRUE(rig.await([&] { return rig.all_agree(); }, kPatience));
+        EXPECT_TRUE(all_ready());
     }
     ~StateOf() {
         EXPECT_EQ(rig.crashed(), std::nullopt) << "a process ended by itself";
@@ -61,18 +62,48 @@
     std::string remove(std::size_t member, const std::string& table, const std::string& key) {
         return field(call(member, fmt::format("delete {} {}", table, key)), "ticket");
     }
-    /// What stands; "-" where nothing does.
+    /// Whether it has a copy. A member that keeps its copy on disk has none, and refuses reads and writes,
+    /// until its helper has loaded it; the others may hold it alive before that.
+    bool is_ready(std::size_t member) { return !field(call(member, "self"), "digest").empty(); }
+    bool ready(std::size_t member) {
+        return rig.await([&] { return is_ready(member); }, kPatience);
+    }
+    /// Until all that are up hold each other alive and have a copy.
+    bool all_ready() {
+        const auto up = rig.all();
+        return rig.await([&] { return rig.all_agree(); }, kPatience) &&
+               std::all_of(up.begin(), up.end(), [&](std::size_t i) { return !rig.is_up(i) || ready(i); });
+    }
+    /// What stands; "-" where nothing does; kUnknown where the member does not answer, or has no copy yet.
+    static constexpr const char* kUnknown = "(unknown)";
     std::string get(std::size_t member, const std::string& table, const std::string& key) {
-        std::istringstream lines(call(member, "get " + table));
+        const auto reply = rig.call(member, "state get " + table);
+        if (!reply || !field(*reply, "refused").empty()) return kUnknown;
+        std::istringstream lines(*reply);
         for (std::string line; std::getline(lines, line);) {
             if (field(line, "key") == key && field(line, "standing") == "1") return field(line, "value");
         }
         return "-";
     }
+    /// The dots (writer and count) of what stands; empty `key`: of all keys.
+    std::set<std::string> dots(std::size_t member, const std::string& table, const std::string& key = {}) {
+        std::set<std::string> result;
+        std::istringstream lines(call(member, "get " + table));
+        for (std::string line; std::getline(lines, line);) {
+            if (field(line, "standing") == "1" && (key.empty() || field(line, "key") == key))
+                result.insert(field(line, "writer") + "." + field(line, "count"));
+        }
+        return result;
+    }
     bool all_have(const std::string& table, const std::string& key, const std::string& value) {
+        return have(rig.all(), table, key, value);
+    }
+    /// Those of `who` that are up.
+    bool have(const std::set<std::size_t>& who, const std::string& table, const std::string& key,
+              const std::string& value) {
         return rig.await(
             [&] {
-                for (const std::size_t i : rig.all()) {
+                for (const std::size_t i : who) {
                     if (rig.is_up(i) && get(i, table, key) != value) return false;
                 }
                 return true;
@@ -156,13 +187,19 @@
 
 TEST(StateProcesses, BothSidesOfAPartitionAreShownToAllUntilSomebodySettlesIt) {
     StateOf state(6);
-    state.cut({0, 1, 2});
+    const std::set<std::size_t> left{0, 1, 2}, right{3, 4, 5};
+    state.cut(left);
     ASSERT_TRUE(state.hold(state.rig.all(), 3));
-    state.put(0, "overrides", "e", "exclude");
-    state.put(5, "overrides", "e", "include");
-    state.put(2, "settings", "s", "left");
-    state.put(3, "settings", "s", "right");
-    EXPECT_EQ(state.get(4, "overrides", "e"), "include");
+    ASSERT_FALSE(state.put(0, "overrides", "e", "exclude").empty());
+    ASSERT_FALSE(state.put(5, "overrides", "e", "include").empty());
+    ASSERT_FALSE(state.put(2, "settings", "s", "left").empty());
+    ASSERT_FALSE(state.put(3, "settings", "s", "right").empty());
+    // The answer to a put says that it is written at that member; the others get it by pushes and
+    // comparisons.
+    EXPECT_TRUE(state.have(left, "overrides", "e", "exclude"));
+    EXPECT_TRUE(state.have(right, "overrides", "e", "include"));
+    EXPECT_TRUE(state.have(left, "settings", "s", "left"));
+    EXPECT_TRUE(state.have(right, "settings", "s", "right"));
     state.rig.net().heal();
     EXPECT_TRUE(state.all_have("overrides", "e", "exclude"));  // the safer
     EXPECT_TRUE(state.all_equal());
@@ -284,9 +321,9 @@
 /// With a copy on disk each.
 class KeptState : public StateOf {
   public:
-    explicit KeptState(std::size_t members, std::uint64_t seed = 1)
+    explicit KeptState(std::size_t members, std::uint64_t seed = 1, const std::string& fields = {})
         : StateOf(members, seed,
-                  fmt::format("directory = \"{}/kept-{{name}}\"\n", folder_of(seed).string())) {}
+                  fmt::format("directory = \"{}/kept-{{name}}\"\n", folder_of(seed).string()) + fields) {}
     std::filesystem::path file(std::size_t member, const std::string& name = "state.db") const {
         return folder() / fmt::format("kept-n{}", member) / name;
     }
@@ -299,7 +336,7 @@
     }
     bool start_all_again() {
         rig.start_all();
-        return rig.await([&] { return rig.all_agree(); }, kPatience);
+        return all_ready();
     }
 };
 
@@ -327,24 +364,74 @@
     const auto backup = state.folder() / "backup";
     std::filesystem::copy(state.file(0).parent_path(), backup);
     state.rig.start(0);
-    ASSERT_TRUE(state.rig.await([&] { return state.rig.all_agree(); }, kPatience));
+    ASSERT_TRUE(state.all_ready());
     for (int i = 0; i < 5; ++i)
         ASSERT_EQ(field(state.outcome(0, state.put(0, "settings", fmt::format("k{}", i), "1")), "reached"),
                   "1");
-    ASSERT_TRUE(state.all_have("settings", "k4", "1"));
-    state.remove(2, "settings", "a");
+    for (int i = 0; i < 5; ++i) ASSERT_TRUE(state.all_have("settings", fmt::format("k{}", i), "1"));
+    const std::set<std::string> used = state.dots(2, "settings");
+    ASSERT_EQ(used.size(), 6u);  // of "a" and of the five
+    ASSERT_FALSE(state.remove(2, "settings", "a").empty());
     state.rig.kill(0);
     ASSERT_TRUE(state.put_away(0));
     std::filesystem::remove_all(state.file(0).parent_path());
     std::filesystem::copy(backup, state.file(0).parent_path());
+    // Cut off until it has written, so that it writes with the state of the backup and not after it has
+    // caught up: a count that went on from the backup would give k0 the dot that it had before.
+    state.cut({0});
     state.rig.start(0);
-    EXPECT_TRUE(state.all_have("settings", "a", "-"));
+    ASSERT_TRUE(state.ready(0));
+    EXPECT_EQ(field(state.call(0, "self"), "from_disk"), "1");
+    EXPECT_EQ(state.get(0, "settings", "a"), "old");
+    EXPECT_EQ(state.get(0, "settings", "k0"), "-");
     ASSERT_FALSE(state.put(0, "settings", "k0", "new").empty());
+    EXPECT_EQ(state.get(0, "settings", "k0"), "new");
+    const std::set<std::string> fresh = state.dots(0, "settings", "k0");
+    ASSERT_EQ(fresh.size(), 1u);
+    EXPECT_FALSE(used.contains(*fresh.begin())) << *fresh.begin();
+    state.rig.net().heal();
+    EXPECT_TRUE(state.all_have("settings", "a", "-"));
     EXPECT_TRUE(state.all_have("settings", "k0", "new"));
+    EXPECT_TRUE(state.all_equal());
+    ASSERT_FALSE(state.put(0, "settings", "k1", "newer").empty());  // after it has caught up
+    EXPECT_TRUE(state.all_have("settings", "k1", "newer"));
+    EXPECT_TRUE(state.all_have("settings", "k2", "1"));
     EXPECT_TRUE(state.all_have("settings", "k3", "1"));
     EXPECT_TRUE(state.all_equal());
 }
 
+TEST(StateProcesses, AMemberWhoseHelperHasNotLoadedRefusesWritesAndIsNotReadAsEmpty) {
+    // A helper that starts when this test lets it.
+    const auto folder = StateOf::folder_of(1);
+    const std::string go = folder / "go", helper = folder / "late-helper";
+    std::filesystem::create_directories(folder);
+    std::ofstream(go).close();
+    std::ofstream(helper) << "#!/bin/sh\nuntil [ -e '" << go
+                          << "' ]; do [ -e \"$0\" ] || exit 1; sleep 0.05; done\nexec '"
+                          << std::filesystem::path(MARTENFORD).replace_filename("martenford-ledger").string()
+                          << "' \"$@\"\n";
+    std::filesystem::permissions(helper, std::filesystem::perms::owner_all);
+    KeptState state(3, 1, fmt::format("helper = \"{}\"\n", helper));
+    ASSERT_EQ(field(state.outcome(0, state.put(0, "settings", "a", "1")), "reached"), "1");
+    ASSERT_TRUE(state.all_have("settings", "a", "1"));
+    EXPECT_EQ(state.get(0, "settings", "b"), "-");
+    state.rig.kill(0);
+    ASSERT_TRUE(state.put_away(0));
+    EXPECT_EQ(state.get(0, "settings", "b"), StateOf::kUnknown);  // it is down
+    std::filesystem::remove(go);
+    state.rig.start(0);
+    ASSERT_TRUE(state.rig.await([&] { return state.rig.all_agree(); }, kPatience));
+    EXPECT_FALSE(state.is_ready(0));
+    EXPECT_NE(state.call(0, "put settings b 1").find("refused="), std::string::npos);
+    EXPECT_EQ(state.get(0, "settings", "b"), StateOf::kUnknown);
+    EXPECT_EQ(state.get(1, "settings", "b"), "-");  // nothing of it was written
+    std::ofstream(go).close();
+    ASSERT_TRUE(state.ready(0));
+    EXPECT_EQ(field(state.call(0, "self"), "from_disk"), "1");
+    ASSERT_EQ(field(state.outcome(0, state.put(0, "settings", "b", "1")), "reached"), "1");
+    EXPECT_TRUE(state.all_have("settings", "b", "1"));
+}
+
 TEST(StateProcesses, ACopyThatCanNotBeUsedIsSetAsideNamedAndKept) {
     KeptState state(3);
     ASSERT_EQ(field(state.outcome(0, state.put(0, "settings", "a", "1", "others=2 within=5000")), "reached"),
