--- a/src/raft/voter_selection.cpp
+++ b/src/raft/voter_selection.cpp
@@ -1,24 +1,26 @@
+// Which members vote: ranks the subsets of the candidates.
 #include "raft/voter_selection.h"
 
 #include <algorithm>
-#include <array>
-#include <bit>
 #include <map>
 #include <tuple>
+#include <utility>
 
 namespace martenford::raft {
 
 namespace {
 
-/// Of a set: how many lie in each place, the most first.
-template <class Place>
-std::vector<std::size_t> counts(const std::vector<Member>& members, Place place) {
-    std::map<std::string, std::size_t> by_place;
-    for (const Member& member : members) ++by_place[member.*place];
-    std::vector<std::size_t> out;
-    for (const auto& [name, count] : by_place) out.push_back(count);
-    std::sort(out.rbegin(), out.rend());
-    return out;
+/// Returns how many members each location has, in descending order. `location` is Member::zone or
+/// Member::region.
+std::vector<std::size_t> counts_by_location(const std::vector<Member>& members,
+                                            std::string Member::*location) {
+    std::map<std::string, std::size_t> by_location;
+    for (const Member& member : members) ++by_location[member.*location];
+    std::vector<std::size_t> counts;
+    counts.reserve(by_location.size());
+    for (const auto& [name, count] : by_location) counts.push_back(count);
+    std::sort(counts.rbegin(), counts.rend());
+    return counts;
 }
 
 std::size_t sum_of_first(const std::vector<std::size_t>& counts, std::size_t n) {
@@ -27,78 +29,104 @@
     return sum;
 }
 
-/// The most voters that one loss may take, and what a majority can do without.
-struct Reach {
-    std::size_t lost = 0, spare = 0, largest_zone = 0, largest_region = 0;
-    std::size_t shortfall() const { return lost > spare ? lost - spare : 0; }
+/// What the failures to tolerate do to a set of voters.
+struct FailureImpact {
+    std::size_t max_lost = 0;         // voters that the worst of the failures takes
+    std::size_t expendable = 0;       // voters that a majority can do without
+    std::size_t in_largest_zone = 0;  // voters
+    std::size_t in_largest_region = 0;
+    /// Voters lost beyond those that a majority can do without; 0: all failures are tolerated.
+    [[nodiscard]] std::size_t shortfall() const { return max_lost > expendable ? max_lost - expendable : 0; }
 };
 
-Reach reach(const std::vector<Member>& voters, const FaultTolerance& tolerance) {
-    const auto zones = counts(voters, &Member::zone), regions = counts(voters, &Member::region);
-    Reach out;
-    out.lost = std::max({std::min(tolerance.machines, voters.size()), sum_of_first(zones, tolerance.zones),
-                         sum_of_first(regions, tolerance.regions)});
-    out.spare = voters.empty() ? 0 : voters.size() - (voters.size() / 2 + 1);
-    out.largest_zone = zones.empty() ? 0 : zones.front();
-    out.largest_region = regions.empty() ? 0 : regions.front();
-    return out;
+FailureImpact failure_impact(const std::vector<Member>& voters, const FaultTolerance& tolerance) {
+    const auto zones = counts_by_location(voters, &Member::zone);
+    const auto regions = counts_by_location(voters, &Member::region);
+    FailureImpact impact;
+    impact.max_lost =
+        std::max({std::min(tolerance.machines, voters.size()), sum_of_first(zones, tolerance.zones),
+                  sum_of_first(regions, tolerance.regions)});
+    impact.expendable = voters.empty() ? 0 : voters.size() - (voters.size() / 2 + 1);
+    impact.in_largest_zone = zones.empty() ? 0 : zones.front();
+    impact.in_largest_region = regions.empty() ? 0 : regions.front();
+    return impact;
+}
+
+/// Ranks a choice of voters: the lower, the better, compared field by field in this order.
+struct ChoiceRank {
+    std::size_t shortfall = 0;          // failures that it does not tolerate, see FailureImpact
+    std::size_t size = 0;               // voters; of fewer than 2f+1 with a shortfall, how many are missing
+    std::size_t silent = 0;             // voters that do not answer
+    std::size_t in_largest_region = 0;  // voters
+    std::size_t in_largest_zone = 0;    // voters
+    std::size_t newcomers = 0;          // that do not vote today
+    std::uint32_t subset = 0;           // of the sorted candidates, as bits: all leaders decide ties alike
+    auto operator<=>(const ChoiceRank&) const = default;
+};
+
+struct Choice {
+    ChoiceRank rank;
+    std::vector<Member> voters;
+};
+
+/// Returns the choice of those candidates whose bit in `subset` is set.
+Choice evaluate_choice(const std::vector<VoterCandidate>& candidates, std::uint32_t subset,
+                       const FaultTolerance& tolerance) {
+    Choice choice;
+    for (std::size_t i = 0; i < candidates.size(); ++i) {
+        if ((subset >> i & 1) == 0) continue;
+        choice.voters.push_back(candidates[i].member);
+        choice.rank.silent += candidates[i].is_live ? 0 : 1;
+        choice.rank.newcomers += candidates[i].is_voter ? 0 : 1;
+    }
+    const FailureImpact impact = failure_impact(choice.voters, tolerance);
+    const std::size_t size = choice.voters.size();
+    const std::size_t wanted = 2 * tolerance.machines + 1;
+    choice.rank.shortfall = impact.shortfall();
+    choice.rank.size = impact.shortfall() == 0 || size > wanted ? size : wanted - size;
+    choice.rank.in_largest_region = impact.in_largest_region;
+    choice.rank.in_largest_zone = impact.in_largest_zone;
+    choice.rank.subset = subset;
+    return choice;
 }
 
 }  // namespace
 
 bool tolerates_failures(const std::vector<Member>& voters, const FaultTolerance& tolerance) {
-    return !voters.empty() && reach(voters, tolerance).shortfall() == 0;
+    return !voters.empty() && failure_impact(voters, tolerance).shortfall() == 0;
 }
 
 bool replicas_survive_failures(const std::vector<Member>& holders, const std::vector<Member>& voters,
                                const FaultTolerance& tolerance) {
     if (holders.empty()) return false;
-    const auto outlives = [](std::size_t held, std::size_t all, std::size_t lost) {
-        return held > lost || all <= lost;  // where all may go, no copy can be kept
+    const auto survives = [](std::size_t holding, std::size_t all, std::size_t lost) {
+        return holding > lost || all <= lost;
     };
-    return outlives(holders.size(), voters.size(), tolerance.machines) &&
-           outlives(counts(holders, &Member::zone).size(), counts(voters, &Member::zone).size(),
-                    tolerance.zones) &&
-           outlives(counts(holders, &Member::region).size(), counts(voters, &Member::region).size(),
+    const auto locations = [](const std::vector<Member>& members, std::string Member::*location) {
+        return counts_by_location(members, location).size();
+    };
+    return survives(holders.size(), voters.size(), tolerance.machines) &&
+           survives(locations(holders, &Member::zone), locations(voters, &Member::zone), tolerance.zones) &&
+           survives(locations(holders, &Member::region), locations(voters, &Member::region),
                     tolerance.regions);
 }
 
 std::vector<Member> choose_voters(std::vector<VoterCandidate> candidates, const FaultTolerance& tolerance) {
-    // Machines that don't count never vote, unless there are no others at all.
-    if (std::any_of(candidates.begin(), candidates.end(),
-                    [](const auto& c) { return c.member.loss_counted; }))
-        std::erase_if(candidates, [](const auto& c) { return !c.member.loss_counted; });
+    const auto is_counted = [](const VoterCandidate& candidate) { return candidate.member.loss_counted; };
+    if (std::any_of(candidates.begin(), candidates.end(), is_counted))
+        std::erase_if(candidates, [&](const VoterCandidate& candidate) { return !is_counted(candidate); });
     std::sort(candidates.begin(), candidates.end(), [](const VoterCandidate& a, const VoterCandidate& b) {
         return std::tuple(!a.is_voter, !a.is_live, a.member.id) <
                std::tuple(!b.is_voter, !b.is_live, b.member.id);
     });
     if (candidates.size() > kMaxVoterCandidates) candidates.resize(kMaxVoterCandidates);
 
-    const std::size_t wanted = 2 * tolerance.machines + 1;
-    // The less the better, from left to right; the last is the subset itself, so that all decide alike.
-    using Rank = std::array<std::size_t, 7>;
-    Rank best{};
-    std::vector<Member> chosen;
+    Choice best;
     for (std::uint32_t subset = 1; subset < 1U << candidates.size(); ++subset) {
-        std::vector<Member> voters;
-        std::size_t silent = 0, strangers = 0;
-        for (std::size_t i = 0; i < candidates.size(); ++i) {
-            if (!(subset >> i & 1)) continue;
-            voters.push_back(candidates[i].member);
-            silent += !candidates[i].is_live;
-            strangers += !candidates[i].is_voter;
-        }
-        const Reach found = reach(voters, tolerance);
-        const std::size_t size = voters.size();
-        const std::size_t off = found.shortfall() == 0 || size > wanted ? size : wanted - size;
-        const Rank rank{found.shortfall(),  off,       silent, found.largest_region,
-                        found.largest_zone, strangers, subset};
-        if (chosen.empty() || rank < best) {
-            best = rank;
-            chosen = std::move(voters);
-        }
+        Choice choice = evaluate_choice(candidates, subset, tolerance);
+        if (best.voters.empty() || choice.rank < best.rank) best = std::move(choice);
     }
-    return chosen;
+    return std::move(best.voters);
 }
 
 }  // namespace martenford::raft
--- a/src/raft/voter_selection.h
+++ b/src/raft/voter_selection.h
@@ -1,5 +1,5 @@
-// Which members vote: as many as must be there so that every loss that is to be borne leaves a majority of
-// them, spread over zones and regions. Pure.
+// Which members vote: enough of them that each failure to tolerate leaves a majority, spread over zones and
+// regions. Pure functions.
 #pragma once
 
 #include <cstddef>
@@ -9,43 +9,55 @@
 
 namespace martenford::raft {
 
+/// Identifies a disk: a machine that lost its disk returns under another id at the same address. 0: none.
 using MemberId = std::uint64_t;
 
-/// A disk that may vote. A machine that lost its disk comes back as another member at the same address.
+/// A node of the register: a voter, or a learner that may become one.
 struct Member {
     MemberId id = 0;
-    std::string address;           ///< "ip:port" where it hears messages
-    std::string zone{}, region{};  ///< empty: not known yet
-    bool loss_counted = true;      ///< its loss is counted among those that must be borne; others never vote
+    std::string address;   ///< "ip:port" at which it receives messages
+    std::string zone{};    ///< empty: not known yet
+    std::string region{};  ///< empty: not known yet
+    /// Whether its machine is one of those whose failure is to be tolerated. Others vote only where there are
+    /// none.
+    bool loss_counted = true;
     bool operator==(const Member&) const = default;
 };
 
-/// What may be lost at once: so many machines, or so many zones, or so many regions.
+/// Failures to tolerate, one kind at a time: the loss of so many machines, or of so many zones, or of so many
+/// regions. From the settings file, [fault_tolerance].
 struct FaultTolerance {
-    std::size_t machines = 1, zones = 0, regions = 0;
+    std::size_t machines = 1;
+    std::size_t zones = 0;
+    std::size_t regions = 0;
 };
 
-/// Whether each loss that is to be borne leaves a majority of `voters`.
-bool tolerates_failures(const std::vector<Member>& voters, const FaultTolerance& tolerance);
+/// Bound of the candidates that are considered: choose_voters() looks at each of their 4,096 subsets.
+constexpr std::size_t kMaxVoterCandidates = 12;
+/// Bound of FaultTolerance::machines: 2f+1 = 11 voters are within kMaxVoterCandidates.
+constexpr std::size_t kMaxToleratedMachines = 5;
 
-/// Whether no loss that `voters` outlive takes all of `holders`: a copy is left wherever one can be.
-bool replicas_survive_failures(const std::vector<Member>& holders, const std::vector<Member>& voters,
-                               const FaultTolerance& tolerance);
+/// Returns whether each of the failures leaves a majority of `voters`. False if there are none.
+[[nodiscard]] bool tolerates_failures(const std::vector<Member>& voters, const FaultTolerance& tolerance);
+
+/// Returns whether a replica is left on one of `holders` after each of the failures. A failure that would
+/// take all of `voters` is not asked for: no replica could survive it.
+[[nodiscard]] bool replicas_survive_failures(const std::vector<Member>& holders,
+                                             const std::vector<Member>& voters,
+                                             const FaultTolerance& tolerance);
 
 struct VoterCandidate {
     Member member;
-    bool is_voter = false;  ///< in the set in force
-    bool is_live = false;   ///< answers, and its disk is its own
+    bool is_voter = false;  ///< in the configuration in force
+    bool is_live = false;   ///< answers the leader, and its disk has not been replaced
     bool operator==(const VoterCandidate&) const = default;
 };
 
-/// The set that should vote. Where no set bears all losses: as many as 2f+1 would be, the best spread. Silent
-/// voters are kept until a live one can take their place: a disk that is away may come back. At most
-/// kMostCandidates are weighed, those that vote first.
-std::vector<Member> choose_voters(std::vector<VoterCandidate> candidates, const FaultTolerance& tolerance);
-
-constexpr std::size_t kMaxVoterCandidates =
-    12;  // each of their 4,096 subsets is looked at when something changes
-constexpr std::size_t kMaxToleratedMachines = 5;  // that can be borne: 11 voters
+/// Returns the members that should vote. Where no choice tolerates all failures, it is the best spread choice
+/// of 2f+1 members. A voter that does not answer is kept until a live candidate can replace it: its disk may
+/// return. Considers at most kMaxVoterCandidates, voters before others and live ones before silent ones. The
+/// result does not depend on the order of `candidates`.
+[[nodiscard]] std::vector<Member> choose_voters(std::vector<VoterCandidate> candidates,
+                                                const FaultTolerance& tolerance);
 
 }  // namespace martenford::raft
