--- a/tests/mesh/defects/defects.cmake
+++ b/tests/mesh/defects/defects.cmake
@@ -1,125 +1,128 @@
-# Defects that the explorer must find: each replaces one text of src/raft/raft_node.cpp, which must stand there exactly
-# once. Included by ../CMakeLists.txt, which makes a test of each, and at build time by seed.cmake, which applies one.
+# Defects that the explorer must find: each replaces one text of a file of src/raft, which must stand there exactly once.
+# Included by ../CMakeLists.txt, which makes a program and a test of each, and at build time by seed.cmake, which applies
+# one. seeded_defect(NAME FILE WHAT OLD NEW)
 
-seeded_defect(unsynced_vote "a vote goes out before it is on disk"
+# ---- election.cpp
+
+seeded_defect(unsynced_vote election.cpp "a vote goes out before it is on disk"
 [[        state_.voted_for = message.from.id;
         must_persist_ = true;
 ]] [[        state_.voted_for = message.from.id;
 ]])
 
-seeded_defect(unsynced_candidacy "a candidate's new term and its vote for itself are not persisted"
+seeded_defect(unsynced_candidacy election.cpp "a candidate's new term and its vote for itself are not persisted"
 [[        state_.voted_for = self_.id;
         must_persist_ = true;
 ]] [[        state_.voted_for = self_.id;
 ]])
 
-seeded_defect(unsynced_term "a term that was heard of is not persisted"
+seeded_defect(unsynced_term election.cpp "a term that was learned from a message is not persisted"
 [[        state_.voted_for = 0;
         must_persist_ = true;
 ]] [[        state_.voted_for = 0;
 ]])
 
-seeded_defect(unsynced_entry "an entry is acknowledged before it is on disk"
-[[        state_.last_entry = *message.entry;
-        must_persist_ = true;
-]] [[        state_.last_entry = *message.entry;
-]])
+seeded_defect(two_votes_in_a_term election.cpp "the vote that was given in this term is forgotten"
+[[const bool vote_free = state_.voted_for == 0 || state_.voted_for == message.from.id;]]
+[[const bool vote_free = true;]])
+
+seeded_defect(vote_for_the_behind election.cpp "a vote does not require that the candidate's log is up to date"
+[[const bool up_to_date = message.last_position >= state_.last_entry.position;]]
+[[const bool up_to_date = true;]])
+
+seeded_defect(old_majority_not_asked election.cpp "an election in joint consensus takes no majority of the outgoing voters"
+[[    for (const auto* voters : {&state_.last_entry.voters, &state_.last_entry.outgoing_voters}) {
+        const auto granted]] [[    for (const auto* voters : {&state_.last_entry.voters}) {
+        const auto granted]])
+
+seeded_defect(history_lost election.cpp "a new leader starts from its committed entry, not from its last entry"
+[[    append(now, state_.last_entry.voters, state_.last_entry.outgoing_voters, state_.last_entry.value);]]
+[[    append(now, state_.last_entry.voters, state_.last_entry.outgoing_voters, state_.committed_entry.value);]])
 
-seeded_defect(wiped_voter_votes "what came after a lost disk answers what that one was asked"
+# ---- raft_node.cpp
+
+seeded_defect(wiped_voter_votes raft_node.cpp "a node that lost its disk answers messages to its former id"
 [[    if (message.to != self_.id) return;
 ]] [[]])
 
-seeded_defect(two_votes_in_a_term "the vote that was given in this term is forgotten"
-[[const bool free = state_.voted_for == 0 || state_.voted_for == message.from.id;]]
-[[const bool free = true;]])
-
-seeded_defect(vote_for_the_behind "the vote doesn't ask whether the candidate has all"
-[[const bool has_all = message.last_position >= state_.last_entry.position;]]
-[[const bool has_all = true;]])
+# ---- replication.cpp
 
-seeded_defect(old_majority_not_asked "an election while members change asks no majority of the outgoing set"
-[[    for (const auto* set : {&state_.last_entry.voters, &state_.last_entry.outgoing_voters}) {
-        const auto count]] [[    for (const auto* set : {&state_.last_entry.voters}) {
-        const auto count]])
+seeded_defect(unsynced_entry replication.cpp "an entry is acknowledged before it is on disk"
+[[        state_.last_entry = *message.entry;
+        must_persist_ = true;
+]] [[        state_.last_entry = *message.entry;
+]])
 
-seeded_defect(old_majority_not_waited_for "an entry is committed without a majority of the outgoing set"
-[[        if (set->empty()) continue;
-]] [[        if (set->empty() || set == &state_.last_entry.outgoing_voters) continue;
+seeded_defect(old_majority_not_waited_for replication.cpp "an entry is committed without a majority of the outgoing voters"
+[[        if (voters->empty()) continue;
+]] [[        if (voters->empty() || voters == &state_.last_entry.outgoing_voters) continue;
 ]])
 
-seeded_defect(swap_without_overlap "one set follows another in one step"
-[[    append(now, std::move(chosen), voters, state_.last_entry.value);]]
-[[    append(now, std::move(chosen), {}, state_.last_entry.value);]])
+seeded_defect(committed_before_majority replication.cpp "an entry is committed before a majority has it"
+[[progress.has_last_entry = peer->second.match_position == state_.last_entry.position;]]
+[[progress.has_last_entry = true;]])
+
+seeded_defect(own_copy_before_sync replication.cpp "the leader counts its own copy before it is on disk"
+[[progress.has_last_entry = persisted_position_ == state_.last_entry.position;]]
+[[progress.has_last_entry = true;]])
 
-seeded_defect(change_ends_uncommitted "the old set goes before the change is committed"
-[[    if (state_.last_entry.outgoing_voters.empty() || !has_leader_lease(now) ||
-        state_.committed_entry.position != state_.last_entry.position)
-        return;]]
-[[    if (state_.last_entry.outgoing_voters.empty() || !has_leader_lease(now)) return;]])
-
-seeded_defect(change_on_uncommitted "a change of members begins on an uncommitted entry"
-[[    if (!has_leader_lease(now) || state_.committed_entry.position != state_.last_entry.position ||
-        !state_.last_entry.outgoing_voters.empty())
-        return;
-    std::vector<VoterCandidate> candidates;]]
-[[    if (!has_leader_lease(now) || !state_.last_entry.outgoing_voters.empty()) return;
-    std::vector<VoterCandidate> candidates;]])
-
-seeded_defect(committed_before_majority "an entry is committed before a majority has it"
-[[holds.push_back(peer->second.match_position == state_.last_entry.position);]]
-[[holds.push_back(true);]])
-
-seeded_defect(own_copy_before_sync "the leader counts its own copy before it is on disk"
-[[holds.push_back(persisted_position_ == state_.last_entry.position);]]
-[[holds.push_back(true);]])
-
-seeded_defect(answer_before_commit "a 200 goes out as soon as the leader holds the entry"
-[[    if (role_ != Role::Leader || state_.committed_entry.position < stamp) return false;
+seeded_defect(answer_before_commit replication.cpp "an operator is answered 200 as soon as the leader has the entry"
+[[    if (role_ != Role::Leader || state_.committed_entry.position < position) return false;
 ]] [[    if (role_ == Role::Leader) return true;
 ]])
 
-seeded_defect(answer_before_copies "a 200 goes out with as few copies as a set that still grows commits with"
+seeded_defect(answer_before_copies replication.cpp "an operator is answered 200 with as few copies as a configuration that still grows commits with"
 [[    return replicas_survive_failures(holders, voters_with_locations(), options_.fault_tolerance);]]
 [[    return true;]])
 
-seeded_defect(ack_for_the_wrong_entry "an acknowledgement of an older entry is taken for the newest"
+seeded_defect(ack_for_the_wrong_entry replication.cpp "an acknowledgement of an older entry is taken for the last one"
 [[    peer.match_position = message.last_position;]]
 [[    peer.match_position = state_.last_entry.position;]])
 
-seeded_defect(commit_told_too_far "a follower takes its own newest for committed because a later one is"
+seeded_defect(commit_told_too_far replication.cpp "a follower takes its last entry for committed because a later one is"
 [[    if (message.commit_position == state_.last_entry.position &&
         state_.committed_entry.position < state_.last_entry.position) {]]
 [[    if (message.commit_position >= state_.last_entry.position &&
         state_.committed_entry.position < state_.last_entry.position) {]])
 
-seeded_defect(history_lost "a new leader starts from what it knows as committed, not from what it holds"
-[[    append(now, state_.last_entry.voters, state_.last_entry.outgoing_voters, state_.last_entry.value);]]
-[[    append(now, state_.last_entry.voters, state_.last_entry.outgoing_voters, state_.committed_entry.value);]])
-
-seeded_defect(older_entry_accepted "a late entry takes the place of a newer one"
+seeded_defect(older_entry_accepted replication.cpp "a delayed entry replaces a newer one"
 [[    if (message.entry && message.entry->position > state_.last_entry.position) {]]
 [[    if (message.entry && message.entry->position != state_.last_entry.position) {]])
 
-seeded_defect(own_entry_not_needed "a new leader answers before an entry of its own term is committed"
-[[    return role_ == Role::Leader && !persist_failed_ && state_.committed_entry.position.term == state_.term &&
-]] [[    return role_ == Role::Leader && !persist_failed_ &&
-]])
-
-seeded_defect(lease_from_arrival "the leader's lease counts from when an answer is read"
-[[    if (asked <= now) peer.acknowledged_at = std::max(peer.acknowledged_at, asked);]]
-[[    if (asked <= now) peer.acknowledged_at = now;]])
+seeded_defect(lease_from_arrival replication.cpp "the leader's lease counts from when a reply is read"
+[[    if (request_sent_at <= now) peer.acknowledged_at = std::max(peer.acknowledged_at, request_sent_at);]]
+[[    if (request_sent_at <= now) peer.acknowledged_at = now;]])
 
-seeded_defect(touch_from_arrival "a follower counts contact from when the leader's word is read"
-[[        quorum_contact_at_ =
-            std::max(quorum_contact_at_,
-                     contact_sent_at_[contact_sent_at_.size() - 1 - static_cast<std::size_t>(ago)]);]]
+seeded_defect(touch_from_arrival replication.cpp "a follower counts contact from when the leader's message is read"
+[[        quorum_contact_at_ = std::max(quorum_contact_at_, *contact_sent_at);]]
 [[        quorum_contact_at_ = now;]])
 
-seeded_defect(stale_confirmation "an answer to an earlier question confirms a later one"
-[[    confirmed_round_ = std::max(confirmed_round_, reached.round);]]
-[[    confirmed_round_ = round_;]])
+seeded_defect(stale_confirmation replication.cpp "a reply to an earlier heartbeat round confirms a later one"
+[[    confirmed_heartbeat_round_ = std::max(confirmed_heartbeat_round_, quorum.heartbeat_round);]]
+[[    confirmed_heartbeat_round_ = heartbeat_round_;]])
+
+# ---- membership.cpp
+
+seeded_defect(swap_without_overlap membership.cpp "a configuration replaces another in one step, without joint consensus"
+[[    append(now, std::move(chosen), voters, state_.last_entry.value);]]
+[[    append(now, std::move(chosen), {}, state_.last_entry.value);]])
+
+seeded_defect(change_ends_uncommitted membership.cpp "the outgoing voters are dropped before the joint configuration is committed"
+[[    if (!in_joint_consensus() || !has_leader_lease(now) || !is_last_entry_committed()) return;]]
+[[    if (!in_joint_consensus() || !has_leader_lease(now)) return;]])
 
-seeded_defect(leaver_goes_first "a leaving member ends before its place and its copy are with others"
-[[    return leaving_ && role_ == Role::Follower && !is_voter() && state_.last_entry.outgoing_voters.empty() &&
-]] [[    return leaving_ && role_ == Role::Follower && state_.last_entry.outgoing_voters.empty() &&
+seeded_defect(change_on_uncommitted membership.cpp "a change of the voters begins on an uncommitted entry"
+[[    if (in_joint_consensus() || !has_leader_lease(now) || !is_last_entry_committed()) return;]]
+[[    if (in_joint_consensus() || !has_leader_lease(now)) return;]])
+
+seeded_defect(leaver_goes_first membership.cpp "a leaving member ends before its vote and its copy are with others"
+[[    return leaving_ && role_ == Role::Follower && !is_voter() && !in_joint_consensus() &&
+]] [[    return leaving_ && role_ == Role::Follower && !in_joint_consensus() &&
+]])
+
+# ---- read_index.cpp
+
+seeded_defect(own_entry_not_needed read_index.cpp "a new leader answers before an entry of its own term is committed"
+[[    return role_ == Role::Leader && !persist_failed_ && state_.committed_entry.position.term == state_.term &&
+]] [[    return role_ == Role::Leader && !persist_failed_ &&
 ]])
--- a/tests/mesh/defects/seed.cmake
+++ b/tests/mesh/defects/seed.cmake
@@ -1,8 +1,13 @@
-# cmake -DNAME=... -DSOURCE=... -DOUT=... -P seed.cmake: OUT is SOURCE with the defect NAME.
-function(seeded_defect name what old new)
+# cmake -DNAME=... -DSOURCE=... -DOUT=... -P seed.cmake: writes SOURCE with the defect NAME to OUT. SOURCE must be the
+# file that the defect names.
+function(seeded_defect name file what old new)
   if(NOT name STREQUAL NAME)
     return()
   endif()
+  get_filename_component(given "${SOURCE}" NAME)
+  if(NOT given STREQUAL file)
+    message(FATAL_ERROR "${name}: it is a defect of ${file}, not of ${SOURCE}")
+  endif()
   file(READ "${SOURCE}" text)
   string(FIND "${text}" "${old}" first)
   string(FIND "${text}" "${old}" last REVERSE)
