--- /dev/null
+++ b/src/controller/initial_state.h
@@ -0,0 +1,45 @@
+// The Raft state that a controller starts with: what its disk holds, the first voters at the first boot of
+// the whole system, or that of a new member without a vote. Pure.
+#pragma once
+
+#include <cstdint>
+#include <string>
+#include <vector>
+
+#include "durable_store/durable_store.h"
+#include "raft/raft_node.h"
+
+namespace martenford::controller {
+
+/// What the settings say about the start.
+struct StartConditions {
+    std::string own_address;                  ///< "ip:port" of this controller's RPC listener
+    std::vector<std::string> seed_addresses;  ///< the same of every seed
+    bool first_boot = false;                  ///< the system as a whole has never run
+};
+
+enum class StateOrigin {
+    Loaded,     ///< the disk's records
+    FirstBoot,  ///< the seeds are the first voters
+    NewMember   ///< no vote until the leader adds this one: its votes, if it had any, are lost
+};
+
+enum class StorageDamage {
+    None,
+    UnreadableRecord,    ///< a checksum or a read failed
+    InconsistentRecords  ///< each can be read, together they are no state
+};
+
+struct InitialState {
+    raft::PersistentState state;
+    StateOrigin origin = StateOrigin::NewMember;
+    StorageDamage damage = StorageDamage::None;
+};
+
+/// Decides which state to start with. `new_member_id` is a random id, taken if the disk holds none and this
+/// machine is no seed of a first boot. A state whose origin is not Loaded must be saved before it is used.
+/// Damaged records never count as a first boot: a voter that forgot its vote could vote twice in one term.
+[[nodiscard]] InitialState initial_state(const durable_store::LoadResult& loaded,
+                                         const StartConditions& conditions, raft::MemberId new_member_id);
+
+}  // namespace martenford::controller
--- /dev/null
+++ b/src/controller/raft_status_log.cpp
@@ -0,0 +1,46 @@
+#include "controller/raft_status_log.h"
+
+#include <string>
+
+#include "event_log/event_log.h"
+
+namespace martenford::controller {
+
+using event_log::Event;
+using event_log::log_event;
+
+void RaftStatusLog::update() {
+    log_role();
+    const raft::LogEntry& entry = raft_.persistent_state().last_entry;
+    if (!entry.outgoing_voters.empty() || entry.voters == voters_) return;
+    voters_ = entry.voters;
+    on_new_voters_(voters_);
+    log_voters();
+}
+
+void RaftStatusLog::log_role() {
+    const bool is_leader = raft_.role() == raft::RaftNode::Role::Leader;
+    if (is_leader == was_leader_) return;
+    was_leader_ = is_leader;
+    log_event(is_leader ? Event::LeadershipGained : Event::LeadershipLost,
+              is_leader ? "became leader" : "is no longer leader",
+              {{"term", std::to_string(raft_.persistent_state().term)}});
+}
+
+void RaftStatusLog::log_voters() {
+    std::string addresses;
+    for (const raft::Member& voter : voters_) {
+        if (!addresses.empty()) addresses += ",";
+        addresses += voter.address;
+    }
+    log_event(Event::VotersChanged, "voters changed",
+              {{"are", addresses}, {"this", raft_.is_voter() ? "yes" : "no"}});
+    if (raft_.tolerates_failures()) return;
+    log_event(Event::FaultToleranceNotMet, "too few voters for the configured fault tolerance",
+              {{"voters", std::to_string(voters_.size())},
+               {"machines", std::to_string(tolerance_.machines)},
+               {"zones", std::to_string(tolerance_.zones)},
+               {"regions", std::to_string(tolerance_.regions)}});
+}
+
+}  // namespace martenford::controller
--- /dev/null
+++ b/src/controller/register_storage.cpp
@@ -0,0 +1,72 @@
+#include "controller/register_storage.h"
+
+#include <thread>
+#include <variant>
+
+#include "bootstrap/program.h"
+#include "event_log/event_log.h"
+#include "rpc/messages.h"
+
+namespace martenford::controller {
+namespace {
+
+using durable_store::DurableStore;
+using durable_store::StorageError;
+using event_log::Event;
+using event_log::log_event;
+
+// Between two attempts to open the store: short beside an election, long enough not to spin on a full disk.
+constexpr Duration kOpenRetryDelay = 200ms;
+
+void log_initial_state(const InitialState& initial) {
+    switch (initial.damage) {
+        case StorageDamage::None:
+            break;
+        case StorageDamage::UnreadableRecord:
+            log_event(Event::StorageDamaged, "a record is damaged");
+            break;
+        case StorageDamage::InconsistentRecords:
+            log_event(Event::StorageDamaged, "the records are inconsistent");
+            break;
+    }
+    if (initial.origin == StateOrigin::NewMember) {
+        log_event(Event::NewMember, "starting as a new member without a vote");
+    }
+}
+
+std::variant<OpenedRegister, StorageError> try_open_register(const std::string& directory,
+                                                             const StartConditions& conditions) {
+    auto opened = DurableStore::open(directory, kStoreMapBytes);
+    if (auto* error = std::get_if<StorageError>(&opened)) {
+        log_event(Event::StorageFailed, "cannot open the store", {{"what", error->message}});
+        return std::move(*error);
+    }
+    RegisterStorage storage(std::get<std::unique_ptr<DurableStore>>(std::move(opened)));
+    InitialState initial = initial_state(storage.load(), conditions, bootstrap::random_nonzero_id());
+    log_initial_state(initial);
+    if (initial.origin != StateOrigin::Loaded) {
+        if (auto error = storage.save(initial.state)) {
+            log_event(Event::StorageFailed, "cannot write the initial state", {{"what", error->message}});
+            return std::move(*error);
+        }
+    }
+    return OpenedRegister{std::move(storage), std::move(initial.state)};
+}
+
+}  // namespace
+
+std::optional<StorageError> RegisterStorage::save(const raft::PersistentState& state) {
+    auto saved = store_->save(rpc::records_of(state));
+    if (auto* error = std::get_if<StorageError>(&saved)) return std::move(*error);
+    return std::nullopt;
+}
+
+OpenedRegister open_register(const std::string& directory, const StartConditions& conditions) {
+    for (;;) {
+        auto opened = try_open_register(directory, conditions);
+        if (auto* opened_register = std::get_if<OpenedRegister>(&opened)) return std::move(*opened_register);
+        std::this_thread::sleep_for(kOpenRetryDelay);
+    }
+}
+
+}  // namespace martenford::controller
--- /dev/null
+++ b/src/controller/register_storage.h
@@ -0,0 +1,41 @@
+// The Raft state of this controller on its disk: opening, loading at the start, saving. Blocks for as long as
+// the disk takes (docs/mesh.md, "Disk").
+#pragma once
+
+#include <memory>
+#include <optional>
+#include <string>
+
+#include "controller/initial_state.h"
+#include "durable_store/durable_store.h"
+#include "raft/raft_node.h"
+
+namespace martenford::controller {
+
+/// Bytes that LMDB maps, a limit on its file, not a reservation. The file holds at most two configurations
+/// (rpc::kMaxDocumentBytes, 8 MB, each) and, while they are replaced, their old pages; the rest is headroom.
+inline constexpr std::size_t kStoreMapBytes = std::size_t{96} * 1024 * 1024;
+
+class RegisterStorage {
+  public:
+    explicit RegisterStorage(std::unique_ptr<durable_store::DurableStore> store) : store_(std::move(store)) {}
+
+    [[nodiscard]] durable_store::LoadResult load() { return store_->load(); }
+    /// Returns nothing once `state` is synced to disk; after an error the state saved before still stands.
+    [[nodiscard]] std::optional<durable_store::StorageError> save(const raft::PersistentState& state);
+
+  private:
+    std::unique_ptr<durable_store::DurableStore> store_;
+};
+
+struct OpenedRegister {
+    RegisterStorage storage;
+    raft::PersistentState state;
+};
+
+/// Opens the store below `directory` and gives the state to start with, which is on disk when this returns.
+/// Logs what was found. A full or hanging disk is waited for, without end: a controller can do nothing
+/// without it, and SIGTERM still ends the process here.
+[[nodiscard]] OpenedRegister open_register(const std::string& directory, const StartConditions& conditions);
+
+}  // namespace martenford::controller
