--- a/src/rpc/channel.h
+++ b/src/rpc/channel.h
@@ -1,8 +1,9 @@
-// Connections between the mesh's own processes: frames with Cap'n Proto messages, both ways on one
-// connection.
+// One TCP connection between two of the mesh's own processes. It carries frames (framing/frame.h), each with
+// one Cap'n Proto message (rpc/messages.h), in both directions.
 #pragma once
 
 #include <boost/asio/ip/tcp.hpp>
+#include <cstddef>
 #include <deque>
 #include <functional>
 #include <memory>
@@ -15,27 +16,53 @@
 
 namespace martenford::rpc {
 
-/// One connection. Closes itself where the peer doesn't speak as agreed, doesn't read (kMostQueued bytes
-/// wait) or doesn't acknowledge for a second (TCP_USER_TIMEOUT).
+/// A connection, open from its construction until it fails or close() is called. It is never reopened.
+///
+/// Ownership: held by std::shared_ptr; pending reads and writes hold it too, so it outlives its owner until
+/// they have ended. `loop` must outlive it.
+///
+/// Threads: all calls and all callbacks run on the loop's thread.
+///
+/// Failure: the channel closes itself and calls OnClosed if
+/// - the peer closes the connection or does not acknowledge sent bytes within 1 s (TCP_USER_TIMEOUT),
+/// - a frame is damaged or too long, or its message cannot be decoded,
+/// - more than 24 MiB wait to be sent: the peer does not read.
+/// Messages that wait then are lost; messages arrive in order, each at most once.
 class Channel : public std::enable_shared_from_this<Channel> {
   public:
     using OnMessage = std::function<void(Message&&)>;
     using OnClosed = std::function<void()>;
+    /// A message as it goes over the connection.
+    using SharedFrame = std::shared_ptr<const std::string>;
 
+    /// Takes a connected socket. Nothing is read before start().
     Channel(Loop& loop, asio::ip::tcp::socket socket);
-    void start(OnMessage heard, OnClosed closed);
+
+    /// Starts to read. Called once. `on_message` gets each message; it may call send() and close().
+    /// `on_closed` is called once if the channel fails, and never after close().
+    void start(OnMessage on_message, OnClosed on_closed);
+
+    /// Queues a message. Does nothing if the channel is closed. Calls OnClosed before it returns if the queue
+    /// is over its limit.
     void send(const Message& message) { send_frame(frame(message)); }
-    /// The bytes of a message, for one that goes to many.
-    static std::shared_ptr<const std::string> frame(const Message& message);
-    void send_frame(std::shared_ptr<const std::string> frame);
-    /// Calls nothing any more.
+
+    /// Encodes a message once for several channels: send_frame() shares the bytes.
+    static SharedFrame frame(const Message& message);
+    /// Like send(), for an encoded message.
+    void send_frame(SharedFrame frame);
+
+    /// Closes the connection. No callback is called afterwards; a message handler that is running ends first.
     void close();
+
     bool is_open() const { return is_open_; }
+    /// When bytes were last read; the time of construction before that.
     Time last_received_at() const { return last_received_at_; }
+    /// The peer's address at the time of construction.
     Address peer() const { return peer_; }
 
   private:
     void read();
+    void on_read(std::size_t size);
     void write();
     void fail();
 
@@ -43,61 +70,18 @@
     asio::ip::tcp::socket socket_;
     Address peer_;
     framing::FrameReader reader_{kMaxMessageBytes};
-    std::string buffer_;
-    std::deque<std::shared_ptr<const std::string>> queue_;
+    std::string read_buffer_;
+    std::deque<SharedFrame> send_queue_;
     std::size_t queued_bytes_ = 0;
-    bool is_open_ = true, writing_ = false;
+    bool is_open_ = true;
+    bool is_writing_ = false;
     Time last_received_at_{};
     OnMessage on_message_;
     OnClosed on_closed_;
 };
 
-/// Keeps a connection to one address: dials again, with a pause, whenever it ends. An attempt that takes long
-/// goes on beside the next ones: behind a link whose queue is longer than the time for one, none would ever
-/// come up; and one whose opening packet was lost is not waited for.
-class ReconnectingClient {
-  public:
-    ReconnectingClient(Loop& loop, const Address& to, Channel::OnMessage heard, std::function<void()> up,
-                       std::function<void()> down);
-    ~ReconnectingClient();
-    const Address& address() const { return address_; }
-    bool is_connected() const { return channel_ && channel_->is_open(); }
-    /// Dropped where there is no connection.
-    void send(const Message& message) {
-        if (is_connected()) channel_->send(message);
-    }
-    /// Ends the connection, and dials anew after the pause.
-    void reconnect();
-    Time last_received_at() const { return channel_ ? channel_->last_received_at() : Time{}; }
-
-  private:
-    using Socket = std::shared_ptr<asio::ip::tcp::socket>;
-    void dial();
-    void schedule_dial();
-    void end_attempts();
-
-    Loop& loop_;
-    const Address address_;
-    Channel::OnMessage on_message_;
-    std::function<void()> on_connected_, on_disconnected_;
-    std::deque<Socket> attempts_;  // the oldest first
-    std::shared_ptr<Channel> channel_;
-    Timer attempt_timer_;
-    Duration pause_;
-};
-
-/// Accepts connections.
-class Listener {
-  public:
-    /// Throws boost::system::system_error where it can't listen.
-    Listener(Loop& loop, const Address& at, std::function<void(std::shared_ptr<Channel>)> accepted);
-
-  private:
-    void accept();
-    Loop& loop_;
-    std::function<void(std::shared_ptr<Channel>)> on_accepted_;
-    asio::ip::tcp::acceptor acceptor_;
-    Timer retry_timer_;
-};
-
 }  // namespace martenford::rpc
+
+// Users of this header need all three classes.
+#include "rpc/listener.h"
+#include "rpc/reconnecting_client.h"
--- /dev/null
+++ b/src/rpc/listener.cpp
@@ -0,0 +1,34 @@
+#include "rpc/listener.h"
+
+#include <utility>
+
+namespace martenford::rpc {
+
+using boost::system::error_code;
+
+namespace {
+
+/// Pause after a failed accept; without one a lack of file descriptors would keep the loop busy.
+constexpr Duration kAcceptRetryInterval = 50ms;
+
+}  // namespace
+
+Listener::Listener(Loop& loop, const Address& address, OnAccepted on_accepted)
+    : loop_(loop), on_accepted_(std::move(on_accepted)), acceptor_(loop.io()), retry_timer_(loop) {
+    acceptor_.open(address.protocol());
+    acceptor_.set_option(asio::socket_base::reuse_address(true));
+    acceptor_.bind(address);
+    acceptor_.listen(asio::socket_base::max_listen_connections);
+    accept();
+}
+
+void Listener::accept() {
+    acceptor_.async_accept([this](const error_code& error, asio::ip::tcp::socket socket) {
+        if (error == asio::error::operation_aborted) return;  // `this` may be destroyed
+        if (error) return retry_timer_.set(loop_.now() + kAcceptRetryInterval, [this] { accept(); });
+        on_accepted_(std::make_shared<Channel>(loop_, std::move(socket)));
+        accept();
+    });
+}
+
+}  // namespace martenford::rpc
--- a/tests/mesh/reconnecting_client_test.cpp
+++ b/tests/mesh/reconnecting_client_test.cpp
@@ -1,5 +1,5 @@
-// The client behind a link where a connection takes longer than the time for one attempt: played by a
-// listener whose queue is full, so that the kernel drops what opens a connection.
+// ReconnectingClient on a link where connecting takes longer than the time-out of one attempt. A listener
+// whose backlog is full stands in for the link: the kernel drops the SYN packets.
 #include <arpa/inet.h>
 #include <doctest/doctest.h>
 #include <sys/socket.h>
@@ -17,8 +17,8 @@
 
 namespace {
 
-/// Of this machine's connections to a port, those whose opening was not answered yet.
-std::size_t opening(std::uint16_t port) {
+/// The number of this machine's connections to a port in state SYN_SENT (02 in /proc/net/tcp).
+std::size_t count_syn_sent(std::uint16_t port) {
     char wanted[16];
     std::snprintf(wanted, sizeof wanted, ":%04X", port);
     std::ifstream table("/proc/net/tcp");
@@ -34,48 +34,49 @@
 
 }  // namespace
 
-TEST_CASE("an attempt that takes long goes on beside the next ones, of which there are few") {
+TEST_CASE(
+    "reconnecting client: slow attempts run side by side, four at most, and the first to succeed connects") {
     const int listener = ::socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK, 0);
-    sockaddr_in at{};
-    at.sin_family = AF_INET;
-    at.sin_addr.s_addr = ::htonl(INADDR_LOOPBACK);
-    socklen_t size = sizeof at;
-    REQUIRE(::bind(listener, reinterpret_cast<sockaddr*>(&at), size) == 0);
+    sockaddr_in listen_address{};
+    listen_address.sin_family = AF_INET;
+    listen_address.sin_addr.s_addr = ::htonl(INADDR_LOOPBACK);
+    socklen_t size = sizeof listen_address;
+    REQUIRE(::bind(listener, reinterpret_cast<sockaddr*>(&listen_address), size) == 0);
     REQUIRE(::listen(listener, 0) == 0);
-    REQUIRE(::getsockname(listener, reinterpret_cast<sockaddr*>(&at), &size) == 0);
-    const std::uint16_t port = ::ntohs(at.sin_port);
+    REQUIRE(::getsockname(listener, reinterpret_cast<sockaddr*>(&listen_address), &size) == 0);
+    const std::uint16_t port = ::ntohs(listen_address.sin_port);
     std::vector<int> fillers;
-    while (opening(port) == 0) {
+    while (count_syn_sent(port) == 0) {
         REQUIRE(fillers.size() < 16);
         fillers.push_back(::socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK, 0));
-        ::connect(fillers.back(), reinterpret_cast<sockaddr*>(&at), size);
+        ::connect(fillers.back(), reinterpret_cast<sockaddr*>(&listen_address), size);
     }
 
     Loop loop;
-    bool up = false;
-    std::size_t most = 0;
+    bool connected = false;
+    std::size_t max_attempts = 0;
     {
         rpc::ReconnectingClient client(
-            loop, Address(asio::ip::make_address("127.0.0.1"), port), [](auto&&) {}, [&] { up = true; },
-            [] {});
-        const auto until = [&](auto&& is) {
-            const Time give_up = Loop::monotonic() + 10s;
-            while (!is()) {
-                REQUIRE(Loop::monotonic() < give_up);
+            loop, Address(asio::ip::make_address("127.0.0.1"), port), [](auto&&) {},
+            [&] { connected = true; }, [] {});
+        const auto run_until = [&](auto&& condition) {
+            const Time deadline = Loop::monotonic() + 10s;
+            while (!condition()) {
+                REQUIRE(Loop::monotonic() < deadline);
                 loop.add(loop.now() + 5ms, [&loop] { loop.stop(); });
                 loop.resume();
                 loop.run();
-                most = std::max(most, opening(port) - 1);
+                max_attempts = std::max(max_attempts, count_syn_sent(port) - 1);
             }
         };
-        until([&] { return most >= 3; });
-        CHECK_FALSE(up);
-        until([&] {
-            for (int taken; (taken = ::accept(listener, nullptr, nullptr)) >= 0;) ::close(taken);
-            return up;
+        run_until([&] { return max_attempts >= 3; });
+        CHECK_FALSE(connected);
+        run_until([&] {
+            for (int accepted; (accepted = ::accept(listener, nullptr, nullptr)) >= 0;) ::close(accepted);
+            return connected;
         });
     }
-    CHECK(most <= 4);
-    for (const int each : fillers) ::close(each);
+    CHECK(max_attempts <= 4);
+    for (const int filler : fillers) ::close(filler);
     ::close(listener);
 }
