--- a/src/durable_store/durable_store.cpp
+++ b/src/durable_store/durable_store.cpp
@@ -9,7 +9,6 @@
 #include <cerrno>
 #include <cstring>
 #include <optional>
-#include <string_view>
 #include <utility>
 
 #define XXH_INLINE_ALL
@@ -19,171 +18,256 @@
 
 namespace {
 
-StorageError trouble(int code) {
-    return {mdb_strerror(code), code == ENOSPC || code == MDB_MAP_FULL || code == EDQUOT};
-}
+/// The database file's access rights: the user that runs the controller, nobody else.
+constexpr mdb_mode_t kFileMode = 0600;
 
-/// The name of a new file lasts once its folder has been synced.
-void sync_folder(const std::string& directory) {
-    const int folder = ::open(directory.c_str(), O_RDONLY | O_DIRECTORY);
-    if (folder < 0) return;
-    ::fsync(folder);
-    ::close(folder);
+StorageError::Code error_code_of(int lmdb_code) {
+    switch (lmdb_code) {
+        case ENOSPC:
+        case EDQUOT:
+        case MDB_MAP_FULL:
+            return StorageError::Code::DiskFull;
+        case MDB_CORRUPTED:
+        case MDB_PAGE_NOTFOUND:
+        case MDB_INVALID:
+        case MDB_VERSION_MISMATCH:
+            return StorageError::Code::Damaged;
+        default:
+            return StorageError::Code::Other;
+    }
 }
 
-/// Guards against a file that lost its end, which a disk that syncs falsely brings about: a look at a page
-/// beyond it would end the process. Pages of zeros are found to be damaged instead.
-void mend_length(MDB_env* env) {
-    MDB_envinfo info{};
-    MDB_stat stat{};
-    int file = -1;
-    struct stat found {};
-    if (mdb_env_info(env, &info) || mdb_env_stat(env, &stat) || mdb_env_get_fd(env, &file) ||
-        ::fstat(file, &found))
-        return;
-    const auto wanted = std::min((info.me_last_pgno + 1) * stat.ms_psize, info.me_mapsize);
-    if (static_cast<std::size_t>(found.st_size) < wanted &&
-        ::ftruncate(file, static_cast<off_t>(wanted)) != 0)
-        return;
+/// `operation` is a string literal; `lmdb_code` is one of LMDB's or an errno.
+StorageError storage_error(std::string_view operation, int lmdb_code) {
+    return {error_code_of(lmdb_code), operation, std::string(operation) + ": " + mdb_strerror(lmdb_code)};
 }
 
-}  // namespace
+// ---- LMDB's handles
 
-struct DurableStore::Impl {
-    MDB_env* env = nullptr;
-    MDB_dbi dbi = 0;
-    static std::variant<std::unique_ptr<Impl>, StorageError> open_in(const std::string& directory,
-                                                                     std::size_t most);
-    ~Impl() {
-        if (env) mdb_env_close(env);
-    }
+struct EnvironmentCloser {
+    void operator()(MDB_env* environment) const { mdb_env_close(environment); }
 };
+using Environment = std::unique_ptr<MDB_env, EnvironmentCloser>;
+
+struct CursorCloser {
+    void operator()(MDB_cursor* cursor) const { mdb_cursor_close(cursor); }
+};
+using Cursor = std::unique_ptr<MDB_cursor, CursorCloser>;
+
+/// A transaction that is aborted at its destruction unless it was committed. The functions return LMDB's
+/// codes.
+class Transaction {
+  public:
+    enum class Access : std::uint8_t { ReadOnly, ReadWrite };
+
+    Transaction() = default;
+    Transaction(const Transaction&) = delete;
+    Transaction& operator=(const Transaction&) = delete;
+    ~Transaction() {
+        if (handle_) mdb_txn_abort(handle_);
+    }
 
-std::variant<std::unique_ptr<DurableStore::Impl>, StorageError> DurableStore::Impl::open_in(
-    const std::string& directory, std::size_t most) {
-    auto impl = std::make_unique<Impl>();
-    if (const int code = mdb_env_create(&impl->env)) return trouble(code);
-    if (const int code = mdb_env_set_mapsize(impl->env, most)) return trouble(code);
-    // One process, one thread: its locks guard against nothing here.
-    const std::string path = directory + "/word.mdb";
-    if (const int code = mdb_env_open(impl->env, path.c_str(), MDB_NOLOCK | MDB_NOSUBDIR | MDB_NOTLS, 0600))
-        return trouble(code);
-    mend_length(impl->env);
-    MDB_txn* txn = nullptr;
-    if (const int code = mdb_txn_begin(impl->env, nullptr, 0, &txn)) return trouble(code);
-    if (const int code = mdb_dbi_open(txn, nullptr, 0, &impl->dbi)) {
-        mdb_txn_abort(txn);
-        return trouble(code);
+    [[nodiscard]] int begin(MDB_env* environment, Access access) {
+        const unsigned flags = access == Access::ReadOnly ? MDB_RDONLY : 0;
+        return mdb_txn_begin(environment, nullptr, flags, &handle_);
     }
-    if (const int code = mdb_txn_commit(txn)) return trouble(code);
-    // What a process that was killed had written and not yet synced is found here, and would be gone with the
-    // power after this one has spoken by it.
-    if (const int code = mdb_env_sync(impl->env, 1)) return trouble(code);
-    sync_folder(directory);
-    return impl;
+    /// Ends the transaction in either case; after an error nothing of it is stored.
+    [[nodiscard]] int commit() { return mdb_txn_commit(std::exchange(handle_, nullptr)); }
+    MDB_txn* get() const { return handle_; }
+
+  private:
+    MDB_txn* handle_ = nullptr;
+};
+
+/// Syncs a directory: without it the name of a new file may be lost with the power. Best effort.
+void sync_directory(const std::string& directory) {
+    const int fd = ::open(directory.c_str(), O_RDONLY | O_DIRECTORY | O_CLOEXEC);
+    if (fd < 0) return;
+    ::fsync(fd);
+    ::close(fd);
 }
 
-namespace {
+/// Extends a file that is shorter than its pages, which a disk that acknowledges a sync falsely can leave
+/// behind. LMDB reads through a memory map: a page beyond the end of the file would end the process with
+/// SIGBUS, whereas pages of zeros fail their checksum and are reported as damaged.
+void extend_truncated_file(MDB_env* environment) {
+    MDB_envinfo info{};
+    MDB_stat database_stat{};
+    int fd = -1;
+    struct stat file_stat {};
+    if (mdb_env_info(environment, &info) != 0) return;
+    if (mdb_env_stat(environment, &database_stat) != 0) return;
+    if (mdb_env_get_fd(environment, &fd) != 0) return;
+    if (::fstat(fd, &file_stat) != 0) return;
+    const std::size_t wanted = std::min((info.me_last_pgno + 1) * database_stat.ms_psize, info.me_mapsize);
+    if (static_cast<std::size_t>(file_stat.st_size) >= wanted) return;
+    // A failure is left to the reads and writes that follow.
+    [[maybe_unused]] const int result = ::ftruncate(fd, static_cast<off_t>(wanted));
+}
+
+// ---- records: XXH3 of the bytes in the machine's byte order, then the bytes
+
+using Checksum = std::uint64_t;
+
+Checksum checksum_of(std::string_view record) {
+    return XXH3_64bits(record.data(), record.size());
+}
 
-MDB_val value_of(const std::string& text) {
+/// A view of `text` for LMDB, which does not write to it.
+MDB_val to_value(const std::string& text) {
     return {text.size(), const_cast<char*>(text.data())};
 }
-std::string_view text_of(const MDB_val& value) {
+
+std::string_view to_view(const MDB_val& value) {
     return {static_cast<const char*>(value.mv_data), value.mv_size};
 }
 
-/// A record on disk: its checksum, then its bytes.
-std::optional<std::string_view> checked(const MDB_val& value) {
-    std::uint64_t sum = 0;
-    if (value.mv_size < sizeof sum) return std::nullopt;
-    std::memcpy(&sum, value.mv_data, sizeof sum);
-    const auto record = text_of(value).substr(sizeof sum);
-    if (XXH3_64bits(record.data(), record.size()) != sum) return std::nullopt;
+/// The record in a stored value; nothing if its checksum does not match.
+std::optional<std::string_view> verified_record(const MDB_val& value) {
+    Checksum checksum = 0;
+    if (value.mv_size < sizeof checksum) return std::nullopt;
+    std::memcpy(&checksum, value.mv_data, sizeof checksum);
+    const std::string_view record = to_view(value).substr(sizeof checksum);
+    if (checksum_of(record) != checksum) return std::nullopt;
     return record;
 }
 
-int put(MDB_txn* txn, MDB_dbi dbi, const std::string& name, const std::string& record) {
-    MDB_val key = value_of(name), held{};
-    // Compared with the bytes themselves: what is the same costs no write.
-    if (mdb_get(txn, dbi, &key, &held) == 0 && checked(held) == std::string_view(record)) return 0;
-    const std::uint64_t sum = XXH3_64bits(record.data(), record.size());
-    MDB_val value{sizeof sum + record.size(), nullptr};
-    if (const int code = mdb_put(txn, dbi, &key, &value, MDB_RESERVE)) return code;
-    std::memcpy(value.mv_data, &sum, sizeof sum);
-    std::memcpy(static_cast<char*>(value.mv_data) + sizeof sum, record.data(), record.size());
+/// Stores a record unless the same bytes are stored already: an unchanged record costs no write.
+int put_record(MDB_txn* transaction, MDB_dbi table, const std::string& name, std::string_view record) {
+    MDB_val key = to_value(name);
+    MDB_val stored{};
+    if (mdb_get(transaction, table, &key, &stored) == 0 && verified_record(stored) == record) return 0;
+    const Checksum checksum = checksum_of(record);
+    MDB_val value{sizeof checksum + record.size(), nullptr};
+    if (const int code = mdb_put(transaction, table, &key, &value, MDB_RESERVE)) return code;
+    std::memcpy(value.mv_data, &checksum, sizeof checksum);
+    std::memcpy(static_cast<char*>(value.mv_data) + sizeof checksum, record.data(), record.size());
     return 0;
 }
 
-/// Calls `each` with every record until it returns another code than 0.
-template <class Each>
-int walk(MDB_txn* txn, MDB_dbi dbi, Each each) {
-    MDB_cursor* cursor = nullptr;
-    if (const int code = mdb_cursor_open(txn, dbi, &cursor)) return code;
-    MDB_val key{}, value{};
-    int code = mdb_cursor_get(cursor, &key, &value, MDB_FIRST);
-    for (; code == 0; code = mdb_cursor_get(cursor, &key, &value, MDB_NEXT)) {
-        if ((code = each(cursor, std::string(text_of(key)), value))) break;
+/// Calls `visit(cursor, name, value)` for every record until it returns another code than 0. Returns that
+/// code, LMDB's own at an error, or 0.
+template <class Visit>
+int for_each_record(MDB_txn* transaction, MDB_dbi table, Visit visit) {
+    MDB_cursor* opened = nullptr;
+    if (const int code = mdb_cursor_open(transaction, table, &opened)) return code;
+    const Cursor cursor(opened);
+    MDB_val key{};
+    MDB_val value{};
+    int code = mdb_cursor_get(cursor.get(), &key, &value, MDB_FIRST);
+    while (code == 0) {
+        code = visit(cursor.get(), std::string(to_view(key)), value);
+        if (code != 0) return code;
+        code = mdb_cursor_get(cursor.get(), &key, &value, MDB_NEXT);
     }
-    mdb_cursor_close(cursor);
     return code == MDB_NOTFOUND ? 0 : code;
 }
 
-int write_all(MDB_env* env, MDB_dbi dbi, const Records& records) {
-    MDB_txn* txn = nullptr;
-    if (const int code = mdb_txn_begin(env, nullptr, 0, &txn)) return code;
-    int code = walk(txn, dbi, [&](MDB_cursor* cursor, const std::string& name, const MDB_val&) {
-        return records.contains(name) ? 0 : mdb_cursor_del(cursor, 0);
-    });
-    for (auto record = records.begin(); code == 0 && record != records.end(); ++record)
-        code = put(txn, dbi, record->first, record->second);
-    if (code) {
-        mdb_txn_abort(txn);
+}  // namespace
+
+// ---- DurableStore::Database: the open file
+
+class DurableStore::Database {
+  public:
+    static std::variant<std::unique_ptr<Database>, StorageError> open(const std::string& directory,
+                                                                      std::size_t map_size_bytes);
+    /// Return LMDB's codes.
+    [[nodiscard]] int read_all(Records& records) const;
+    [[nodiscard]] int replace_all(const Records& records) const;
+
+  private:
+    [[nodiscard]] int open_file(const std::string& path, std::size_t map_size_bytes);
+
+    Environment environment_;
+    MDB_dbi table_ = 0;
+};
+
+std::variant<std::unique_ptr<DurableStore::Database>, StorageError> DurableStore::Database::open(
+    const std::string& directory, std::size_t map_size_bytes) {
+    auto database = std::make_unique<Database>();
+    if (const int code = database->open_file(directory + "/" + kDatabaseFileName, map_size_bytes))
+        return storage_error("open", code);
+    sync_directory(directory);
+    return database;
+}
+
+int DurableStore::Database::open_file(const std::string& path, std::size_t map_size_bytes) {
+    MDB_env* created = nullptr;
+    if (const int code = mdb_env_create(&created)) return code;
+    environment_.reset(created);
+    if (const int code = mdb_env_set_mapsize(created, map_size_bytes)) return code;
+    // No locks: they are for several processes or threads, and there is one of each.
+    if (const int code =
+            mdb_env_open(created, path.c_str(), MDB_NOLOCK | MDB_NOSUBDIR | MDB_NOTLS, kFileMode))
         return code;
+    extend_truncated_file(created);
+    Transaction transaction;
+    if (const int code = transaction.begin(created, Transaction::Access::ReadWrite)) return code;
+    if (const int code = mdb_dbi_open(transaction.get(), nullptr, 0, &table_)) return code;
+    if (const int code = transaction.commit()) return code;
+    // A process that was killed in a save may have left pages that are written and not yet synced. They are
+    // readable now, and would be gone after a loss of power though this process has acted on them.
+    return mdb_env_sync(created, 1);
+}
+
+int DurableStore::Database::read_all(Records& records) const {
+    Transaction transaction;
+    if (const int code = transaction.begin(environment_.get(), Transaction::Access::ReadOnly)) return code;
+    return for_each_record(transaction.get(), table_,
+                           [&records](MDB_cursor*, const std::string& name, const MDB_val& value) {
+                               const auto record = verified_record(value);
+                               if (!record) return MDB_CORRUPTED;
+                               records[name] = *record;
+                               return 0;
+                           });
+}
+
+int DurableStore::Database::replace_all(const Records& records) const {
+    Transaction transaction;
+    if (const int code = transaction.begin(environment_.get(), Transaction::Access::ReadWrite)) return code;
+    const int removed = for_each_record(
+        transaction.get(), table_, [&records](MDB_cursor* cursor, const std::string& name, const MDB_val&) {
+            return records.contains(name) ? 0 : mdb_cursor_del(cursor, 0);
+        });
+    if (removed != 0) return removed;
+    for (const auto& [name, record] : records) {
+        if (const int code = put_record(transaction.get(), table_, name, record)) return code;
     }
-    return mdb_txn_commit(txn);
+    return transaction.commit();
 }
 
-}  // namespace
+// ---- DurableStore
+
+DurableStore::DurableStore(std::string directory, std::size_t map_size_bytes,
+                           std::unique_ptr<Database> database)
+    : directory_(std::move(directory)), map_size_bytes_(map_size_bytes), database_(std::move(database)) {}
 
-DurableStore::DurableStore(std::string directory, std::size_t most, std::unique_ptr<Impl> impl)
-    : directory_(std::move(directory)), map_bytes_(most), impl_(std::move(impl)) {}
 DurableStore::~DurableStore() = default;
 
-std::variant<std::unique_ptr<DurableStore>, StorageError> DurableStore::open(const std::string& directory,
-                                                                             std::size_t most) {
-    auto opened = Impl::open_in(directory, most);
-    if (auto* failed = std::get_if<StorageError>(&opened)) return std::move(*failed);
-    return std::unique_ptr<DurableStore>(
-        new DurableStore(directory, most, std::get<std::unique_ptr<Impl>>(std::move(opened))));
+DurableStore::OpenResult DurableStore::open(const std::string& directory, std::size_t map_size_bytes) {
+    auto opened = Database::open(directory, map_size_bytes);
+    if (auto* error = std::get_if<StorageError>(&opened)) return std::move(*error);
+    auto database = std::get<std::unique_ptr<Database>>(std::move(opened));
+    // The constructor is private, so std::make_unique cannot call it.
+    return std::unique_ptr<DurableStore>(new DurableStore(directory, map_size_bytes, std::move(database)));
 }
 
 LoadResult DurableStore::load() {
-    MDB_txn* txn = nullptr;
-    if (!impl_ || mdb_txn_begin(impl_->env, nullptr, MDB_RDONLY, &txn)) return {{}, true};
-    LoadResult found;
-    const int code = walk(txn, impl_->dbi, [&](MDB_cursor*, const std::string& name, const MDB_val& value) {
-        const auto record = checked(value);
-        if (!record) return MDB_CORRUPTED;
-        found.records[name] = *record;
-        return 0;
-    });
-    mdb_txn_abort(txn);
-    if (code) return {{}, true};
-    return found;
-}
-
-std::variant<std::monostate, StorageError> DurableStore::save(const Records& records) {
-    if (!impl_) {
-        auto opened = Impl::open_in(directory_, map_bytes_);
-        if (auto* failed = std::get_if<StorageError>(&opened)) return std::move(*failed);
-        impl_ = std::get<std::unique_ptr<Impl>>(std::move(opened));
+    LoadResult result;
+    if (database_ && database_->read_all(result.records) == 0) return result;
+    return {{}, true};
+}
+
+DurableStore::SaveResult DurableStore::save(const Records& records) {
+    if (!database_) {
+        auto opened = Database::open(directory_, map_size_bytes_);
+        if (auto* error = std::get_if<StorageError>(&opened)) return std::move(*error);
+        database_ = std::get<std::unique_ptr<Database>>(std::move(opened));
     }
-    const int code = write_all(impl_->env, impl_->dbi, records);
-    // After a failed write of the page that makes a change count, LMDB refuses all that follows for as long
-    // as it is open.
-    if (code != 0) {
-        impl_.reset();
-        return trouble(code);
+    if (const int code = database_->replace_all(records)) {
+        // After a failed write of a meta page LMDB refuses all further writes of this environment.
+        database_.reset();
+        return storage_error("save", code);
     }
     return std::monostate{};
 }
--- a/src/durable_store/durable_store.h
+++ b/src/durable_store/durable_store.h
@@ -1,50 +1,71 @@
-// What must outlive a loss of power, in LMDB: a few records by name, each with its checksum, changed
-// together. It blocks: a save takes as long as the disk takes to sync, and the loop waits for it
-// (docs/mesh.md, "Disk").
+// A controller's storage: a few named records in one LMDB file, each with a checksum, replaced together and
+// durable across a loss of power. The operations block the calling thread: save() takes as long as the disk
+// takes to sync (docs/mesh.md, "Disk"). One process and one thread use a directory at a time.
 #pragma once
 
+#include <cstddef>
 #include <cstdint>
 #include <map>
 #include <memory>
 #include <string>
+#include <string_view>
 #include <variant>
 
 namespace martenford::durable_store {
 
-/// Why the disk did not do it; `full`: for want of room.
+/// The file in the data directory. Since 2026-12-02, when the records on disk were called the register's
+/// word; the name stays, since a controller that did not find its file would come back as a new member.
+constexpr char kDatabaseFileName[] = "word.mdb";
+
+/// Why an operation on the disk failed.
 struct StorageError {
-    std::string message;
-    bool disk_full = false;
+    enum class Code : std::uint8_t {
+        DiskFull,  ///< no room on the disk, in the quota or in the map
+        Damaged,   ///< the file is not a usable LMDB database
+        Other      ///< anything else, such as an I/O error or missing permission
+    };
+    Code code = Code::Other;
+    std::string_view operation;  ///< the failed step, a string literal: "open", "save"
+    std::string message;         ///< operation and LMDB's text, for the log
 };
 
+/// Records by key. A key is at most 511 bytes long (LMDB's limit) and not empty.
 using Records = std::map<std::string, std::string>;
 
-/// What was found at a start.
 struct LoadResult {
-    Records records;       ///< none: nothing was saved yet, or it is damaged
-    bool damaged = false;  ///< there are some, and one can't be read: as good as lost
+    Records records;       ///< empty if nothing was saved yet, or if `damaged`
+    bool damaged = false;  ///< a record cannot be read or fails its checksum: none of them can be relied on
 };
 
 class DurableStore {
   public:
-    /// Opens or makes the file below `directory`, which exists. `most` bytes are mapped.
-    static std::variant<std::unique_ptr<DurableStore>, StorageError> open(const std::string& directory,
-                                                                          std::size_t most);
+    using OpenResult = std::variant<std::unique_ptr<DurableStore>, StorageError>;
+    using SaveResult = std::variant<std::monostate, StorageError>;
+
+    /// Opens kDatabaseFileName below `directory`, which must exist, or creates it. Syncs what is there before
+    /// it returns. `map_size_bytes` is the most that the file may grow to; a larger file makes saves fail
+    /// with DiskFull.
+    [[nodiscard]] static OpenResult open(const std::string& directory, std::size_t map_size_bytes);
     ~DurableStore();
     DurableStore(const DurableStore&) = delete;
     DurableStore& operator=(const DurableStore&) = delete;
 
-    LoadResult load();
-    /// Makes `records` all that there is: writes those that are new or other than before, removes the rest.
-    /// On disk, in whole, once this returns nothing; else what was there before still stands.
-    std::variant<std::monostate, StorageError> save(const Records& records);
+    /// Reads all records and checks their checksums.
+    [[nodiscard]] LoadResult load();
+
+    /// Replaces all records by `records`: writes those that are new or changed and removes the others. Atomic
+    /// and on disk when it returns std::monostate; on an error the records from before remain. After an error
+    /// the next save opens the file anew.
+    [[nodiscard]] SaveResult save(const Records& records);
 
   private:
-    struct Impl;
-    DurableStore(std::string directory, std::size_t most, std::unique_ptr<Impl> impl);
+    class Database;
+
+    DurableStore(std::string directory, std::size_t map_size_bytes, std::unique_ptr<Database> database);
+
     std::string directory_;
-    std::size_t map_bytes_;
-    std::unique_ptr<Impl> impl_;  // nothing: it broke, and is opened again with the next save
+    std::size_t map_size_bytes_;
+    std::unique_ptr<Database> database_;  // null after a failed save, until the next one
 };
 
 }  // namespace martenford::durable_store
--- a/tests/mesh/golden_test.cpp
+++ b/tests/mesh/golden_test.cpp
@@ -1,4 +1,5 @@
-// The mesh's messages and its durable store against bytes that an earlier commit wrote: golden/README.md.
+// The messages between proxies and controllers, and the controllers' data directories, against bytes that an
+// earlier release wrote (golden/README.md). The fixtures' file names bear the names of that release.
 #include "golden.h"
 
 #include <doctest/doctest.h>
@@ -22,7 +23,7 @@
     return std::string(GOLDEN_DIR) + "/" + name;
 }
 
-// ---- the values. No field has its default.
+// ---- the values. No field has its default, so that a field that is lost shows.
 
 const raft::Member kFirst{11, "10.1.0.1:7000", "zone-a", "region-x", false};
 const raft::Member kSecond{12, "10.1.0.2:7000", "zone-b", "region-y", true};
@@ -36,8 +37,8 @@
                                             "stock",  "zone-b", "stock-2", registry::EndpointState::Draining,
                                             33,       340,      true};
 
-/// An entry in the middle of a change of members: the voters of both configurations.
-raft::LogEntry entry_in_change() {
+/// An entry during joint consensus: the voters of both sets.
+raft::LogEntry joint_entry() {
     return {{41, 42}, {kFirst, kSecond, kThird}, std::string("value\0of bytes\xff", 15), {kSecond, kFourth}};
 }
 
@@ -54,54 +55,54 @@
     message.round = 57;
     message.sent_at = 58;
     message.contact_sequence = 59;
-    if (kind == raft::Message::Kind::AppendEntries) message.entry = entry_in_change();
+    if (kind == raft::Message::Kind::AppendEntries) message.entry = joint_entry();
     return message;
 }
 
-rpc::WatchResponse news() {
-    rpc::WatchResponse news;
-    news.registry = {61, 62, true, {kReady, kDraining}, {"node-3", "node-4"}};
-    news.config_version = 63;
-    news.config = std::string("config\0bytes\xfe", 13);
-    news.has_quorum_contact = true;
-    news.controllers = {kSecond, kFourth};
-    return news;
+rpc::WatchResponse watch_response() {
+    rpc::WatchResponse response;
+    response.registry = {61, 62, true, {kReady, kDraining}, {"node-3", "node-4"}};
+    response.config_version = 63;
+    response.config = std::string("config\0bytes\xfe", 13);
+    response.has_quorum_contact = true;
+    response.controllers = {kSecond, kFourth};
+    return response;
 }
 
-/// What the register holds: four configurations that were taken, and two before them that are forgotten.
-rpc::ConfigRecord configurations() {
+/// A record with four accepted changes; those up to version 72 are no longer in it.
+rpc::ConfigRecord config_record() {
     return {79, R"({"version":"79"})", {{73, 0xd1}, {75, 0xd2}, {78, 0xd3}, {79, 0xfedcba9876543210}}, 72};
 }
-rpc::ConfigRecord configurations_before() {
+rpc::ConfigRecord previous_config_record() {
     return {78, R"({"version":"78"})", {{73, 0xd1}, {75, 0xd2}, {78, 0xd3}}, 72};
 }
 
-/// A disk with a vote, a committed entry, and above it one that is not: a change of members.
-raft::PersistentState disk_in_change() {
+/// A state with a vote, a committed entry and a later uncommitted one that changes the voters.
+raft::PersistentState joint_state() {
     return {11,
             82,
             12,
-            {{82, 86}, {kFirst, kSecond, kThird}, rpc::encode(configurations()), {kSecond, kThird, kFourth}},
-            {{81, 85}, {kSecond, kThird, kFourth}, rpc::encode(configurations_before()), {kFourth}}};
+            {{82, 86}, {kFirst, kSecond, kThird}, rpc::encode(config_record()), {kSecond, kThird, kFourth}},
+            {{81, 85}, {kSecond, kThird, kFourth}, rpc::encode(previous_config_record()), {kFourth}}};
 }
-/// The only voter: it leads by itself.
-raft::PersistentState disk_alone() {
+/// The state of the only voter.
+raft::PersistentState single_voter_state() {
     return {12,
             92,
             12,
-            {{92, 96}, {kSecond}, rpc::encode(configurations())},
-            {{91, 95}, {kSecond}, rpc::encode(configurations_before())}};
+            {{92, 96}, {kSecond}, rpc::encode(config_record())},
+            {{91, 95}, {kSecond}, rpc::encode(previous_config_record())}};
 }
 
-// ---- what is read back
+// ---- checks of decoded values, field by field
 
 void check_member(const raft::Member& read, std::uint64_t id, const std::string& address,
-                  const std::string& zone, const std::string& region, bool counts) {
+                  const std::string& zone, const std::string& region, bool loss_counted) {
     CHECK(read.id == id);
     CHECK(read.address == address);
     CHECK(read.zone == zone);
     CHECK(read.region == region);
-    CHECK(read.loss_counted == counts);
+    CHECK(read.loss_counted == loss_counted);
 }
 void check_first(const raft::Member& read) {
     check_member(read, 11, "10.1.0.1:7000", "zone-a", "region-x", false);
@@ -143,7 +144,7 @@
     CHECK(read.lease_expired);
 }
 
-void check_configurations(const rpc::ConfigRecord& read) {
+void check_config_record(const rpc::ConfigRecord& read) {
     CHECK(read.version == 79);
     CHECK(read.document == R"({"version":"79"})");
     REQUIRE(read.accepted_changes.size() == 4);
@@ -157,7 +158,7 @@
     CHECK(read.accepted_changes[3].digest == 0xfedcba9876543210);
     CHECK(read.forgotten_up_to == 72);
 }
-void check_configurations_before(const rpc::ConfigRecord& read) {
+void check_previous_config_record(const rpc::ConfigRecord& read) {
     CHECK(read.version == 78);
     CHECK(read.document == R"({"version":"78"})");
     REQUIRE(read.accepted_changes.size() == 3);
@@ -169,19 +170,19 @@
     CHECK(read.accepted_changes[2].digest == 0xd3);
     CHECK(read.forgotten_up_to == 72);
 }
-/// Of a register's value.
+/// Checks the value of a log entry.
 void check_value(const std::string& value) {
-    const auto word = rpc::decode_config_record(value);
-    REQUIRE(word);
-    check_configurations(*word);
+    const auto record = rpc::decode_config_record(value);
+    REQUIRE(record);
+    check_config_record(*record);
 }
-void check_value_before(const std::string& value) {
-    const auto word = rpc::decode_config_record(value);
-    REQUIRE(word);
-    check_configurations_before(*word);
+void check_previous_value(const std::string& value) {
+    const auto record = rpc::decode_config_record(value);
+    REQUIRE(record);
+    check_previous_config_record(*record);
 }
 
-void check_disk_in_change(const raft::PersistentState& read) {
+void check_joint_state(const raft::PersistentState& read) {
     CHECK(read.self_id == 11);
     CHECK(read.term == 82);
     CHECK(read.voted_for == 12);
@@ -204,9 +205,9 @@
     check_fourth(read.committed_entry.voters[2]);
     REQUIRE(read.committed_entry.outgoing_voters.size() == 1);
     check_fourth(read.committed_entry.outgoing_voters[0]);
-    check_value_before(read.committed_entry.value);
+    check_previous_value(read.committed_entry.value);
 }
-void check_disk_alone(const raft::PersistentState& read) {
+void check_single_voter_state(const raft::PersistentState& read) {
     CHECK(read.self_id == 12);
     CHECK(read.term == 92);
     CHECK(read.voted_for == 12);
@@ -221,14 +222,15 @@
     REQUIRE(read.committed_entry.voters.size() == 1);
     check_second(read.committed_entry.voters[0]);
     CHECK(read.committed_entry.outgoing_voters.empty());
-    check_value_before(read.committed_entry.value);
+    check_previous_value(read.committed_entry.value);
 }
 
-/// The fixture's message, after it was seen that both `now` and what was read are written as it is.
+/// Decodes the fixture's message. Checks first that `expected` is encoded to the fixture's bytes, and that
+/// the decoded message is too.
 template <class Kind>
-Kind read_rpc(const std::string& file, const Kind& now) {
-    const std::string bytes = golden::kept(path_of(file), rpc::encode(rpc::Message{now}));
-    CHECK(rpc::encode(rpc::Message{now}) == bytes);
+Kind read_rpc(const std::string& file, const Kind& expected) {
+    const std::string bytes = golden::kept(path_of(file), rpc::encode(rpc::Message{expected}));
+    CHECK(rpc::encode(rpc::Message{expected}) == bytes);
     const auto read = rpc::decode(bytes);
     REQUIRE(read);
     CHECK(rpc::encode(*read) == bytes);
@@ -279,7 +281,7 @@
     REQUIRE(std::holds_alternative<std::monostate>(store.save(records)));
 }
 
-/// Writes a data directory as a process leaves it that has saved these records one after another.
+/// Writes the fixture of a data directory in which these records were saved one after another.
 void write_store(const std::string& name, const std::vector<durable_store::Records>& saved) {
     golden::Folder made;
     {
@@ -289,14 +291,14 @@
     golden::put_directory(made.at, path_of(name));
 }
 
-/// The disk in a copy of a fixture's directory, read as a start of the program reads it.
+/// The state in a copy of a fixture's directory, read as a controller reads it at its start.
 raft::PersistentState read_store(const std::string& name) {
     golden::Folder copy(path_of(name));
     const auto found = open(copy.at)->load();
     REQUIRE_FALSE(found.damaged);
-    const auto disk = rpc::from_records(found.records);
-    REQUIRE(disk);
-    return *disk;
+    const auto state = rpc::from_records(found.records);
+    REQUIRE(state);
+    return *state;
 }
 
 }  // namespace
@@ -338,10 +340,10 @@
     flag("rpc-raft-flag-5.bin", &raft::Message::has_quorum);
 }
 
-TEST_CASE("golden rpc: an announcement to the registry") {
-    const rpc::RegisterRequest now{
+TEST_CASE("golden rpc: register request") {
+    const rpc::RegisterRequest expected{
         kReady, {{"tenant-a", 1.25, 2.5, 101}, {"tenant-b", 3.75, 4.125, 102}}, 103, 104, 105};
-    const auto read = read_rpc("rpc-announce.bin", now);
+    const auto read = read_rpc("rpc-announce.bin", expected);
     check_ready(read.registration);
     REQUIRE(read.demands.size() == 2);
     CHECK(read.demands[0].tenant == "tenant-a");
@@ -357,10 +359,10 @@
     CHECK(read.sent_at == 105);
 }
 
-TEST_CASE("golden rpc: grants of quota") {
-    const rpc::RegisterResponse now{
+TEST_CASE("golden rpc: register response with quota leases") {
+    const rpc::RegisterResponse expected{
         111, {{"tenant-a", 5.5, 6.25, 112}, {"tenant-b", 7.75, 8.5, 113}}, true, 114, 115};
-    const auto read = read_rpc("rpc-grants.bin", now);
+    const auto read = read_rpc("rpc-grants.bin", expected);
     CHECK(read.response_number == 111);
     REQUIRE(read.quota_leases.size() == 2);
     CHECK(read.quota_leases[0].tenant == "tenant-a");
@@ -376,7 +378,7 @@
     CHECK(read.request_sent_at == 115);
 }
 
-TEST_CASE("golden rpc: a poll") {
+TEST_CASE("golden rpc: watch request") {
     const auto read = read_rpc("rpc-poll.bin", rpc::WatchRequest{121, 122, 123, true});
     CHECK(read.epoch == 121);
     CHECK(read.seq == 122);
@@ -384,8 +386,8 @@
     CHECK(read.wants_config);
 }
 
-TEST_CASE("golden rpc: news, with the registry's states") {
-    const auto read = read_rpc("rpc-news.bin", news());
+TEST_CASE("golden rpc: watch response, with the endpoint states") {
+    const auto read = read_rpc("rpc-news.bin", watch_response());
     CHECK(read.registry.epoch == 61);
     CHECK(read.registry.seq == 62);
     CHECK(read.registry.is_snapshot);
@@ -404,7 +406,7 @@
     CHECK(static_cast<int>(registry::EndpointState::Draining) == 2);
 }
 
-TEST_CASE("golden rpc: each flag of news by itself, and a registry's state of absence") {
+TEST_CASE("golden rpc: each flag of a watch response by itself, and the endpoint state Absent") {
     rpc::WatchResponse whole, in_touch;
     whole.registry.is_snapshot = true;
     whole.registry.registrations = {kReady};
@@ -420,8 +422,8 @@
     CHECK(second.has_quorum_contact);
 }
 
-TEST_CASE("golden rpc: a whole frame, as it goes over a connection") {
-    const rpc::Message message{news()};
+TEST_CASE("golden rpc: a frame as it goes over a connection") {
+    const rpc::Message message{watch_response()};
     const std::string bytes = golden::kept(path_of("rpc-frame.bin"), *rpc::Channel::frame(message));
     CHECK(*rpc::Channel::frame(message) == bytes);
     framing::FrameReader reader(rpc::kMaxMessageBytes);
@@ -435,17 +437,17 @@
     CHECK(*rpc::Channel::frame(*read) == bytes);
 }
 
-TEST_CASE("golden register: the value, as it is written") {
-    const std::string bytes = golden::kept(path_of("register-value.bin"), rpc::encode(configurations()));
-    CHECK(rpc::encode(configurations()) == bytes);
+TEST_CASE("golden register: config record") {
+    const std::string bytes = golden::kept(path_of("register-value.bin"), rpc::encode(config_record()));
+    CHECK(rpc::encode(config_record()) == bytes);
     const auto read = rpc::decode_config_record(bytes);
     REQUIRE(read);
-    check_configurations(*read);
+    check_config_record(*read);
     CHECK(rpc::encode(*read) == bytes);
 }
 
-TEST_CASE("golden register: a value of programs before, with the document and the history in the clear") {
-    // Never written any more: these two have no generator (golden/README.md).
+TEST_CASE("golden register: config record of the old form, with document and history uncompressed") {
+    // This form is no longer written, so these two have no generator (golden/README.md).
     const auto shortest = rpc::decode_config_record(golden::kept(path_of("register-value-2026-12-01.bin")));
     REQUIRE(shortest);
     CHECK(shortest->version == 9);
@@ -458,22 +460,22 @@
     CHECK(shortest->forgotten_up_to == 4);
     const auto read = rpc::decode_config_record(golden::kept(path_of("register-value-before.bin")));
     REQUIRE(read);
-    check_configurations(*read);
-    // Written again it has today's form.
+    check_config_record(*read);
+    // It is encoded in the present form.
     CHECK(rpc::encode(*read) == golden::kept(path_of("register-value.bin")));
 }
 
-TEST_CASE("golden register: the disk in one record") {
-    const std::string bytes = golden::kept(path_of("register-disk.bin"), rpc::encode(disk_in_change()));
-    CHECK(rpc::encode(disk_in_change()) == bytes);
+TEST_CASE("golden register: the persistent state in one record") {
+    const std::string bytes = golden::kept(path_of("register-disk.bin"), rpc::encode(joint_state()));
+    CHECK(rpc::encode(joint_state()) == bytes);
     const auto read = rpc::decode_persistent_state(bytes);
     REQUIRE(read);
-    check_disk_in_change(*read);
+    check_joint_state(*read);
     CHECK(rpc::encode(*read) == bytes);
 }
 
-TEST_CASE("golden register: the disk's records, their names and their bytes") {
-    const auto now = rpc::to_records(disk_in_change());
+TEST_CASE("golden register: the persistent records, their keys and their bytes") {
+    const auto now = rpc::to_records(joint_state());
     const durable_store::Records kept{
         {"state", golden::kept(path_of("register-record-state.bin"), now.at("state"))},
         {"value.82.86", golden::kept(path_of("register-record-value.82.86.bin"), now.at("value.82.86"))},
@@ -481,14 +483,15 @@
     CHECK(now == kept);
     const auto read = rpc::from_records(kept);
     REQUIRE(read);
-    check_disk_in_change(*read);
+    check_joint_state(*read);
     CHECK(rpc::to_records(*read) == kept);
 }
 
-TEST_CASE("golden store: a data directory with a change of members is read, and saved again as it is") {
+TEST_CASE("golden store: a data directory with a joint configuration is read, and saved again unchanged") {
     if (golden::writes()) {
-        // A term with a vote before, as a life of the register leaves it: records were overwritten and freed.
-        auto before = disk_in_change();
+        // Earlier saves with another term and vote, so that the file has records that were overwritten and
+        // freed.
+        auto before = joint_state();
         before.last_entry = before.committed_entry;
         before.term = 81;
         before.voted_for = 13;
@@ -496,7 +499,7 @@
         voted.term = 82;
         voted.voted_for = 12;
         write_store("store",
-                    {rpc::to_records(before), rpc::to_records(voted), rpc::to_records(disk_in_change())});
+                    {rpc::to_records(before), rpc::to_records(voted), rpc::to_records(joint_state())});
     }
     golden::Folder copy(path_of("store"));
     {
@@ -507,11 +510,11 @@
         CHECK(found.records.at("state") == golden::kept(path_of("register-record-state.bin")));
         CHECK(found.records.at("value.82.86") == golden::kept(path_of("register-record-value.82.86.bin")));
         CHECK(found.records.at("value.81.85") == golden::kept(path_of("register-record-value.81.85.bin")));
-        const auto disk = rpc::from_records(found.records);
-        REQUIRE(disk);
-        check_disk_in_change(*disk);
-        // What the next vote writes is read as well.
-        auto later = *disk;
+        const auto state = rpc::from_records(found.records);
+        REQUIRE(state);
+        check_joint_state(*state);
+        // What the next vote saves is read as well.
+        auto later = *state;
         later.term = 83;
         later.voted_for = 13;
         save(*store, rpc::to_records(later));
@@ -523,13 +526,13 @@
     check_value(again->last_entry.value);
 }
 
-TEST_CASE("golden store: a register that starts from it keeps term, vote, entries and both sets of voters") {
-    const raft::PersistentState disk = read_store("store");
-    raft::RaftNode raft(kFirst, disk, {}, 1);
-    check_disk_in_change(raft.persistent_state());
+TEST_CASE("golden store: a Raft node that starts from it keeps term, vote, entries and both sets of voters") {
+    const raft::PersistentState state = read_store("store");
+    raft::RaftNode raft(kFirst, state, {}, 1);
+    check_joint_state(raft.persistent_state());
     CHECK(raft.role() == raft::RaftNode::Role::Follower);
     CHECK(raft.is_voter());
-    const auto asked_by = [&](const raft::Member& from) {
+    const auto grants_vote_to = [&](const raft::Member& from) {
         raft::Message ask;
         ask.kind = raft::Message::Kind::RequestVote;
         ask.from = from;
@@ -544,11 +547,11 @@
         CHECK(out[0].term == 82);
         return out[0].granted;
     };
-    // Its vote of this term is given, and to this one alone.
-    CHECK_FALSE(asked_by(kThird));
-    CHECK(asked_by(kSecond));
+    // It has voted for kSecond in this term and grants no other request.
+    CHECK_FALSE(grants_vote_to(kThird));
+    CHECK(grants_vote_to(kSecond));
     CHECK_FALSE(raft.take_persist_request());
-    // It stands by what it holds, and asks the voters of both configurations.
+    // Its election starts from the stored entry and asks the voters of both sets.
     std::vector<raft::Message> out;
     for (Time now{1s}; out.empty() && now < Time{5s}; now += 10ms) {
         raft.tick(now);
@@ -565,15 +568,15 @@
     }
     std::sort(to.begin(), to.end());
     CHECK(to == std::vector<raft::MemberId>{12, 13, 14});
-    check_disk_in_change(raft.persistent_state());
+    check_joint_state(raft.persistent_state());
 }
 
-TEST_CASE("golden store: a register alone starts from it, leads, and its newest entry is committed") {
-    if (golden::writes()) write_store("store-alone", {rpc::to_records(disk_alone())});
-    const raft::PersistentState disk = read_store("store-alone");
-    check_disk_alone(disk);
-    raft::RaftNode raft(kSecond, disk, {}, 2);
-    check_disk_alone(raft.persistent_state());
+TEST_CASE("golden store: a single voter starts from it, becomes leader and commits its last entry") {
+    if (golden::writes()) write_store("store-alone", {rpc::to_records(single_voter_state())});
+    const raft::PersistentState state = read_store("store-alone");
+    check_single_voter_state(state);
+    raft::RaftNode raft(kSecond, state, {}, 2);
+    check_single_voter_state(raft.persistent_state());
     Time now{1s};
     for (; !raft.has_leader_lease(now) && now < Time{5s}; now += 10ms) {
         raft.tick(now);
@@ -586,29 +589,29 @@
     check_value(raft.persistent_state().committed_entry.value);
 }
 
-TEST_CASE("golden store: a data directory of programs before, with all in one record") {
-    if (golden::writes()) write_store("store-before", {{{"word", rpc::encode(disk_in_change())}}});
+TEST_CASE("golden store: a data directory of the old form, with the state in a single record") {
+    if (golden::writes()) write_store("store-before", {{{"word", rpc::encode(joint_state())}}});
     golden::Folder copy(path_of("store-before"));
     {
         auto store = open(copy.at);
         const auto found = store->load();
         CHECK_FALSE(found.damaged);
         CHECK(found.records == durable_store::Records{{"word", golden::kept(path_of("register-disk.bin"))}});
-        const auto disk = rpc::from_records(found.records);
-        REQUIRE(disk);
-        check_disk_in_change(*disk);
-        save(*store, rpc::to_records(*disk));
+        const auto state = rpc::from_records(found.records);
+        REQUIRE(state);
+        check_joint_state(*state);
+        save(*store, rpc::to_records(*state));
     }
     const auto again = open(copy.at)->load();
-    CHECK(again.records == rpc::to_records(disk_in_change()));
+    CHECK(again.records == rpc::to_records(joint_state()));
 }
 
-TEST_CASE("golden store: the file keeps its name, by which a later program finds it") {
+TEST_CASE("golden store: the database file keeps its name, by which a later release finds it") {
     for (const std::string name : {"store", "store-alone", "store-before"}) {
         CAPTURE(name);
         golden::Folder copy(path_of(name));
         CHECK(std::filesystem::exists(copy.at + "/word.mdb"));
-        open(copy.at)->load();
+        static_cast<void>(open(copy.at)->load());
         std::size_t files = 0;
         for ([[maybe_unused]] const auto& file : std::filesystem::directory_iterator(copy.at)) ++files;
         CHECK(files == 1);
--- a/tests/mesh/power_test.cpp
+++ b/tests/mesh/power_test.cpp
@@ -1,5 +1,6 @@
-// A loss of power, and a failing disk, at each single write of LMDB: its calls are seen on their way to the
-// kernel, and the file as it may then lie on the disk is put together from them.
+// The durable store under a loss of power, and on a failing disk, at each single write of LMDB. LMDB's system
+// calls are intercepted and recorded; from the record the test builds every image of the file that a loss of
+// power may leave, and loads it.
 #include <dlfcn.h>
 #include <doctest/doctest.h>
 #include <fcntl.h>
@@ -22,76 +23,83 @@
 
 namespace {
 
+/// A write or a sync of the watched file.
 struct Operation {
-    bool is_sync = false, lasts_at_once = false;
-    std::size_t at = 0;
+    bool is_sync = false;
+    bool is_synchronous_write = false;  // through a descriptor with O_DSYNC
+    std::size_t offset = 0;
     std::string bytes;
 };
 struct Watch {
-    ino_t file = 0;  // 0: nothing is watched
-    std::vector<Operation> done;
-    int fails_in = -1, with = 0;  // the operation that fails, from now; -1: none
+    ino_t file = 0;  // 0: no file is watched
+    std::vector<Operation> operations;
+    int operations_until_failure = -1;  // the next one fails at 0; negative: none fails
+    int failure_errno = 0;
 } watch;
 
 bool is_watched(int fd) {
     struct stat found {};
     return watch.file != 0 && ::fstat(fd, &found) == 0 && found.st_ino == watch.file;
 }
-bool fails() {
-    if (watch.fails_in < 0 || watch.fails_in-- != 0) return false;
-    errno = watch.with;
+/// Counts an operation. Returns true with errno set if it is the one to fail.
+bool injects_failure() {
+    if (watch.operations_until_failure < 0 || watch.operations_until_failure-- != 0) return false;
+    errno = watch.failure_errno;
     return true;
 }
-void note(int fd, off_t at, const void* bytes, std::size_t size) {
-    watch.done.push_back({false, (::fcntl(fd, F_GETFL) & O_DSYNC) != 0, static_cast<std::size_t>(at),
-                          std::string(static_cast<const char*>(bytes), size)});
+void record_write(int fd, off_t offset, const void* bytes, std::size_t size) {
+    watch.operations.push_back({false, (::fcntl(fd, F_GETFL) & O_DSYNC) != 0,
+                                static_cast<std::size_t>(offset),
+                                std::string(static_cast<const char*>(bytes), size)});
 }
+/// The C library's own function of this name.
 template <class Function>
-Function* next(const char* name) {
+Function* original(const char* name) {
     return reinterpret_cast<Function*>(::dlsym(RTLD_NEXT, name));
 }
 
 }  // namespace
 
-// In place of the C library's, for LMDB too.
-extern "C" ssize_t pwrite(int fd, const void* bytes, size_t size, off_t at) {
+// These replace the C library's functions in this program, LMDB's calls included.
+extern "C" ssize_t pwrite(int fd, const void* bytes, size_t size, off_t offset) {
     if (is_watched(fd)) {
-        if (fails()) return -1;
-        note(fd, at, bytes, size);
+        if (injects_failure()) return -1;
+        record_write(fd, offset, bytes, size);
     }
-    return next<ssize_t(int, const void*, size_t, off_t)>("pwrite")(fd, bytes, size, at);
+    return original<ssize_t(int, const void*, size_t, off_t)>("pwrite")(fd, bytes, size, offset);
 }
 extern "C" ssize_t writev(int fd, const struct iovec* parts, int count) {
     if (is_watched(fd)) {
-        if (fails()) return -1;
-        off_t at = ::lseek(fd, 0, SEEK_CUR);
-        for (int i = 0; i < count; at += static_cast<off_t>(parts[i++].iov_len))
-            note(fd, at, parts[i].iov_base, parts[i].iov_len);
+        if (injects_failure()) return -1;
+        off_t offset = ::lseek(fd, 0, SEEK_CUR);
+        for (int i = 0; i < count; offset += static_cast<off_t>(parts[i++].iov_len))
+            record_write(fd, offset, parts[i].iov_base, parts[i].iov_len);
     }
-    return next<ssize_t(int, const struct iovec*, int)>("writev")(fd, parts, count);
+    return original<ssize_t(int, const struct iovec*, int)>("writev")(fd, parts, count);
 }
 extern "C" int fdatasync(int fd) {
     if (is_watched(fd)) {
-        if (fails()) return -1;
-        watch.done.push_back({true, false, 0, ""});
+        if (injects_failure()) return -1;
+        watch.operations.push_back({true, false, 0, ""});
     }
-    return next<int(int)>("fdatasync")(fd);
+    return original<int(int)>("fdatasync")(fd);
 }
 
 namespace {
 
-struct Folder {
-    Folder() {
-        char path[] = "/tmp/mesh-power-XXXXXX";
-        at = ::mkdtemp(path);
+/// A temporary directory that is removed with the object.
+struct TemporaryDirectory {
+    TemporaryDirectory() {
+        char name[] = "/tmp/mesh-power-XXXXXX";
+        path = ::mkdtemp(name);
     }
-    ~Folder() { std::filesystem::remove_all(at); }
-    std::string file() const { return at + "/word.mdb"; }
-    std::string at;
+    ~TemporaryDirectory() { std::filesystem::remove_all(path); }
+    std::string database_file() const { return path + "/word.mdb"; }
+    std::string path;
 };
 
-std::unique_ptr<durable_store::DurableStore> open(const Folder& folder) {
-    auto opened = durable_store::DurableStore::open(folder.at, 1 << 20);
+std::unique_ptr<durable_store::DurableStore> open(const TemporaryDirectory& directory) {
+    auto opened = durable_store::DurableStore::open(directory.path, 1 << 20);
     REQUIRE(std::holds_alternative<std::unique_ptr<durable_store::DurableStore>>(opened));
     return std::get<std::unique_ptr<durable_store::DurableStore>>(std::move(opened));
 }
@@ -99,13 +107,14 @@
     std::ifstream file(path, std::ios::binary);
     return {std::istreambuf_iterator<char>(file), {}};
 }
-durable_store::LoadResult found_in(const std::string& image) {
-    Folder folder;
-    std::ofstream(folder.file(), std::ios::binary) << image;
-    return open(folder)->load();
+durable_store::LoadResult load_image(const std::string& image) {
+    TemporaryDirectory directory;
+    std::ofstream(directory.database_file(), std::ios::binary) << image;
+    return open(directory)->load();
 }
 
-/// A register's life: an entry is taken, committed, a vote is given, and so on.
+/// The records of save number `i`, as Raft's persistent state makes them: an entry is appended, committed, a
+/// vote is granted, and so on.
 durable_store::Records records(int i) {
     const auto value = [](int k) {
         return std::string(static_cast<std::size_t>(3000 + 2500 * (k % 4)), 'a' + k);
@@ -120,53 +129,56 @@
 bool save(durable_store::DurableStore& store, int i) {
     return std::holds_alternative<std::monostate>(store.save(records(i)));
 }
-void start_watching(const Folder& folder) {
+void start_watching(const TemporaryDirectory& directory) {
     struct stat found {};
-    REQUIRE(::stat(folder.file().c_str(), &found) == 0);
+    REQUIRE(::stat(directory.database_file().c_str(), &found) == 0);
     watch = {};
     watch.file = found.st_ino;
 }
 
 }  // namespace
 
-TEST_CASE("power lost at any write, with any of the unsynced ones lost or torn: the last save is there") {
-    Folder folder;
-    std::string lasting;
-    std::vector<std::size_t> ends;  // of each save, in operations
+TEST_CASE(
+    "durable store: after a loss of power at any write, with unsynced writes lost or torn, the last save is "
+    "read") {
+    TemporaryDirectory directory;
+    std::string synced_image;
+    std::vector<std::size_t> save_ends;  // the number of operations at the end of each save
     {
-        auto store = open(folder);
+        auto store = open(directory);
         REQUIRE(save(*store, 0));
-        lasting = read(folder.file());
-        start_watching(folder);
+        synced_image = read(directory.database_file());
+        start_watching(directory);
         for (int i = 1; i <= kSaves; ++i) {
             REQUIRE(save(*store, i));
-            ends.push_back(watch.done.size());
+            save_ends.push_back(watch.operations.size());
         }
     }
-    const auto done = std::exchange(watch, {}).done;
-    REQUIRE(done.size() > 3 * kSaves);  // data, sync and the page that makes them count
+    const auto operations = std::exchange(watch, {}).operations;
+    REQUIRE(operations.size() > 3 * kSaves);  // at least the data, a sync and the meta page for each save
     std::vector<const Operation*> unsynced;
-    const auto apply = [](std::string& image, const Operation& write, std::size_t from, std::size_t to) {
-        image.resize(std::max(image.size(), write.at + to));
-        image.replace(write.at + from, to - from, write.bytes, from, to - from);
+    const auto apply = [](std::string& image, const Operation& write, std::size_t begin, std::size_t end) {
+        image.resize(std::max(image.size(), write.offset + end));
+        image.replace(write.offset + begin, end - begin, write.bytes, begin, end - begin);
     };
-    std::size_t images = 0;
-    for (std::size_t at = 0; at <= done.size(); ++at) {
+    std::size_t image_count = 0;
+    for (std::size_t at = 0; at <= operations.size(); ++at) {
         const auto saved = static_cast<int>(
-            std::count_if(ends.begin(), ends.end(), [&](std::size_t end) { return end <= at; }));
+            std::count_if(save_ends.begin(), save_ends.end(), [&](std::size_t end) { return end <= at; }));
         const auto check = [&](const std::string& image) {
-            const auto found = found_in(image);
+            const auto found = load_image(image);
             CHECK_FALSE(found.damaged);
             CHECK(found.records == records(saved));
-            ++images;
+            ++image_count;
         };
-        // Each alone is there, lost, or there in its first or its last part; the others all are, or none.
-        for (const bool others : {false, true}) {
+        // One unsynced write is on disk in whole, in its first or second half, or not at all; the others are
+        // all on disk, or none is.
+        for (const bool others_on_disk : {false, true}) {
             for (const Operation* one : unsynced) {
                 for (const auto& [from, to] : {std::pair{0.0, 0.0}, {0.0, 0.5}, {0.5, 1.0}, {0.0, 1.0}}) {
-                    std::string image = lasting;
+                    std::string image = synced_image;
                     for (const Operation* other : unsynced) {
-                        if (others && other != one) apply(image, *other, 0, other->bytes.size());
+                        if (others_on_disk && other != one) apply(image, *other, 0, other->bytes.size());
                     }
                     const auto sector = [&](double part) {
                         return static_cast<std::size_t>(part * static_cast<double>(one->bytes.size())) / 512 *
@@ -177,60 +189,62 @@
                 }
             }
         }
-        if (unsynced.empty()) check(lasting);
-        if (at == done.size()) break;
-        const Operation& now = done[at];
-        if (now.is_sync) {
-            for (const Operation* write : unsynced) apply(lasting, *write, 0, write->bytes.size());
+        if (unsynced.empty()) check(synced_image);
+        if (at == operations.size()) break;
+        const Operation& operation = operations[at];
+        if (operation.is_sync) {
+            for (const Operation* write : unsynced) apply(synced_image, *write, 0, write->bytes.size());
             unsynced.clear();
-        } else if (now.lasts_at_once) {
-            CHECK(now.at / 512 == (now.at + now.bytes.size() - 1) / 512);  // a sector is written whole
-            apply(lasting, now, 0, now.bytes.size());
+        } else if (operation.is_synchronous_write) {
+            CHECK(operation.offset / 512 ==
+                  (operation.offset + operation.bytes.size() - 1) / 512);  // a sector is atomic
+            apply(synced_image, operation, 0, operation.bytes.size());
         } else {
-            unsynced.push_back(&now);
+            unsynced.push_back(&operation);
         }
     }
-    MESSAGE(done.size() << " operations, " << images << " images");
+    MESSAGE(operations.size() << " operations, " << image_count << " images");
 }
 
-TEST_CASE("a disk that fails at any one write: what was there stands, and the next save succeeds") {
+TEST_CASE("durable store: a save that fails at any one write changes nothing, and the next save succeeds") {
     std::size_t failed = 0;
-    for (const int with : {EIO, ENOSPC}) {
-        for (int at = 0;; ++at) {
-            Folder folder;
-            auto store = open(folder);
+    for (const int failure_errno : {EIO, ENOSPC}) {
+        for (int failing_operation = 0;; ++failing_operation) {
+            TemporaryDirectory directory;
+            auto store = open(directory);
             REQUIRE(save(*store, 0));
-            start_watching(folder);
-            watch.fails_in = at;
-            watch.with = with;
-            for (int i = 1, held = 0; i <= 4; ++i) {
+            start_watching(directory);
+            watch.operations_until_failure = failing_operation;
+            watch.failure_errno = failure_errno;
+            for (int i = 1, last_saved = 0; i <= 4; ++i) {
                 const bool saved = save(*store, i);
-                const auto found = found_in(read(folder.file()));
+                const auto found = load_image(read(directory.database_file()));
                 CHECK_FALSE(found.damaged);
-                CHECK((found.records == records(i) || (!saved && found.records == records(held))));
+                CHECK((found.records == records(i) || (!saved && found.records == records(last_saved))));
                 if (!saved) {
                     ++failed;
                     CHECK(save(*store, i));
-                    CHECK(found_in(read(folder.file())).records == records(i));
+                    CHECK(load_image(read(directory.database_file())).records == records(i));
                 }
-                held = i;
+                last_saved = i;
             }
-            const bool none = watch.fails_in >= 0;
+            const bool none_failed = watch.operations_until_failure >= 0;
             watch = {};
-            if (none) break;
+            if (none_failed) break;
         }
     }
     CHECK(failed > 20);
 }
 
 TEST_CASE(
-    "what a restart finds is synced before it is read: the process before may have been killed in a save") {
-    Folder folder;
-    { REQUIRE(save(*open(folder), 1)); }
-    start_watching(folder);
-    const auto store = open(folder);
-    const auto done = std::exchange(watch, {}).done;
-    REQUIRE_FALSE(done.empty());
-    CHECK(done.back().is_sync);
+    "durable store: open() syncs the file before it is read, since the last process may have died in a "
+    "save") {
+    TemporaryDirectory directory;
+    { REQUIRE(save(*open(directory), 1)); }
+    start_watching(directory);
+    const auto store = open(directory);
+    const auto operations = std::exchange(watch, {}).operations;
+    REQUIRE_FALSE(operations.empty());
+    CHECK(operations.back().is_sync);
     CHECK(store->load().records == records(1));
 }
--- a/tests/mesh/store_test.cpp
+++ b/tests/mesh/store_test.cpp
@@ -1,4 +1,4 @@
-// The disk's record, the configuration's checks, and messages that are not what they seem.
+// The durable store with its records, the codecs of rpc, the route table and the settings file.
 #include <doctest/doctest.h>
 #include <fcntl.h>
 #include <unistd.h>
@@ -15,181 +15,195 @@
 
 namespace {
 
-struct Folder {
-    Folder() {
-        char path[] = "/tmp/mesh-test-XXXXXX";
-        at = ::mkdtemp(path);
+/// A temporary directory that is removed with the object.
+struct TemporaryDirectory {
+    TemporaryDirectory() {
+        char name[] = "/tmp/mesh-test-XXXXXX";
+        path = ::mkdtemp(name);
     }
-    ~Folder() { std::filesystem::remove_all(at); }
-    std::string at;
+    ~TemporaryDirectory() { std::filesystem::remove_all(path); }
+    std::string database_file() const { return path + "/word.mdb"; }
+    std::string path;
 };
 
-std::unique_ptr<durable_store::DurableStore> open(const std::string& at, std::size_t most = 1 << 20) {
-    auto opened = durable_store::DurableStore::open(at, most);
+constexpr std::size_t kPageBytes = 4096;  // LMDB's, which takes the system's
+
+std::unique_ptr<durable_store::DurableStore> open(const std::string& directory,
+                                                  std::size_t map_size_bytes = 1 << 20) {
+    auto opened = durable_store::DurableStore::open(directory, map_size_bytes);
     REQUIRE(std::holds_alternative<std::unique_ptr<durable_store::DurableStore>>(opened));
     return std::get<std::unique_ptr<durable_store::DurableStore>>(std::move(opened));
 }
 
-bool saved(durable_store::DurableStore& store, const durable_store::Records& records) {
+bool save(durable_store::DurableStore& store, const durable_store::Records& records) {
     return std::holds_alternative<std::monostate>(store.save(records));
 }
 
 }  // namespace
 
-TEST_CASE("strongbox: what was saved is there after a restart; a full one keeps the record before") {
-    Folder folder;
+TEST_CASE("durable store: saved records are there after a restart; a save to a full disk changes nothing") {
+    TemporaryDirectory directory;
     {
-        auto store = open(folder.at, 256 * 1024);
+        auto store = open(directory.path, 256 * 1024);
         CHECK(store->load().records.empty());
-        CHECK(saved(*store, {{"a", "one"}, {"gone", "x"}}));
+        CHECK(save(*store, {{"a", "one"}, {"removed", "x"}}));
         const auto full = store->save({{"a", "other"}, {"b", std::string(400 * 1024, 'x')}});
         REQUIRE(std::holds_alternative<durable_store::StorageError>(full));
-        CHECK(std::get<durable_store::StorageError>(full).disk_full);
-        CHECK(saved(*store, {{"a", "one"}, {"b", "two"}}));
+        const auto& error = std::get<durable_store::StorageError>(full);
+        CHECK(error.code == durable_store::StorageError::Code::DiskFull);
+        CHECK(error.operation == "save");
+        CHECK(error.message.starts_with("save: "));
+        CHECK(save(*store, {{"a", "one"}, {"b", "two"}}));
     }
-    CHECK(open(folder.at)->load().records == durable_store::Records{{"a", "one"}, {"b", "two"}});
+    CHECK(open(directory.path)->load().records == durable_store::Records{{"a", "one"}, {"b", "two"}});
 }
 
-TEST_CASE("strongbox: a record whose bytes changed is told as damaged, not read") {
-    Folder folder;
+TEST_CASE("durable store: a record that fails its checksum is reported as damaged") {
+    TemporaryDirectory directory;
     const std::string record(5000, 'w');
-    { CHECK(saved(*open(folder.at), {{"a", "whole"}, {"b", record}})); }
-    std::fstream file(folder.at + "/word.mdb", std::ios::in | std::ios::out | std::ios::binary);
+    { CHECK(save(*open(directory.path), {{"a", "intact"}, {"b", record}})); }
+    std::fstream file(directory.database_file(), std::ios::in | std::ios::out | std::ios::binary);
     std::string bytes((std::istreambuf_iterator<char>(file)), {});
-    const auto at = bytes.find(std::string(100, 'w'));
-    REQUIRE(at != bytes.npos);
+    const auto offset = bytes.find(std::string(100, 'w'));
+    REQUIRE(offset != bytes.npos);
     file.clear();
-    file.seekp(static_cast<std::streamoff>(at));
+    file.seekp(static_cast<std::streamoff>(offset));
     file.put('x');
     file.close();
-    const auto found = open(folder.at)->load();
+    const auto found = open(directory.path)->load();
     CHECK(found.damaged);
     CHECK(found.records.empty());
 }
 
-TEST_CASE("strongbox: a file that lost its end is told as damaged, wherever it ends; the process lives") {
-    Folder folder;
+TEST_CASE(
+    "durable store: a file truncated at any length is damaged or read in full, and the process lives on") {
+    TemporaryDirectory directory;
     const durable_store::Records records{{"state", "s"}, {"value", std::string(30'000, 'v')}};
     {
-        auto store = open(folder.at);
-        CHECK(saved(*store, {{"state", "before"}}));
-        CHECK(saved(*store, records));
+        auto store = open(directory.path);
+        CHECK(save(*store, {{"state", "before"}}));
+        CHECK(save(*store, records));
     }
-    const auto size = std::filesystem::file_size(folder.at + "/word.mdb");
+    const auto size = std::filesystem::file_size(directory.database_file());
     std::size_t damaged = 0;
-    for (std::size_t end = 2 * 4096; end < size; end += 1024) {
-        Folder cut;
-        std::filesystem::copy(folder.at + "/word.mdb", cut.at + "/word.mdb");
-        std::filesystem::resize_file(cut.at + "/word.mdb", end);
-        const auto found = open(cut.at)->load();
+    for (std::size_t end = 2 * kPageBytes; end < size; end += 1024) {
+        TemporaryDirectory truncated;
+        std::filesystem::copy(directory.database_file(), truncated.database_file());
+        std::filesystem::resize_file(truncated.database_file(), end);
+        const auto found = open(truncated.path)->load();
         CHECK((found.damaged || found.records == records));
         damaged += found.damaged;
     }
     CHECK(damaged > 20);
 }
 
-TEST_CASE("strongbox: cut at any later write, the last record that was saved is there") {
-    // The file as it was after the first save, and as it is after the second: pages of the second are missing
-    // or torn.
-    Folder first, second;
-    const durable_store::Records as{{"r", std::string(9000, 'a')}}, bs{{"r", std::string(9000, 'b')}};
-    { CHECK(saved(*open(first.at), as)); }
-    std::filesystem::copy(first.at + "/word.mdb", second.at + "/word.mdb");
-    { CHECK(saved(*open(second.at), bs)); }
+TEST_CASE(
+    "durable store: after a save that lost any one of its data pages, the records of the save before are "
+    "read") {
+    // Images of the file that mix its state after the first save and after the second: one page of the second
+    // is missing or torn.
+    TemporaryDirectory first, second;
+    const durable_store::Records first_records{{"r", std::string(9000, 'a')}};
+    const durable_store::Records second_records{{"r", std::string(9000, 'b')}};
+    { CHECK(save(*open(first.path), first_records)); }
+    std::filesystem::copy(first.database_file(), second.database_file());
+    { CHECK(save(*open(second.path), second_records)); }
     const auto read = [](const std::string& path) {
         std::ifstream file(path, std::ios::binary);
         return std::string((std::istreambuf_iterator<char>(file)), {});
     };
-    const std::string before = read(first.at + "/word.mdb"), after = read(second.at + "/word.mdb");
-    const std::size_t pages = after.size() / 4096;
+    const std::string before = read(first.database_file()), after = read(second.database_file());
+    const std::size_t pages = after.size() / kPageBytes;
     std::size_t kept_first = 0, kept_second = 0;
     for (std::size_t page = 0; page < pages; ++page) {
         for (const std::size_t torn : {std::size_t{0}, std::size_t{512}, std::size_t{2048}}) {
-            // Before its last sync any of the data pages may be lost; the page that makes them count comes
-            // after that.
+            // Any data page may be lost before the save's sync; the meta page that refers to them (pages 0
+            // and 1) is written after it.
             if (page < 2) continue;
-            std::string mixed = after;
-            mixed.replace(0, 8192, before, 0, 8192);
-            const std::string old =
-                page * 4096 < before.size() ? before.substr(page * 4096, 4096) : std::string(4096, '\0');
-            mixed.replace(page * 4096 + torn, 4096 - torn, old, torn, 4096 - torn);
-            Folder folder;
-            std::ofstream(folder.at + "/word.mdb", std::ios::binary) << mixed;
-            const auto found = open(folder.at)->load();
+            std::string image = after;
+            image.replace(0, 2 * kPageBytes, before, 0, 2 * kPageBytes);
+            const std::string old_page = page * kPageBytes < before.size()
+                                             ? before.substr(page * kPageBytes, kPageBytes)
+                                             : std::string(kPageBytes, '\0');
+            image.replace(page * kPageBytes + torn, kPageBytes - torn, old_page, torn, kPageBytes - torn);
+            TemporaryDirectory directory;
+            std::ofstream(directory.database_file(), std::ios::binary) << image;
+            const auto found = open(directory.path)->load();
             CHECK_FALSE(found.damaged);
-            kept_first += found.records == as;
-            kept_second += found.records == bs;
+            kept_first += found.records == first_records;
+            kept_second += found.records == second_records;
         }
     }
     CHECK(kept_first > 0);
     CHECK(kept_second == 0);
 }
 
-TEST_CASE("messages: what was encoded is read, and broken bytes are none, wherever they break") {
-    rpc::WatchResponse news;
-    news.registry = {1,
-                     2,
-                     true,
-                     {{"n", 3, 4, "1.2.3.4:5", "s", "z", "i", registry::EndpointState::Draining, 6, 7, true}},
-                     {"gone"}};
-    news.config_version = 9;
-    news.config = std::string(3000, 'c');
-    news.controllers = {{1, "a"}, {2, "b"}};
-    const std::string bytes = rpc::encode(rpc::Message{news});
+TEST_CASE("messages: a message is decoded as it was encoded; truncated or changed bytes do no harm") {
+    rpc::WatchResponse response;
+    response.registry = {
+        1,
+        2,
+        true,
+        {{"n", 3, 4, "1.2.3.4:5", "s", "z", "i", registry::EndpointState::Draining, 6, 7, true}},
+        {"removed-node"}};
+    response.config_version = 9;
+    response.config = std::string(3000, 'c');
+    response.controllers = {{1, "a"}, {2, "b"}};
+    const std::string bytes = rpc::encode(rpc::Message{response});
     const auto read = rpc::decode(bytes);
     REQUIRE(read);
-    const auto& back = std::get<rpc::WatchResponse>(*read);
-    CHECK(back.registry.registrations.front().instance_id == "i");
-    CHECK(back.registry.removed_nodes == news.registry.removed_nodes);
-    CHECK(back.config == news.config);
+    const auto& decoded = std::get<rpc::WatchResponse>(*read);
+    CHECK(decoded.registry.registrations.front().instance_id == "i");
+    CHECK(decoded.registry.removed_nodes == response.registry.removed_nodes);
+    CHECK(decoded.config == response.config);
     for (std::size_t cut = 0; cut < bytes.size(); cut += 8)
         static_cast<void>(rpc::decode(bytes.substr(0, cut)));
     for (std::size_t i = 0; i < 400; ++i) {
-        std::string other = bytes;
-        other[i * 7 % other.size()] ^= static_cast<char>(1 << (i % 8));
-        static_cast<void>(rpc::decode(other));
+        std::string changed = bytes;
+        changed[i * 7 % changed.size()] ^= static_cast<char>(1 << (i % 8));
+        static_cast<void>(rpc::decode(changed));
     }
-    raft::PersistentState disk{5, 6, 7, {{8, 9}, {{1, "x"}}, "value"}, {{7, 8}, {}, "older"}};
-    const auto kept = rpc::decode_persistent_state(rpc::encode(disk));
-    REQUIRE(kept);
-    CHECK(kept->last_entry.value == "value");
-    CHECK(kept->committed_entry.position == raft::LogPosition{7, 8});
+    raft::PersistentState state{5, 6, 7, {{8, 9}, {{1, "x"}}, "value"}, {{7, 8}, {}, "older"}};
+    const auto restored = rpc::decode_persistent_state(rpc::encode(state));
+    REQUIRE(restored);
+    CHECK(restored->last_entry.value == "value");
+    CHECK(restored->committed_entry.position == raft::LogPosition{7, 8});
 }
 
-TEST_CASE("the disk's records: read as they were written; what doesn't belong together is nothing") {
-    raft::PersistentState disk{
+TEST_CASE("persistent records: read as they were written; records of different saves are rejected") {
+    raft::PersistentState state{
         5, 6, 7, {{8, 9}, {{1, "x"}}, std::string(60'000, 'n')}, {{7, 8}, {}, "older"}};
-    const auto records = rpc::to_records(disk);
-    const auto kept = rpc::from_records(records);
-    REQUIRE(kept);
-    CHECK(kept->last_entry.value == disk.last_entry.value);
-    CHECK(kept->last_entry.voters == disk.last_entry.voters);
-    CHECK(kept->committed_entry.value == "older");
-    CHECK(kept->voted_for == 7);
-    // A vote changes the state alone, and that is small.
-    disk.voted_for = 8;
-    for (const auto& [name, record] : rpc::to_records(disk)) {
+    const auto records = rpc::to_records(state);
+    const auto restored = rpc::from_records(records);
+    REQUIRE(restored);
+    CHECK(restored->last_entry.value == state.last_entry.value);
+    CHECK(restored->last_entry.voters == state.last_entry.voters);
+    CHECK(restored->committed_entry.value == "older");
+    CHECK(restored->voted_for == 7);
+    // A vote changes the "state" record alone, which is small.
+    state.voted_for = 8;
+    for (const auto& [name, record] : rpc::to_records(state)) {
         CHECK((record == records.at(name)) == (name != "state"));
         if (name == "state") CHECK(record.size() < 300);
     }
     for (const auto& [name, record] : records) {
-        auto others = records;
-        others.erase(name);
-        CHECK_FALSE(rpc::from_records(others));
+        auto mismatched = records;
+        mismatched.erase(name);
+        CHECK_FALSE(rpc::from_records(mismatched));
         if (name == "state") continue;
-        others[name] = record + "x";  // whole in itself, of another write
-        CHECK_FALSE(rpc::from_records(others));
+        mismatched[name] = record + "x";  // as another save might have written it
+        CHECK_FALSE(rpc::from_records(mismatched));
     }
-    // What a program before left, all in one.
-    const auto before = rpc::from_records({{"word", rpc::encode(disk)}});
-    REQUIRE(before);
-    CHECK(before->last_entry.value == disk.last_entry.value);
+    // The single record of releases before 2026-12-02.
+    const auto single = rpc::from_records({{"word", rpc::encode(state)}});
+    REQUIRE(single);
+    CHECK(single->last_entry.value == state.last_entry.value);
     CHECK_FALSE(rpc::from_records({}));
 }
 
 TEST_CASE(
-    "the record: read as it was written, packed; a record of a program before is read, one too large is "
-    "not") {
+    "config record: compressed, and read as it was written; the old uncompressed form is read, too long a "
+    "document is rejected") {
     rpc::ConfigRecord record{7, std::string(200'000, 'd'), {{3, 33}, {7, 77}}, 2};
     const std::string bytes = rpc::encode(record);
     CHECK(bytes.size() < 1000);
@@ -203,23 +217,24 @@
         CHECK_FALSE(rpc::decode_config_record(bytes.substr(0, cut)));
     record.document.assign(rpc::kMaxDocumentBytes + 1, 'd');
     CHECK_FALSE(rpc::decode_config_record(rpc::encode(record)));
-    // Version 9, the document "{}", versions 5 and 9 taken: as the program of 1 December 2026 wrote it.
-    const unsigned char before[] = {
+    // Version 9, the document "{}", versions 5 and 9 taken: as the release of 2026-12-01 wrote it.
+    const unsigned char old_form[] = {
         0x00, 0x00, 0x00, 0x00, 0x0a, 0x00, 0x00, 0x00, 0x00, 0x00, 0x00, 0x00, 0x01, 0x00, 0x02,
         0x00, 0x09, 0x00, 0x00, 0x00, 0x00, 0x00, 0x00, 0x00, 0x05, 0x00, 0x00, 0x00, 0x12, 0x00,
         0x00, 0x00, 0x05, 0x00, 0x00, 0x00, 0x27, 0x00, 0x00, 0x00, 0x7b, 0x7d, 0x00, 0x00, 0x00,
         0x00, 0x00, 0x00, 0x08, 0x00, 0x00, 0x00, 0x02, 0x00, 0x00, 0x00, 0x05, 0x00, 0x00, 0x00,
         0x00, 0x00, 0x00, 0x00, 0x37, 0x00, 0x00, 0x00, 0x00, 0x00, 0x00, 0x00, 0x09, 0x00, 0x00,
         0x00, 0x00, 0x00, 0x00, 0x00, 0x63, 0x00, 0x00, 0x00, 0x00, 0x00, 0x00, 0x00};
-    const auto old = rpc::decode_config_record({reinterpret_cast<const char*>(before), sizeof before});
-    REQUIRE(old);
-    CHECK(old->version == 9);
-    CHECK(old->document == "{}");
-    CHECK(old->accepted_changes.front().digest == 55);
-    CHECK(old->forgotten_up_to == 4);
+    const auto uncompressed =
+        rpc::decode_config_record({reinterpret_cast<const char*>(old_form), sizeof old_form});
+    REQUIRE(uncompressed);
+    CHECK(uncompressed->version == 9);
+    CHECK(uncompressed->document == "{}");
+    CHECK(uncompressed->accepted_changes.front().digest == 55);
+    CHECK(uncompressed->forgotten_up_to == 4);
 }
 
-TEST_CASE("routes: the longest prefix, by host, and splits that stay with an id") {
+TEST_CASE("route table: the longest prefix of the host matches; a weighted split is stable for an id") {
     const auto json = mesh_config::Json::parse(
         R"({"version":"1","base_version":"0","listeners":[{"host":"H.example","rule_set":[
         {"name":"short","route_kind":"idempotent","matcher":{"path_prefix":"/a/"},"route_action":{"weighted_split":[{"service":"x","weight":90},{"service":"y","weight":10}],"timeout_ms":1}},
@@ -227,25 +242,25 @@
         "clusters":[{"name":"x"},{"name":"y"}]})");
     const auto config = mesh_config::read_config(json);
     REQUIRE(std::holds_alternative<mesh_config::Config>(config));
-    const mesh_config::RouteTable held(1, std::get<mesh_config::Config>(config));
-    CHECK(held.route("h.example:80", "/a/c?x=/a/b/")->name == "short");
-    CHECK(held.route("h.example", "/a/b/c")->name == "long");
-    CHECK(held.route("h.example", "/a") == nullptr);
-    CHECK(held.route("other", "/a/b/") == nullptr);
-    const auto* route = held.route("h.example", "/a/");
-    int second = 0;
+    const mesh_config::RouteTable table(1, std::get<mesh_config::Config>(config));
+    CHECK(table.route("h.example:80", "/a/c?x=/a/b/")->name == "short");
+    CHECK(table.route("h.example", "/a/b/c")->name == "long");
+    CHECK(table.route("h.example", "/a") == nullptr);
+    CHECK(table.route("other", "/a/b/") == nullptr);
+    const auto* route = table.route("h.example", "/a/");
+    int to_y = 0;
     for (int i = 0; i < 1000; ++i) {
         const std::string id = "id" + std::to_string(i);
         CHECK(route->service_for(id) == route->service_for(id));
-        second += route->service_for(id) == "y";
+        to_y += route->service_for(id) == "y";
     }
-    CHECK(second > 60);
-    CHECK(second < 150);
+    CHECK(to_y > 60);
+    CHECK(to_y < 150);
 }
 
-TEST_CASE("settings: one line with file, line and field; what is unknown is passed over") {
-    Folder folder;
-    const std::string path = folder.at + "/boot.toml";
+TEST_CASE("settings: an error names file, line and field; unknown fields are ignored") {
+    TemporaryDirectory directory;
+    const std::string path = directory.path + "/boot.toml";
     const auto load = [&](const std::string& text) {
         std::ofstream(path) << text;
         return bootstrap::load(path);
