--- a/src/event_log/event_log.h
+++ b/src/event_log/event_log.h
@@ -1,7 +1,12 @@
-// What the mesh's programs tell people: numbered events on log4cplus. The one table that
-// docs/operate/mesh-events.md is made of.
+// The log of proxy and controller: numbered events, one line each on standard error through log4cplus:
+//
+//   LEVEL program CODE text key=value ...
+//
+// Every event is declared in event_catalogue(); docs/operate/mesh-events.md is made from it with
+// `martenford-proxy --events`. All functions are called on one thread.
 #pragma once
 
+#include <cstdint>
 #include <initializer_list>
 #include <string>
 #include <string_view>
@@ -10,7 +15,7 @@
 
 namespace martenford::event_log {
 
-enum class Event {
+enum class Event : std::uint8_t {
     Started,
     Stopping,
     BadSettings,
@@ -36,23 +41,29 @@
     RequestTotals
 };
 
-enum class Severity { Info, Warning, Error };
+enum class Severity : std::uint8_t { Info, Warning, Error };
 
 struct EventDescription {
     Event event;
-    const char* code;  ///< "MG101": stays with its meaning for good
-    const char* name;
+    const char* code;         ///< "MG101"; never changes and is never used for another meaning
+    const char* name;         ///< "program.started"
+    const char* former_name;  ///< the name until 2026-12-02; nullptr if it is the same
     Severity severity;
-    unsigned
-        max_per_minute;  ///< lines a minute; what comes more often is counted and told of with the next one
-    const char* meaning;
+    unsigned max_per_minute;  ///< lines; further ones are counted, and the next line tells how many
+    const char* meaning;      ///< one sentence or two, for the operator
 };
+
+/// All events in the order of their codes.
 const std::vector<EventDescription>& event_catalogue();
-/// The table as a page.
-std::string catalogue_page();
 
-/// To standard error; called once, before ring().
+/// The catalogue as a Markdown table.
+[[nodiscard]] std::string catalogue_page();
+
+/// Opens the log. Called once, before the first log_event(); `program` is the name in each line.
 void open(const std::string& program);
+
+/// Writes one line. Does nothing before open(), or if the event has had max_per_minute lines in the present
+/// minute; the event's next line then ends with "suppressed=<count>".
 void log_event(Event event, const std::string& text,
                std::initializer_list<std::pair<std::string_view, std::string>> fields = {});
 
