--- a/tests/mesh/controller_test.cpp
+++ b/tests/mesh/controller_test.cpp
@@ -115,7 +115,9 @@
                       {[this](const raft::PersistentState&) -> std::optional<durable_store::StorageError> {
                            effects.emplace_back("persist");
                            persisted_at.push_back(scheduler.now());
-                           if (disk_fails) return durable_store::StorageError{"no space", true};
+                           if (disk_fails)
+                               return durable_store::StorageError{durable_store::StorageError::Code::DiskFull,
+                                                                  "save", "no space"};
                            return std::nullopt;
                        },
                        [this](const raft::Message&) { effects.emplace_back("send"); },
