--- a/src/bootstrap/settings.cpp
+++ b/src/bootstrap/settings.cpp
@@ -6,7 +6,7 @@
 #include <cstdlib>
 #include <limits>
 
-#include "mesh_config/described.h"
+#include "mesh_config/json_reader.h"
 
 namespace martenford::bootstrap {
 
--- a/src/config_service/change_checks.cpp
+++ b/src/config_service/change_checks.cpp
@@ -62,7 +62,7 @@
     } else {
         const Json in_place =
             committed.document.empty() ? Json::object() : Json::parse(committed.document, nullptr, false);
-        document = mesh_config::modified(in_place, std::get<ModifyDocument>(request.operation).change);
+        document = mesh_config::apply_change(in_place, std::get<ModifyDocument>(request.operation).change);
     }
     if (const auto* error = std::get_if<ConfigError>(&document)) return invalid(*error);
     const auto config = mesh_config::read_config(std::get<Json>(document));
--- a/src/config_tool/config_tool.cpp
+++ b/src/config_tool/config_tool.cpp
@@ -76,7 +76,7 @@
     if (!change.empty()) {
         const auto by = read_file(change);
         if (!by) return kUsage;
-        const auto whole = modified(*json, *by);
+        const auto whole = apply_change(*json, *by);
         if (const auto* problem = std::get_if<ConfigError>(&whole)) {
             std::cerr << change << ": " << problem->text() << "\n";
             return kInvalid;
