--- /dev/null
+++ b/src/quota/quota_allocator.cpp
@@ -0,0 +1,157 @@
+#include "quota/quota_allocator.h"
+
+#include <algorithm>
+#include <chrono>
+
+namespace martenford::quota {
+
+namespace {
+
+// Fraction of a quota that every active proxy is reckoned to want on top of what it reports, so that its
+// first requests after a pause find a share.
+constexpr double kMinDemandShare = 0.02;
+// Factor on the reported rate: demand may rise by as much before the next report.
+constexpr double kDemandHeadroom = 1.3;
+// Tenants that shares are kept of, and bytes of a tenant's name; both bound the memory.
+constexpr std::size_t kMaxTenants = 20000;
+constexpr std::size_t kMaxTenantNameBytes = 256;
+// Against a division by zero where nobody wants anything. Requests per second.
+constexpr double kMinTotalRate = 1e-9;
+
+double seconds(Duration time) {
+    return std::chrono::duration<double>(time).count();
+}
+
+double as_divisor(std::size_t count) {
+    return static_cast<double>(std::max<std::size_t>(count, 1));
+}
+
+double demanded_rate(double wanted_rate, const Quota& available) {
+    return wanted_rate + kMinDemandShare * available.rate_per_s;
+}
+
+/// A proxy's fair share, in requests per second. If the demand of all fits in the quota, each gets what it
+/// wants and an equal part of the rest; otherwise each gets a share in proportion to its demand.
+double fair_rate(double wanted_rate, double total_wanted_rate, std::size_t active_proxies,
+                 const Quota& available) {
+    if (total_wanted_rate <= available.rate_per_s) {
+        const double unclaimed = available.rate_per_s - total_wanted_rate;
+        return demanded_rate(wanted_rate, available) + unclaimed / as_divisor(active_proxies);
+    }
+    return available.rate_per_s * demanded_rate(wanted_rate, available) /
+           std::max(total_wanted_rate, kMinTotalRate);
+}
+
+}  // namespace
+
+void QuotaAllocator::update_share(Time now, Share& share, std::uint64_t acknowledged,
+                                  const QuotaDemand& demand) {
+    share.wanted_rate = demand.rate_per_s * kDemandHeadroom;
+    share.reported_at = now;
+    // Once the proxy has applied the last response, the larger rate before it is not in use any more.
+    const bool applied_last = share.response_number != 0 && acknowledged >= share.response_number;
+    if (applied_last) share.outstanding_rate = share.granted_rate;
+    // Leases of the previous leader are known only by what the proxy reports.
+    const Time reported_expiry = now + std::chrono::milliseconds(demand.lease_remaining_ms);
+    if (demand.leased_rate_per_s <= 0 || reported_expiry <= share.expires_at) return;
+    const double still_outstanding = now < share.expires_at ? share.outstanding_rate : 0.0;
+    share.outstanding_rate = std::max(demand.leased_rate_per_s, still_outstanding);
+    share.expires_at = reported_expiry;
+}
+
+void QuotaAllocator::forget_inactive(Time now) {
+    for (auto& [tenant, shares] : shares_by_tenant_) {
+        std::erase_if(shares, [&](const auto& entry) {
+            const Share& share = entry.second;
+            return now - share.reported_at > options_.forget_after && now >= share.expires_at;
+        });
+    }
+}
+
+void QuotaAllocator::report_demand(Time now, const std::string& proxy, std::uint64_t acknowledged,
+                                   const std::vector<QuotaDemand>& demands) {
+    if (listening_since_ == Time{}) listening_since_ = now;
+    for (auto& [tenant, shares] : shares_by_tenant_) {
+        if (const auto it = shares.find(proxy); it != shares.end()) it->second.wanted_rate = 0;
+    }
+    for (const QuotaDemand& demand : demands) {
+        if (demand.tenant.size() > kMaxTenantNameBytes) continue;
+        const bool is_full = shares_by_tenant_.size() >= kMaxTenants;
+        if (is_full && !shares_by_tenant_.contains(demand.tenant)) continue;
+        update_share(now, shares_by_tenant_[demand.tenant][proxy], acknowledged, demand);
+    }
+    forget_inactive(now);
+}
+
+/// Whether the leases of the previous leader are known well enough to raise shares.
+bool QuotaAllocator::has_settled(Time now, Time leading_since) const {
+    return now - leading_since >= options_.settle_after_election &&
+           now - listening_since_ >= options_.min_listening_time;
+}
+
+QuotaAllocator::TenantTotals QuotaAllocator::totals(Time now, const Shares& shares, const std::string& proxy,
+                                                    const Quota& available) const {
+    TenantTotals totals;
+    for (const auto& [name, share] : shares) {
+        const bool is_active = now - share.reported_at <= options_.forget_after;
+        if (is_active) {
+            totals.wanted_rate += demanded_rate(share.wanted_rate, available);
+            ++totals.active_proxies;
+        }
+        const bool is_leased = now < share.expires_at;
+        if (name != proxy && is_leased) totals.outstanding_elsewhere += share.outstanding_rate;
+    }
+    return totals;
+}
+
+/// Requests at once for a share of this rate. What the rule allows at once over all proxies is divided half
+/// evenly and half in proportion to the rate: a proxy with a small share needs room for single requests too.
+double QuotaAllocator::burst_for(double rate, const Quota& available, std::size_t active_proxies) const {
+    const double beyond_quota =
+        options_.overshoot * (available.rate_per_s * seconds(options_.window) + available.burst) +
+        options_.slack;
+    const double total_burst = available.burst + options_.usable_slack * beyond_quota;
+    return total_burst * (0.5 / as_divisor(active_proxies) + 0.5 * rate / available.rate_per_s);
+}
+
+std::vector<QuotaLease> QuotaAllocator::allocate(Time now, Time leading_since, const std::string& proxy,
+                                                 const std::map<std::string, Quota>& quotas,
+                                                 std::size_t proxies, std::size_t unheard) {
+    std::vector<QuotaLease> leases;
+    ++response_number_;
+    const bool settled = has_settled(now, leading_since);
+    const double reserved_fraction =
+        proxies == 0 ? 0.0
+                     : options_.unheard_share * static_cast<double>(unheard) / static_cast<double>(proxies);
+    const auto lease_ms = static_cast<std::uint32_t>(
+        std::chrono::duration_cast<std::chrono::milliseconds>(options_.lease).count());
+    for (const auto& [tenant, quota] : quotas) {
+        if (quota.rate_per_s <= 0) continue;
+        const auto known = shares_by_tenant_.find(tenant);
+        if (known == shares_by_tenant_.end()) continue;
+        Shares& shares = known->second;
+        const auto own = shares.find(proxy);
+        if (own == shares.end()) continue;
+        Share& share = own->second;
+
+        const Quota available{quota.rate_per_s * (1 - reserved_fraction),
+                              quota.burst * (1 - reserved_fraction)};
+        const TenantTotals total = totals(now, shares, proxy, available);
+        const double fair = fair_rate(share.wanted_rate, total.wanted_rate, total.active_proxies, available);
+        const double unleased = std::max(0.0, available.rate_per_s - total.outstanding_elsewhere);
+        const double outstanding = now < share.expires_at ? share.outstanding_rate : 0.0;
+        double rate = std::min(fair, unleased);
+        if (!settled) rate = std::min(rate, outstanding);
+        if (rate <= 0) continue;
+
+        // Until the proxy acknowledges a smaller share, it may still use the larger one.
+        share.outstanding_rate = std::max(rate, outstanding);
+        share.granted_rate = rate;
+        share.response_number = response_number_;
+        share.expires_at = now + options_.lease;
+        leases.push_back({tenant, rate, burst_for(rate, available, total.active_proxies), lease_ms});
+    }
+    return leases;
+}
+
+}  // namespace martenford::quota
