--- /dev/null
+++ b/src/bootstrap/program.cpp
@@ -0,0 +1,127 @@
+#include "bootstrap/program.h"
+
+#include <getopt.h>
+
+#include <algorithm>
+#include <csignal>
+#include <iostream>
+#include <random>
+
+#include "event_log/event_log.h"
+
+namespace martenford::bootstrap {
+namespace {
+
+using event_log::Event;
+using event_log::log_event;
+
+enum class Action { Run, CheckSettings };
+
+void print_help(const ProgramDescription& program) {
+    std::cout << program.name << ": " << program.summary
+              << ". Settings: MARTENFORD_CONFIG.\n"
+                 "  --check   read the settings and end\n  --events  the catalogue of events\n";
+}
+
+std::variant<Action, ExitCode> parse_command_line(int argc, char** argv, const ProgramDescription& program) {
+    static const option kOptions[] = {{"help", no_argument, nullptr, 'h'},
+                                      {"check", no_argument, nullptr, 'c'},
+                                      {"events", no_argument, nullptr, 'e'},
+                                      {nullptr, 0, nullptr, 0}};
+    Action action = Action::Run;
+    for (int option = 0; (option = getopt_long(argc, argv, "hce", kOptions, nullptr)) != -1;) {
+        switch (option) {
+            case 'c':
+                action = Action::CheckSettings;
+                break;
+            case 'e':
+                std::cout << event_log::catalogue_page();
+                return ExitCode{0};
+            case 'h':
+                print_help(program);
+                return ExitCode{0};
+            default:
+                print_help(program);
+                return ExitCode{kExitBadSettings};
+        }
+    }
+    return action;
+}
+
+std::string address_of(const std::string& ip_address, std::uint16_t port) {
+    return ip_address + ":" + std::to_string(port);
+}
+
+}  // namespace
+
+std::variant<Settings, ExitCode> start_program(int argc, char** argv, const ProgramDescription& program) {
+    const auto parsed = parse_command_line(argc, argv, program);
+    if (const auto* exit_code = std::get_if<ExitCode>(&parsed)) return *exit_code;
+
+    event_log::open(program.name);
+    auto loaded = load();
+    if (const auto* error = std::get_if<SettingsError>(&loaded)) {
+        log_event(Event::BadSettings, error->message);
+        return ExitCode{kExitBadSettings};
+    }
+    auto& settings = std::get<Settings>(loaded);
+    for (const RequiredSetting& required : program.required_settings(settings)) {
+        if (required.is_set) continue;
+        log_event(Event::BadSettings, std::string(required.field) + ": it is missing");
+        return ExitCode{kExitBadSettings};
+    }
+    if (std::get<Action>(parsed) == Action::CheckSettings) return ExitCode{0};
+    return std::move(settings);
+}
+
+std::uint64_t random_nonzero_id() {
+    std::random_device device;
+    const auto high = static_cast<std::uint64_t>(device());
+    const auto low = static_cast<std::uint64_t>(device());
+    return (high << 32 | low) | 1;
+}
+
+std::vector<std::string> seed_addresses(const Settings& settings) {
+    std::vector<std::string> addresses;
+    addresses.reserve(settings.seeds.size());
+    for (const Address& seed : settings.seeds) {
+        addresses.push_back(address_of(seed.address().to_string(), settings.first_port));
+    }
+    return addresses;
+}
+
+std::string own_address(const Settings& settings) {
+    return address_of(settings.ip_address, settings.first_port);
+}
+
+bool is_seed_address(const Settings& settings, const std::string& address) {
+    return std::any_of(settings.seeds.begin(), settings.seeds.end(), [&](const Address& seed) {
+        return address.starts_with(seed.address().to_string() + ":");
+    });
+}
+
+ProcessSignals::ProcessSignals(Loop& loop, Handlers handlers)
+    : handlers_(std::move(handlers)),
+      termination_signals_(loop.io(), SIGTERM, SIGINT),
+      reload_signals_(loop.io(), SIGHUP) {
+    watch_for_termination();
+    watch_for_reload();
+}
+
+void ProcessSignals::watch_for_termination() {
+    termination_signals_.async_wait([this](const auto& error, int) {
+        if (error) return;
+        handlers_.on_terminate();
+    });
+}
+
+void ProcessSignals::watch_for_reload() {
+    reload_signals_.async_wait([this](const auto& error, int) {
+        if (error) return;
+        const auto loaded = load();
+        if (const auto* settings = std::get_if<Settings>(&loaded)) handlers_.on_reload(*settings);
+        watch_for_reload();
+    });
+}
+
+}  // namespace martenford::bootstrap
--- a/src/controller/controller.cpp
+++ b/src/controller/controller.cpp
@@ -1,17 +1,13 @@
 // The control plane's program: the agreed register on this machine's disk, the registry, the operator's
 // calls.
-#include <getopt.h>
 #include <unistd.h>
 
 #include <algorithm>
-#include <boost/asio/signal_set.hpp>
-#include <iostream>
 #include <map>
 #include <memory>
-#include <random>
 #include <set>
 
-#include "bootstrap/settings.h"
+#include "bootstrap/program.h"
 #include "config_service/config_service.h"
 #include "control_api/control_api.h"
 #include "durable_store/durable_store.h"
@@ -26,7 +22,6 @@
 using event_log::Event;
 using event_log::log_event;
 
-constexpr int kBadSettings = 2;
 constexpr std::size_t kMapBytes = 96 * 1024 * 1024;  // of LMDB; the disk has more
 constexpr Duration kTick = 20ms;
 constexpr Duration kPollWait = 900ms;  // a poll without news is answered after this
@@ -40,24 +35,20 @@
 constexpr std::size_t kMostControllers = 64;
 constexpr std::size_t kMostCallers = 512;
 
-std::uint64_t drawn() {
-    std::random_device device;
-    return (static_cast<std::uint64_t>(device()) << 32 | device()) | 1;
-}
-
 class Controller {
   public:
     Controller(const bootstrap::Settings& settings, std::unique_ptr<durable_store::DurableStore> store,
                raft::PersistentState disk)
         : settings_(settings),
           store_(std::move(store)),
-          self_{disk.self_id, own_address(settings), settings.zone, settings.region, settings.loss_counted},
-          raft_(self_, std::move(disk), raft_options(settings), drawn()),
+          self_{disk.self_id, bootstrap::own_address(settings), settings.zone, settings.region,
+                settings.loss_counted},
+          raft_(self_, std::move(disk), raft_options(settings), bootstrap::random_nonzero_id()),
           config_service_(raft_),
-          registry_(drawn(), {}),
+          registry_(bootstrap::random_nonzero_id(), {}),
           quota_allocator_(quota_options(settings)),
-          signals_(loop_.io(), SIGTERM, SIGINT),
-          hangups_(loop_.io(), SIGHUP),
+          signals_(loop_, {[this] { terminate(); },
+                           [this](const bootstrap::Settings& reloaded) { dial_seeds(reloaded); }}),
           ticker_(loop_),
           gather_(loop_),
           ending_(loop_),
@@ -96,19 +87,7 @@
         };
         operator_api_.listen(*settings.control);
         for (const raft::Member& voter : raft_.persistent_state().last_entry.voters) know(voter);
-        for (const Address& seed : settings.seeds) {
-            dial(seed.address().to_string() + ":" + std::to_string(settings.first_port));
-        }
-        signals_.async_wait([this](const auto& error, int) {
-            if (error) return;
-            log_event(Event::Stopping, "stopping");
-            const Time now = loop_.now();
-            ends_at_ = now + std::min<Duration>(kLongestLeave, settings_.bounds.grace / 3);
-            raft_.leave(now);
-            turn();
-            leave();
-        });
-        hang_up();
+        dial_seeds(settings);
         tick();
         log_event(Event::Started, "listening",
                   {{"control", text_of(*settings.control)},
@@ -117,6 +96,15 @@
     }
     void run() { loop_.run(); }
 
+    void terminate() {
+        log_event(Event::Stopping, "stopping");
+        const Time now = loop_.now();
+        ends_at_ = now + std::min<Duration>(kLongestLeave, settings_.bounds.grace / 3);
+        raft_.leave(now);
+        turn();
+        leave();
+    }
+
     /// Place and copy go to others first; where there is nobody to take them, this one ends all the same.
     void leave() {
         const Time now = loop_.now();
@@ -130,10 +118,6 @@
         ending_.set(now + kTick, [this] { leave(); });
     }
 
-    static std::string own_address(const bootstrap::Settings& settings) {
-        return settings.ip_address + ":" + std::to_string(settings.first_port);
-    }
-
   private:
     struct Peer {
         std::unique_ptr<rpc::ReconnectingClient> client;
@@ -163,17 +147,8 @@
         return options;
     }
 
-    /// Seeds may be others now; the rest holds for the life of the process.
-    void hang_up() {
-        hangups_.async_wait([this](const auto& error, int) {
-            if (error) return;
-            const auto loaded = bootstrap::load();
-            if (const auto* read = std::get_if<bootstrap::Settings>(&loaded)) {
-                for (const Address& seed : read->seeds)
-                    dial(seed.address().to_string() + ":" + std::to_string(read->first_port));
-            }
-            hang_up();
-        });
+    void dial_seeds(const bootstrap::Settings& settings) {
+        for (const std::string& address : bootstrap::seed_addresses(settings)) dial(address);
     }
 
     void dial(const std::string& address) {
@@ -342,9 +317,7 @@
                 const bool voter = std::any_of(raft_.persistent_state().last_entry.voters.begin(),
                                                raft_.persistent_state().last_entry.voters.end(),
                                                [&](const auto& m) { return m.address == it->first; });
-                const bool seed = std::any_of(
-                    settings_.seeds.begin(), settings_.seeds.end(),
-                    [&](const Address& a) { return it->first.starts_with(a.address().to_string() + ":"); });
+                const bool seed = bootstrap::is_seed_address(settings_, it->first);
                 if (!voter && !seed && now - it->second.heard > kForgetPeer) {
                     it = peers_.erase(it);
                     continue;
@@ -450,7 +423,7 @@
     std::vector<raft::Member> voters_;
     bool led_ = false, in_touch_ = false, gathering_ = false, unsaved_ = false, turning_ = false;
     Time save_again_{}, next_hello_{}, ends_at_{};
-    asio::signal_set signals_, hangups_;
+    bootstrap::ProcessSignals signals_;
     Timer ticker_, gather_, ending_;
     control_api::ApiServer operator_api_;
     rpc::Listener listener_;
@@ -466,14 +439,12 @@
         log_event(Event::StorageDamaged, "the records don't belong together");
     }
     raft::PersistentState disk;
-    disk.self_id = drawn();
-    const std::string own = Controller::own_address(settings);
+    disk.self_id = bootstrap::random_nonzero_id();
+    const std::string own = bootstrap::own_address(settings);
     if (settings.first_boot && !found.damaged && found.records.empty()) {
         // At the first start of all, all are told the same seeds: they are the first voters, known by their
         // addresses.
-        for (const Address& seed : settings.seeds) {
-            const std::string address =
-                seed.address().to_string() + ":" + std::to_string(settings.first_port);
+        for (const std::string& address : bootstrap::seed_addresses(settings)) {
             const raft::Member member{mesh_config::digest(address, 1) | 1, address};
             disk.last_entry.voters.push_back(member);
             if (address == own) disk.self_id = member.id;
@@ -488,36 +459,15 @@
 }
 
 int main_of(int argc, char** argv) {
-    static const option options[] = {{"help", no_argument, nullptr, 'h'},
-                                     {"check", no_argument, nullptr, 'c'},
-                                     {"events", no_argument, nullptr, 'e'},
-                                     {nullptr, 0, nullptr, 0}};
-    bool check = false;
-    for (int given = 0; (given = getopt_long(argc, argv, "hce", options, nullptr)) != -1;) {
-        if (given == 'e') return std::cout << event_log::catalogue_page(), 0;
-        if (given == 'c') {
-            check = true;
-            continue;
-        }
-        std::cout << "martenford-controller: the control plane. Settings: MARTENFORD_CONFIG.\n"
-                     "  --check   read the settings and end\n  --events  the catalogue of events\n";
-        return given == 'h' ? 0 : kBadSettings;
-    }
-    event_log::open("martenford-controller");
-    const auto loaded = bootstrap::load();
-    if (const auto* trouble = std::get_if<bootstrap::SettingsError>(&loaded)) {
-        log_event(Event::BadSettings, trouble->message);
-        return kBadSettings;
-    }
-    const auto& settings = std::get<bootstrap::Settings>(loaded);
-    const char* lacks = !settings.control                 ? "listen_addrs.control"
-                        : settings.data_directory.empty() ? "data_directory"
-                                                          : nullptr;
-    if (lacks) {
-        log_event(Event::BadSettings, std::string(lacks) + ": it is missing");
-        return kBadSettings;
-    }
-    if (check) return 0;
+    const bootstrap::ProgramDescription program{
+        "martenford-controller", "the control plane", [](const bootstrap::Settings& settings) {
+            return std::vector<bootstrap::RequiredSetting>{
+                {settings.control.has_value(), "listen_addrs.control"},
+                {!settings.data_directory.empty(), "data_directory"}};
+        }};
+    const auto started = bootstrap::start_program(argc, argv, program);
+    if (const auto* exit_code = std::get_if<bootstrap::ExitCode>(&started)) return exit_code->value;
+    const auto& settings = std::get<bootstrap::Settings>(started);
     // A full or hanging disk at the start is waited for: the machine can do nothing without it.
     for (;;) {
         auto opened = durable_store::DurableStore::open(settings.data_directory, kMapBytes);
