--- a/src/proxy/proxy.cpp
+++ b/src/proxy/proxy.cpp
@@ -9,7 +9,6 @@
 #include <map>
 #include <memory>
 #include <random>
-#include <set>
 
 #include "bootstrap/settings.h"
 #include "control_api/control_api.h"
@@ -22,6 +21,7 @@
 #include "outbound/upstream_table.h"
 #include "proxy/config_version_gate.h"
 #include "proxy/inbound_protocol.h"
+#include "proxy/local_endpoint.h"
 #include "proxy/outbound_protocol.h"
 #include "rpc/channel.h"
 
@@ -38,14 +38,10 @@
 constexpr Duration kForgetController = 20s;
 // A controller that hears a leader says so within two of the leader's heartbeats.
 constexpr Duration kIntakePatience = 400ms;
-constexpr double kBeatsMissed = 2.6;  // beats without which an endpoint is gone
 constexpr Duration kHopConnect = 300ms;
 constexpr Duration kHopIdle = 12s, kEndpointIdle = 6s;
 constexpr std::size_t kMostControllers = 32;
 constexpr std::size_t kSpareSockets = 96;
-constexpr int kMostProbes = 4;  // of an endpoint whose beats this proxy has not heard yet
-constexpr Duration kProbeAgain = 250ms;
-constexpr std::uint32_t kAssumedSlots = 4;  // of an endpoint until its beat tells them
 constexpr Duration kFiguresEvery = 10s;
 constexpr Duration kLeastDrain =
     2600ms;  // clients see two misses of readiness before connections are turned away
@@ -78,6 +74,16 @@
     return limits;
 }
 
+registry::ProxyRegistration identity_of(const bootstrap::Settings& settings, std::uint64_t incarnation) {
+    registry::ProxyRegistration identity;
+    identity.node = settings.node_name;
+    identity.incarnation = incarnation;
+    identity.inbound_address = text_of(*settings.inbound);
+    identity.service = settings.service;
+    identity.zone = settings.zone;
+    return identity;
+}
+
 class Proxy {
   public:
     explicit Proxy(const bootstrap::Settings& settings)
@@ -107,9 +113,10 @@
               loop_, gate_engine_, inbound_, places_ / 3, [] { return true; }, gate_counters_),
           control_(
               loop_,
-              {{control_api::CallName::Heartbeat, [this](auto&& call, auto respond) { respond(beat(call)); }},
+              {{control_api::CallName::Heartbeat,
+                [this](auto&& call, auto respond) { respond(local_endpoint_.handle_heartbeat(call)); }},
                {control_api::CallName::Deregister,
-                [this](auto&& call, auto respond) { respond(deregister(call)); }}},
+                [this](auto&& call, auto respond) { respond(local_endpoint_.handle_deregister(call)); }}},
               64, control_counters_),
           readiness_(loop_,
                      {{control_api::CallName::Readiness,
@@ -121,25 +128,17 @@
           hangups_(loop_.io(), SIGHUP),
           ticker_(loop_),
           intake_timer_(loop_),
-          again_(loop_) {
+          local_endpoint_({settings.beat_interval, settings.app, identity_of(settings, life_)},
+                          {loop_, to_endpoint_, to_endpoint_, gate_, [this] { announce(); }}) {
         engine_.start();
         gate_engine_.start();
         outbound_.on_replanned([this] { engine_.tell({}); });
-        registration_.node = settings.node_name;
-        registration_.incarnation = life_;
-        registration_.inbound_address = text_of(*settings.inbound);
-        registration_.service = settings.service;
-        registration_.zone = settings.zone;
         front_.listen(*settings.outbound);
         gate_front_.listen(*settings.inbound);
         control_.listen(*settings.control);
         readiness_.listen(*settings.readiness);
-        gate_engine_.on_ended([this](EndpointId, decision::Status status) {
-            // Nobody listens there: it is gone, whatever its last beat said.
-            if (status == decision::Status::ConnectFailed && ++unreached_ >= 2)
-                loop_.add(loop_.now(), [this] { gone("not reached"); });
-            if (status == decision::Status::Ok) unreached_ = 0;
-        });
+        gate_engine_.on_ended(
+            [this](EndpointId, decision::Status status) { local_endpoint_.handle_attempt_end(status); });
         for (const Address& seed : settings.seeds)
             dial(seed.address().to_string() + ":" + std::to_string(settings.first_port));
         signals_.async_wait([this](const auto& error, int) {
@@ -149,7 +148,7 @@
         tick();
         log_event(Event::Started, "listening",
                   {{"outbound", text_of(*settings.outbound)},
-                   {"inbound", registration_.inbound_address},
+                   {"inbound", text_of(*settings.inbound)},
                    {"service", settings.service}});
     }
     void run() { loop_.run(); }
@@ -201,7 +200,7 @@
         // A life's connections end with it: only this process's own clock can come back.
         const auto asked = static_cast<std::uint64_t>(loop_.now().time_since_epoch().count());
         controller.client->send(
-            rpc::RegisterRequest{registration_, demands, controller.taken, version_, asked});
+            rpc::RegisterRequest{local_endpoint_.registration(), demands, controller.taken, version_, asked});
     }
     void announce() {
         announced_ = loop_.now();
@@ -265,7 +264,7 @@
             if (const auto* cluster = outbound_.routes()->cluster(settings_.service);
                 cluster && !cluster->health_path.empty())
                 endpoint_back_.set_health_path(cluster->health_path);
-            find_endpoint();
+            local_endpoint_.probe_if_unknown();
             demanded_ = {};  // tenants that are new have no share yet
             announce();
             log_event(Event::ConfigApplied, "serves by", {{"version", mesh_config::text_of(version)}});
@@ -294,116 +293,6 @@
         if (withdrawn) engine_.tell({});
     }
 
-    // ---- the endpoint beside it
-
-    control_api::Response beat(const control_api::Call& call) {
-        const auto json = mesh_config::Json::parse(call.body, nullptr, false);
-        if (json.is_discarded() || !json.is_object()) return {400, R"({"error":"no JSON object"})"};
-        const auto info = json.value("node_info", mesh_config::Json::object());
-        const auto status = json.value("status", mesh_config::Json::object());
-        std::string address, service, state;
-        std::int64_t slots = 0, seq = 0, cold = 0;
-        const auto want = [](const mesh_config::Json& from, const char* name, auto& to) {
-            const auto it = from.find(name);
-            return it != from.end() && !mesh_config::read(*it, to, name);
-        };
-        if (!info.is_object() || !status.is_object() || !want(json, "address", address) ||
-            !want(info, "service", service) || !want(info, "slots", slots) || !want(status, "state", state) ||
-            !want(status, "call_seq", seq))
-            return {400, R"({"error":"a field is missing or of another type"})"};
-        want(status, "cold_left_ms", cold);
-        const auto at = parse_address(address);
-        if (!at || slots < 1 || slots > 100000 || (state != "ready" && state != "draining"))
-            return {400, R"({"error":"a field is out of range"})"};
-        // Guards against taking in anew what was sent away at SIGTERM: its endpoint may go on beating.
-        if (stopping_ && call.id != registration_.instance_id) return {200, "{}"};
-        const Time now = loop_.now();
-        if (call.id != registration_.instance_id) {
-            if (past_.contains(call.id)) return {200, "{}"};  // late word of a life that is over
-            if (!registration_.instance_id.empty()) remember_past(registration_.instance_id);
-            log_event(Event::EndpointSeen, "endpoint", {{"id", call.id}, {"at", address}});
-            last_seq_ = -1;
-            endpoint_ = EndpointId{++last_id_};
-        }
-        beat_at_ = now;
-        if (seq <= last_seq_) return {200, "{}"};
-        last_seq_ = seq;
-        unreached_ = 0;
-        const auto before = std::tuple(registration_.instance_id, registration_.state, registration_.slots,
-                                       registration_.service);
-        registration_.instance_id = call.id;
-        registration_.service = service;
-        registration_.slots = static_cast<std::uint32_t>(slots);
-        registration_.cold_left_ms = static_cast<std::uint32_t>(std::clamp<std::int64_t>(cold, 0, 3'600'000));
-        registration_.state =
-            state == "ready" ? registry::EndpointState::Ready : registry::EndpointState::Draining;
-        to_endpoint_.place(endpoint_, *at, true);
-        gate_.set_endpoint(endpoint_, registration_.instance_id, registration_.slots);
-        if (registration_.state == registry::EndpointState::Draining) gate_.start_draining(now);
-        if (before != std::tuple(registration_.instance_id, registration_.state, registration_.slots,
-                                 registration_.service)) {
-            if (registration_.state == registry::EndpointState::Draining)
-                log_event(Event::EndpointDraining, "drains", {{"id", call.id}});
-            changed();
-        }
-        return {200, "{}"};
-    }
-    /// A proxy that has just started doesn't wait for the next beat of an endpoint that may have been there
-    /// all along.
-    void find_endpoint() {
-        if (stopping_ || !settings_.app || !registration_.instance_id.empty() || probes_ >= kMostProbes ||
-            last_seq_ >= 0)
-            return;
-        ++probes_;
-        const EndpointId id{++last_id_};
-        to_endpoint_.place(id, *settings_.app, true);
-        to_endpoint_.probe(id, [this, id](Result&& result) {
-            const auto* head = dynamic_cast<const HttpAnswerHead*>(result.head.get());
-            if (result.status == decision::Status::Ok && head && registration_.instance_id.empty() &&
-                last_seq_ < 0) {
-                const auto instance = head->fields["Instance-Id"];
-                registration_.instance_id = std::string(instance.data(), instance.size());
-                registration_.state = registry::EndpointState::Ready;
-                registration_.slots = kAssumedSlots;
-                endpoint_ = id;
-                beat_at_ = loop_.now();
-                gate_.set_endpoint(endpoint_, registration_.instance_id, registration_.slots);
-                log_event(Event::EndpointSeen, "endpoint, by its health",
-                          {{"id", registration_.instance_id}});
-                changed();
-            } else {
-                to_endpoint_.remove(id);
-                if (registration_.instance_id.empty())
-                    again_.set(loop_.now() + kProbeAgain, [this] { find_endpoint(); });
-            }
-        });
-    }
-    control_api::Response deregister(const control_api::Call& call) {
-        if (call.id == registration_.instance_id) gone("deregistered");
-        return {200, "{}"};
-    }
-    void gone(const std::string& why) {
-        if (registration_.state == registry::EndpointState::Absent) return;
-        log_event(Event::EndpointGone, "endpoint gone", {{"id", registration_.instance_id}, {"why", why}});
-        registration_.state = registry::EndpointState::Absent;
-        if (why == "deregistered") remember_past(registration_.instance_id);
-        registration_.instance_id.clear();
-        gate_.remove_endpoint();
-        to_endpoint_.remove(endpoint_);
-        changed();
-    }
-    void remember_past(const std::string& id) {
-        if (past_.insert(id).second) past_order_.push_back(id);
-        if (past_order_.size() > 64) {
-            past_.erase(past_order_.front());
-            past_order_.pop_front();
-        }
-    }
-    void changed() {
-        ++registration_.seq;
-        announce();
-    }
-
     // ---- the process
 
     bool ready() const { return !stopping_ && outbound_.routes() && outbound_policy_.any_ready(); }
@@ -433,10 +322,7 @@
             log_event(in_touch ? Event::QuorumContactRestored : Event::QuorumContactLost,
                       in_touch ? "in touch" : "out of touch", {{"version", mesh_config::text_of(version_)}});
         }
-        const auto patience = Duration{
-            static_cast<Duration::rep>(kBeatsMissed * static_cast<double>(settings_.beat_interval.count()))};
-        if (registration_.state != registry::EndpointState::Absent && now - beat_at_ > patience)
-            gone("no beats");
+        local_endpoint_.check_heartbeats();
         if (now - figured_ >= kFiguresEvery) {
             figured_ = now;
             log_event(Event::RequestTotals, "answers",
@@ -461,7 +347,7 @@
         log_event(Event::Stopping, "stopping");
         outbound_policy_.drain();
         // Its endpoint, if it is still there, is used on while clients leave.
-        again_.set(loop_.now() + settings_.bounds.grace / 4, [this] { gone("stopping"); });
+        local_endpoint_.begin_shutdown(settings_.bounds.grace / 4);
         const auto done = [this] {
             if (--draining_ == 0) loop_.stop();
         };
@@ -504,21 +390,16 @@
     std::map<std::string, Controller> controllers_;
     registry::RegistryView view_;
     outbound::UpstreamTable upstream_table_;
-    std::uint32_t last_id_ = 0;
-    registry::ProxyRegistration registration_;
-    EndpointId endpoint_{};
-    std::int64_t last_seq_ = -1;
-    Time beat_at_{}, announced_{}, demanded_{}, figured_{};
-    int unreached_ = 0, draining_ = 0, probes_ = 0;
+    Time announced_{}, demanded_{}, figured_{};
+    int draining_ = 0;
     std::vector<quota::QuotaDemand> demands_;
-    std::set<std::string> past_;
-    std::deque<std::string> past_order_;
     std::uint32_t version_ = 0;
     ConfigVersionGate version_gate_{kIntakePatience};
     bool asking_again_ = false;
     bool stopping_ = false, in_touch_ = false;
     asio::signal_set signals_, hangups_;
-    Timer ticker_, intake_timer_, again_;
+    Timer ticker_, intake_timer_;
+    LocalEndpoint local_endpoint_;
 };
 
 int main_of(int argc, char** argv) {
