--- a/src/proxy/proxy.cpp
+++ b/src/proxy/proxy.cpp
@@ -1,15 +1,10 @@
-// The data plane's program, beside one endpoint: it takes its clients' requests to the gates of other
-// proxies, and is the gate of its own endpoint.
-#include <getopt.h>
-#include <unistd.h>
+#include "proxy/proxy.h"
 
 #include <algorithm>
-#include <boost/asio/signal_set.hpp>
-#include <iostream>
 #include <map>
 #include <memory>
-#include <random>
 
+#include "bootstrap/program.h"
 #include "bootstrap/settings.h"
 #include "control_api/control_api.h"
 #include "core/engine.h"
@@ -31,7 +26,6 @@
 using event_log::Event;
 using event_log::log_event;
 
-constexpr int kBadSettings = 2;
 constexpr Duration kTick = 100ms;
 constexpr Duration kAnnounce = 500ms;
 constexpr Duration kControllerSilent = 2200ms;  // polls are answered within 0.9 s
@@ -43,13 +37,6 @@
 constexpr std::size_t kMostControllers = 32;
 constexpr std::size_t kSpareSockets = 96;
 constexpr Duration kFiguresEvery = 10s;
-constexpr Duration kLeastDrain =
-    2600ms;  // clients see two misses of readiness before connections are turned away
-
-std::uint64_t drawn() {
-    std::random_device device;
-    return (static_cast<std::uint64_t>(device()) << 32 | device()) | 1;
-}
 
 /// The policy that an engine owns and others here speak to as well.
 template <class P>
@@ -88,8 +75,8 @@
   public:
     explicit Proxy(const bootstrap::Settings& settings)
         : settings_(settings),
-          life_(drawn()),
-          outbound_policy_({settings.zone}, drawn()),
+          life_(bootstrap::random_nonzero_id()),
+          outbound_policy_({settings.zone}, bootstrap::random_nonzero_id()),
           gate_({settings.bounds.drain}),
           quota_limiter_({}),
           hop_back_(outbound_policy_, outbound_, loop_),
@@ -124,8 +111,8 @@
                            respond({ready() ? 200u : 503u, ""});
                        }}},
                      64, readiness_counters_),
-          signals_(loop_.io(), SIGTERM, SIGINT),
-          hangups_(loop_.io(), SIGHUP),
+          signals_(loop_, {[this] { drain(); },
+                           [this](const bootstrap::Settings& reloaded) { dial_seeds(reloaded); }}),
           ticker_(loop_),
           intake_timer_(loop_),
           local_endpoint_({settings.beat_interval, settings.app, identity_of(settings, life_)},
@@ -139,12 +126,7 @@
         readiness_.listen(*settings.readiness);
         gate_engine_.on_ended(
             [this](EndpointId, decision::Status status) { local_endpoint_.handle_attempt_end(status); });
-        for (const Address& seed : settings.seeds)
-            dial(seed.address().to_string() + ":" + std::to_string(settings.first_port));
-        signals_.async_wait([this](const auto& error, int) {
-            if (!error) drain();
-        });
-        hang_up();
+        dial_seeds(settings);
         tick();
         log_event(Event::Started, "listening",
                   {{"outbound", text_of(*settings.outbound)},
@@ -165,6 +147,9 @@
 
     // ---- controllers
 
+    void dial_seeds(const bootstrap::Settings& settings) {
+        for (const std::string& address : bootstrap::seed_addresses(settings)) dial(address);
+    }
     void dial(const std::string& address) {
         if (auto known = controllers_.find(address); known != controllers_.end()) {
             known->second.named = loop_.now();
@@ -311,7 +296,7 @@
             in_touch |= controller.client->is_connected() && controller.in_touch;
             if (!controller.client->is_connected() &&
                 now - std::max(controller.named, controller.answered) > kForgetController &&
-                !is_seed(it->first)) {
+                !bootstrap::is_seed_address(settings_, it->first)) {
                 it = controllers_.erase(it);
             } else {
                 ++it;
@@ -335,12 +320,6 @@
                        {"over_quota", std::to_string(figures_.over_quota)}});
         }
     }
-    bool is_seed(const std::string& address) const {
-        return std::any_of(settings_.seeds.begin(), settings_.seeds.end(), [&](const Address& a) {
-            return address.starts_with(a.address().to_string() + ":");
-        });
-    }
-
     /// Readiness says no, clients leave, what was taken is answered.
     void drain() {
         if (std::exchange(stopping_, true)) return;
@@ -356,18 +335,6 @@
         gate_front_.drain(done, false);
         loop_.add(loop_.now() + settings_.bounds.grace - 200ms, [this] { loop_.stop(); });
     }
-    void hang_up() {
-        hangups_.async_wait([this](const auto& error, int) {
-            if (error) return;
-            // Seeds may be others now; the rest holds for the life of the process.
-            const auto loaded = bootstrap::load();
-            if (const auto* read = std::get_if<bootstrap::Settings>(&loaded)) {
-                for (const Address& seed : read->seeds)
-                    dial(seed.address().to_string() + ":" + std::to_string(read->first_port));
-            }
-            hang_up();
-        });
-    }
 
     const bootstrap::Settings& settings_;
     Loop loop_;
@@ -397,52 +364,16 @@
     ConfigVersionGate version_gate_{kIntakePatience};
     bool asking_again_ = false;
     bool stopping_ = false, in_touch_ = false;
-    asio::signal_set signals_, hangups_;
+    bootstrap::ProcessSignals signals_;
     Timer ticker_, intake_timer_;
     LocalEndpoint local_endpoint_;
 };
 
-int main_of(int argc, char** argv) {
-    static const option options[] = {{"help", no_argument, nullptr, 'h'},
-                                     {"check", no_argument, nullptr, 'c'},
-                                     {"events", no_argument, nullptr, 'e'},
-                                     {nullptr, 0, nullptr, 0}};
-    bool check = false;
-    for (int given = 0; (given = getopt_long(argc, argv, "hce", options, nullptr)) != -1;) {
-        if (given == 'e') return std::cout << event_log::catalogue_page(), 0;
-        if (given == 'c') {
-            check = true;
-            continue;
-        }
-        std::cout << "martenford-proxy: the data plane, beside one endpoint. Settings: MARTENFORD_CONFIG.\n"
-                     "  --check   read the settings and end\n  --events  the catalogue of events\n";
-        return given == 'h' ? 0 : kBadSettings;
-    }
-    event_log::open("martenford-proxy");
-    const auto loaded = bootstrap::load();
-    if (const auto* trouble = std::get_if<bootstrap::SettingsError>(&loaded)) {
-        log_event(Event::BadSettings, trouble->message);
-        return kBadSettings;
-    }
-    const auto& settings = std::get<bootstrap::Settings>(loaded);
-    const std::pair<bool, const char*> wanted[] = {{settings.inbound.has_value(), "listen_addrs.inbound"},
-                                                   {settings.outbound.has_value(), "listen_addrs.outbound"},
-                                                   {settings.readiness.has_value(), "listen_addrs.readiness"},
-                                                   {settings.control.has_value(), "listen_addrs.control"}};
-    for (const auto& [there, name] : wanted) {
-        if (there) continue;
-        log_event(Event::BadSettings, std::string(name) + ": it is missing");
-        return kBadSettings;
-    }
-    if (check) return 0;
+}  // namespace
+
+void run_proxy(const bootstrap::Settings& settings) {
     Proxy proxy(settings);
     proxy.run();
-    return 0;
 }
 
-}  // namespace
 }  // namespace martenford::proxy
-
-int main(int argc, char** argv) {
-    return martenford::proxy::main_of(argc, argv);
-}
