--- a/src/proxy/proxy.cpp
+++ b/src/proxy/proxy.cpp
@@ -1,7 +1,6 @@
 #include "proxy/proxy.h"
 
 #include <algorithm>
-#include <map>
 #include <memory>
 
 #include "bootstrap/program.h"
@@ -14,11 +13,11 @@
 #include "http1/front.h"
 #include "mesh_config/mesh_config.h"
 #include "outbound/upstream_table.h"
-#include "proxy/config_version_gate.h"
+#include "proxy/config_document.h"
+#include "proxy/controller_client.h"
 #include "proxy/inbound_protocol.h"
 #include "proxy/local_endpoint.h"
 #include "proxy/outbound_protocol.h"
-#include "rpc/channel.h"
 
 namespace martenford::proxy {
 namespace {
@@ -26,15 +25,8 @@
 using event_log::Event;
 using event_log::log_event;
 
-constexpr Duration kTick = 100ms;
-constexpr Duration kAnnounce = 500ms;
-constexpr Duration kControllerSilent = 2200ms;  // polls are answered within 0.9 s
-constexpr Duration kForgetController = 20s;
-// A controller that hears a leader says so within two of the leader's heartbeats.
-constexpr Duration kIntakePatience = 400ms;
 constexpr Duration kHopConnect = 300ms;
 constexpr Duration kHopIdle = 12s, kEndpointIdle = 6s;
-constexpr std::size_t kMostControllers = 32;
 constexpr std::size_t kSpareSockets = 96;
 constexpr Duration kFiguresEvery = 10s;
 
@@ -71,7 +63,7 @@
     return identity;
 }
 
-class Proxy {
+class Proxy : private ControllerObserver {
   public:
     explicit Proxy(const bootstrap::Settings& settings)
         : settings_(settings),
@@ -82,7 +74,7 @@
           hop_back_(outbound_policy_, outbound_, loop_),
           endpoint_back_(gate_),
           outbound_(settings, outbound_policy_, quota_limiter_, figures_,
-                    [this] { return view_.entries().size(); }),
+                    [this] { return controllers_.view().entries().size(); }),
           inbound_(settings, gate_, life_, [this] { return outbound_.routes(); }),
           tally_(counters_, {}),
           gate_tally_(gate_counters_, {}),
@@ -114,9 +106,15 @@
           signals_(loop_, {[this] { drain(); },
                            [this](const bootstrap::Settings& reloaded) { dial_seeds(reloaded); }}),
           ticker_(loop_),
-          intake_timer_(loop_),
-          local_endpoint_({settings.beat_interval, settings.app, identity_of(settings, life_)},
-                          {loop_, to_endpoint_, to_endpoint_, gate_, [this] { announce(); }}) {
+          local_endpoint_(
+              {settings.beat_interval, settings.app, identity_of(settings, life_)},
+              {loop_, to_endpoint_, to_endpoint_, gate_, [this] { controllers_.register_now(); }}),
+          controllers_(
+              loop_,
+              [&settings](const std::string& address) {
+                  return bootstrap::is_seed_address(settings, address);
+              },
+              *this) {
         engine_.start();
         gate_engine_.start();
         outbound_.on_replanned([this] { engine_.tell({}); });
@@ -136,124 +134,37 @@
     void run() { loop_.run(); }
 
   private:
-    struct Controller {
-        std::unique_ptr<rpc::ReconnectingClient> client;
-        std::uint64_t epoch = 0, seq = 0, taken = 0;
-        bool in_touch = false, polled = false, wants = false;
-        std::uint32_t passed_over = 0;  // a version that it offered and that was not taken
-        Time answered{};
-        Time named{};
-    };
-
-    // ---- controllers
-
     void dial_seeds(const bootstrap::Settings& settings) {
-        for (const std::string& address : bootstrap::seed_addresses(settings)) dial(address);
+        for (const std::string& address : bootstrap::seed_addresses(settings)) controllers_.connect(address);
     }
-    void dial(const std::string& address) {
-        if (auto known = controllers_.find(address); known != controllers_.end()) {
-            known->second.named = loop_.now();
-            return;
-        }
-        const auto to = parse_address(address);
-        if (!to || controllers_.size() >= kMostControllers) return;
-        Controller& controller = controllers_[address];
-        controller.named = controller.answered = loop_.now();
-        controller.client = std::make_unique<rpc::ReconnectingClient>(
-            loop_, *to, [this, address](rpc::Message&& message) { heard(address, std::move(message)); },
-            [this, address] {
-                Controller& up = controllers_.at(address);
-                up.answered = loop_.now();
-                announce_to(up, quota_demands());
-                poll(up);
-            },
-            [this, address] { lost(address); });
-    }
-    void lost(const std::string& address) {
-        Controller& controller = controllers_.at(address);
-        controller.in_touch = controller.polled = false;
-        controller.taken = 0;
-        apply(view_.remove_controller(address));
+
+    // ---- ControllerObserver
+
+    [[nodiscard]] const registry::ProxyRegistration& registration() const override {
+        return local_endpoint_.registration();
     }
-    void poll(Controller& controller) {
-        if (!controller.client->is_connected()) return;
-        controller.polled = true;
-        controller.client->send(rpc::WatchRequest{
-            controller.epoch, controller.seq, std::max(version_, controller.passed_over), controller.wants});
+    [[nodiscard]] std::vector<quota::QuotaDemand> measure_quota_demands(Time now) override {
+        return quota_limiter_.demands(now, rate_limited_tenants(outbound_.routes()));
     }
-    void announce_to(Controller& controller, const std::vector<quota::QuotaDemand>& demands) {
-        // A life's connections end with it: only this process's own clock can come back.
-        const auto asked = static_cast<std::uint64_t>(loop_.now().time_since_epoch().count());
-        controller.client->send(
-            rpc::RegisterRequest{local_endpoint_.registration(), demands, controller.taken, version_, asked});
+    void on_quota_leases(Time now, const std::vector<quota::QuotaLease>& leases, Time requested_at) override {
+        quota_limiter_.apply_leases(now, leases, requested_at);
     }
-    void announce() {
-        announced_ = loop_.now();
-        const auto demands = quota_demands();
-        for (auto& [address, controller] : controllers_) announce_to(controller, demands);
+    void on_registry_changed(const std::vector<std::string>& nodes) override { apply(nodes); }
+    void on_config(std::uint32_t version, const std::string& document) override {
+        auto routes = parse_routes(version, document);
+        if (!routes) return;
+        controllers_.set_config_version(version);
+        outbound_.set_routes(std::move(routes));
+        const auto* cluster = outbound_.routes()->cluster(settings_.service);
+        if (cluster && !cluster->health_path.empty()) endpoint_back_.set_health_path(cluster->health_path);
+        local_endpoint_.probe_if_unknown();
+        controllers_.register_with_new_demands();
+        log_event(Event::ConfigApplied, "serves by", {{"version", mesh_config::text_of(version)}});
     }
-    std::vector<quota::QuotaDemand> quota_demands() {
-        // Told anew at most so often: what is asked for is a rate.
-        if (const Time now = loop_.now(); now - demanded_ >= kAnnounce / 2) {
-            demanded_ = now;
-            std::vector<std::string> tenants;
-            if (const auto* routes = outbound_.routes()) {
-                for (const auto& tenant : routes->tenants())
-                    if (tenant.rate_per_s > 0) tenants.push_back(tenant.name);
-            }
-            demands_ = quota_limiter_.demands(now, tenants);
-        }
-        return demands_;
-    }
-
-    void heard(const std::string& address, rpc::Message&& message) {
-        const Time now = loop_.now();
-        Controller& controller = controllers_.at(address);
-        if (auto* grants = std::get_if<rpc::RegisterResponse>(&message)) {
-            controller.taken = grants->response_number;
-            const Time asked{Duration{static_cast<Duration::rep>(grants->request_sent_at)}};
-            if (grants->from_leader && asked <= now)
-                quota_limiter_.apply_leases(now, grants->quota_leases, asked);
-        } else if (auto* news = std::get_if<rpc::WatchResponse>(&message)) {
-            controller.answered = now;
-            controller.in_touch = news->has_quorum_contact;
-            controller.epoch = news->registry.epoch;
-            controller.seq = news->registry.seq;
-            for (const auto& other : news->controllers) dial(other.address);
-            apply(view_.apply(now, address, news->registry));
-            const bool takes =
-                version_gate_.accepts(now, version_, news->config_version, news->has_quorum_contact);
-            if (takes && !news->config.empty()) serve(news->config_version, news->config);
-            controller.wants = takes && news->config_version > version_;
-            controller.passed_over = !takes && news->config_version > version_ ? news->config_version : 0;
-            if (controller.passed_over != 0 &&
-                !asking_again_) {  // once patience is over, whoever has it is asked
-                asking_again_ = true;
-                intake_timer_.set(now + kIntakePatience, [this] {
-                    for (auto& [other, each] : controllers_) {
-                        if (std::exchange(each.passed_over, 0) != 0) poll(each);
-                    }
-                });
-            }
-            poll(controller);
-        }
-    }
-
-    void serve(std::uint32_t version, const std::string& document) {
-        const auto json = mesh_config::Json::parse(document, nullptr, false);
-        if (json.is_discarded()) return;
-        const auto config = mesh_config::read_config(json);
-        if (const auto* read = std::get_if<mesh_config::Config>(&config)) {
-            version_ = version;
-            outbound_.set_routes(std::make_shared<const mesh_config::RouteTable>(version, *read));
-            if (const auto* cluster = outbound_.routes()->cluster(settings_.service);
-                cluster && !cluster->health_path.empty())
-                endpoint_back_.set_health_path(cluster->health_path);
-            local_endpoint_.probe_if_unknown();
-            demanded_ = {};  // tenants that are new have no share yet
-            announce();
-            log_event(Event::ConfigApplied, "serves by", {{"version", mesh_config::text_of(version)}});
-        }
+    void on_quorum_contact_changed(bool has_contact) override {
+        log_event(has_contact ? Event::QuorumContactRestored : Event::QuorumContactLost,
+                  has_contact ? "quorum contact restored" : "quorum contact lost",
+                  {{"version", mesh_config::text_of(controllers_.config_version())}});
     }
 
     // ---- what is known of others
@@ -261,7 +172,7 @@
     void apply(const std::vector<std::string>& nodes) {
         using Kind = outbound::UpstreamTable::Change::Kind;
         bool withdrawn = false;
-        for (const auto& step : upstream_table_.apply(view_, nodes)) {
+        for (const auto& step : upstream_table_.apply(controllers_.view(), nodes)) {
             if (step.kind == Kind::Withdraw) {
                 outbound_policy_.withdraw(step.id);
                 withdrawn = true;
@@ -284,29 +195,8 @@
 
     void tick() {
         const Time now = loop_.now();
-        ticker_.set(now + kTick, [this] { tick(); });
-        if (now - announced_ >= kAnnounce) announce();
-        bool in_touch = false;
-        for (auto it = controllers_.begin(); it != controllers_.end();) {
-            Controller& controller = it->second;
-            if (controller.client->is_connected() && now - controller.answered > kControllerSilent) {
-                controller.answered = now;
-                controller.client->reconnect();
-            }
-            in_touch |= controller.client->is_connected() && controller.in_touch;
-            if (!controller.client->is_connected() &&
-                now - std::max(controller.named, controller.answered) > kForgetController &&
-                !bootstrap::is_seed_address(settings_, it->first)) {
-                it = controllers_.erase(it);
-            } else {
-                ++it;
-            }
-        }
-        if (in_touch != in_touch_) {
-            in_touch_ = in_touch;
-            log_event(in_touch ? Event::QuorumContactRestored : Event::QuorumContactLost,
-                      in_touch ? "in touch" : "out of touch", {{"version", mesh_config::text_of(version_)}});
-        }
+        ticker_.set(now + kTickInterval, [this] { tick(); });
+        controllers_.tick();
         local_endpoint_.check_heartbeats();
         if (now - figured_ >= kFiguresEvery) {
             figured_ = now;
@@ -354,19 +244,14 @@
     Engine engine_, gate_engine_;
     Http1Front front_, gate_front_;
     control_api::ApiServer control_, readiness_;
-    std::map<std::string, Controller> controllers_;
-    registry::RegistryView view_;
     outbound::UpstreamTable upstream_table_;
-    Time announced_{}, demanded_{}, figured_{};
+    Time figured_{};
     int draining_ = 0;
-    std::vector<quota::QuotaDemand> demands_;
-    std::uint32_t version_ = 0;
-    ConfigVersionGate version_gate_{kIntakePatience};
-    bool asking_again_ = false;
-    bool stopping_ = false, in_touch_ = false;
+    bool stopping_ = false;
     bootstrap::ProcessSignals signals_;
-    Timer ticker_, intake_timer_;
+    Timer ticker_;
     LocalEndpoint local_endpoint_;
+    ControllerClient controllers_;
 };
 
 }  // namespace
