--- a/src/proxy/proxy.cpp
+++ b/src/proxy/proxy.cpp
@@ -1,16 +1,9 @@
-// The data plane's program, beside one endpoint: it takes its clients' requests to the gates of other
-// proxies, and is the gate of its own endpoint.
-#include <getopt.h>
-#include <unistd.h>
+#include "proxy/proxy.h"
 
 #include <algorithm>
-#include <boost/asio/signal_set.hpp>
-#include <iostream>
-#include <map>
 #include <memory>
-#include <random>
-#include <set>
 
+#include "bootstrap/program.h"
 #include "bootstrap/settings.h"
 #include "control_api/control_api.h"
 #include "core/engine.h"
@@ -20,10 +13,11 @@
 #include "http1/front.h"
 #include "mesh_config/mesh_config.h"
 #include "outbound/upstream_table.h"
-#include "proxy/config_version_gate.h"
+#include "proxy/config_document.h"
+#include "proxy/controller_client.h"
 #include "proxy/inbound_protocol.h"
+#include "proxy/local_endpoint.h"
 #include "proxy/outbound_protocol.h"
-#include "rpc/channel.h"
 
 namespace martenford::proxy {
 namespace {
@@ -31,29 +25,10 @@
 using event_log::Event;
 using event_log::log_event;
 
-constexpr int kBadSettings = 2;
-constexpr Duration kTick = 100ms;
-constexpr Duration kAnnounce = 500ms;
-constexpr Duration kControllerSilent = 2200ms;  // polls are answered within 0.9 s
-constexpr Duration kForgetController = 20s;
-// A controller that hears a leader says so within two of the leader's heartbeats.
-constexpr Duration kIntakePatience = 400ms;
-constexpr double kBeatsMissed = 2.6;  // beats without which an endpoint is gone
 constexpr Duration kHopConnect = 300ms;
 constexpr Duration kHopIdle = 12s, kEndpointIdle = 6s;
-constexpr std::size_t kMostControllers = 32;
 constexpr std::size_t kSpareSockets = 96;
-constexpr int kMostProbes = 4;  // of an endpoint whose beats this proxy has not heard yet
-constexpr Duration kProbeAgain = 250ms;
-constexpr std::uint32_t kAssumedSlots = 4;  // of an endpoint until its beat tells them
 constexpr Duration kFiguresEvery = 10s;
-constexpr Duration kLeastDrain =
-    2600ms;  // clients see two misses of readiness before connections are turned away
-
-std::uint64_t drawn() {
-    std::random_device device;
-    return (static_cast<std::uint64_t>(device()) << 32 | device()) | 1;
-}
 
 /// The policy that an engine owns and others here speak to as well.
 template <class P>
@@ -78,18 +53,28 @@
     return limits;
 }
 
-class Proxy {
+registry::ProxyRegistration identity_of(const bootstrap::Settings& settings, std::uint64_t incarnation) {
+    registry::ProxyRegistration identity;
+    identity.node = settings.node_name;
+    identity.incarnation = incarnation;
+    identity.inbound_address = text_of(*settings.inbound);
+    identity.service = settings.service;
+    identity.zone = settings.zone;
+    return identity;
+}
+
+class Proxy : private ControllerObserver {
   public:
     explicit Proxy(const bootstrap::Settings& settings)
         : settings_(settings),
-          life_(drawn()),
-          outbound_policy_({settings.zone}, drawn()),
+          life_(bootstrap::random_nonzero_id()),
+          outbound_policy_({settings.zone}, bootstrap::random_nonzero_id()),
           gate_({settings.bounds.drain}),
           quota_limiter_({}),
           hop_back_(outbound_policy_, outbound_, loop_),
           endpoint_back_(gate_),
           outbound_(settings, outbound_policy_, quota_limiter_, figures_,
-                    [this] { return view_.entries().size(); }),
+                    [this] { return controllers_.view().entries().size(); }),
           inbound_(settings, gate_, life_, [this] { return outbound_.routes(); }),
           tally_(counters_, {}),
           gate_tally_(gate_counters_, {}),
@@ -107,9 +92,10 @@
               loop_, gate_engine_, inbound_, places_ / 3, [] { return true; }, gate_counters_),
           control_(
               loop_,
-              {{control_api::CallName::Heartbeat, [this](auto&& call, auto respond) { respond(beat(call)); }},
+              {{control_api::CallName::Heartbeat,
+                [this](auto&& call, auto respond) { respond(local_endpoint_.handle_heartbeat(call)); }},
                {control_api::CallName::Deregister,
-                [this](auto&& call, auto respond) { respond(deregister(call)); }}},
+                [this](auto&& call, auto respond) { respond(local_endpoint_.handle_deregister(call)); }}},
               64, control_counters_),
           readiness_(loop_,
                      {{control_api::CallName::Readiness,
@@ -117,159 +103,68 @@
                            respond({ready() ? 200u : 503u, ""});
                        }}},
                      64, readiness_counters_),
-          signals_(loop_.io(), SIGTERM, SIGINT),
-          hangups_(loop_.io(), SIGHUP),
+          signals_(loop_, {[this] { drain(); },
+                           [this](const bootstrap::Settings& reloaded) { dial_seeds(reloaded); }}),
           ticker_(loop_),
-          intake_timer_(loop_),
-          again_(loop_) {
+          local_endpoint_(
+              {settings.beat_interval, settings.app, identity_of(settings, life_)},
+              {loop_, to_endpoint_, to_endpoint_, gate_, [this] { controllers_.register_now(); }}),
+          controllers_(
+              loop_,
+              [&settings](const std::string& address) {
+                  return bootstrap::is_seed_address(settings, address);
+              },
+              *this) {
         engine_.start();
         gate_engine_.start();
         outbound_.on_replanned([this] { engine_.tell({}); });
-        registration_.node = settings.node_name;
-        registration_.incarnation = life_;
-        registration_.inbound_address = text_of(*settings.inbound);
-        registration_.service = settings.service;
-        registration_.zone = settings.zone;
         front_.listen(*settings.outbound);
         gate_front_.listen(*settings.inbound);
         control_.listen(*settings.control);
         readiness_.listen(*settings.readiness);
-        gate_engine_.on_ended([this](EndpointId, decision::Status status) {
-            // Nobody listens there: it is gone, whatever its last beat said.
-            if (status == decision::Status::ConnectFailed && ++unreached_ >= 2)
-                loop_.add(loop_.now(), [this] { gone("not reached"); });
-            if (status == decision::Status::Ok) unreached_ = 0;
-        });
-        for (const Address& seed : settings.seeds)
-            dial(seed.address().to_string() + ":" + std::to_string(settings.first_port));
-        signals_.async_wait([this](const auto& error, int) {
-            if (!error) drain();
-        });
-        hang_up();
+        gate_engine_.on_ended(
+            [this](EndpointId, decision::Status status) { local_endpoint_.handle_attempt_end(status); });
+        dial_seeds(settings);
         tick();
         log_event(Event::Started, "listening",
                   {{"outbound", text_of(*settings.outbound)},
-                   {"inbound", registration_.inbound_address},
+                   {"inbound", text_of(*settings.inbound)},
                    {"service", settings.service}});
     }
     void run() { loop_.run(); }
 
   private:
-    struct Controller {
-        std::unique_ptr<rpc::ReconnectingClient> client;
-        std::uint64_t epoch = 0, seq = 0, taken = 0;
-        bool in_touch = false, polled = false, wants = false;
-        std::uint32_t passed_over = 0;  // a version that it offered and that was not taken
-        Time answered{};
-        Time named{};
-    };
+    void dial_seeds(const bootstrap::Settings& settings) {
+        for (const std::string& address : bootstrap::seed_addresses(settings)) controllers_.connect(address);
+    }
 
-    // ---- controllers
+    // ---- ControllerObserver
 
-    void dial(const std::string& address) {
-        if (auto known = controllers_.find(address); known != controllers_.end()) {
-            known->second.named = loop_.now();
-            return;
-        }
-        const auto to = parse_address(address);
-        if (!to || controllers_.size() >= kMostControllers) return;
-        Controller& controller = controllers_[address];
-        controller.named = controller.answered = loop_.now();
-        controller.client = std::make_unique<rpc::ReconnectingClient>(
-            loop_, *to, [this, address](rpc::Message&& message) { heard(address, std::move(message)); },
-            [this, address] {
-                Controller& up = controllers_.at(address);
-                up.answered = loop_.now();
-                announce_to(up, quota_demands());
-                poll(up);
-            },
-            [this, address] { lost(address); });
+    [[nodiscard]] const registry::ProxyRegistration& registration() const override {
+        return local_endpoint_.registration();
     }
-    void lost(const std::string& address) {
-        Controller& controller = controllers_.at(address);
-        controller.in_touch = controller.polled = false;
-        controller.taken = 0;
-        apply(view_.remove_controller(address));
+    [[nodiscard]] std::vector<quota::QuotaDemand> measure_quota_demands(Time now) override {
+        return quota_limiter_.demands(now, rate_limited_tenants(outbound_.routes()));
     }
-    void poll(Controller& controller) {
-        if (!controller.client->is_connected()) return;
-        controller.polled = true;
-        controller.client->send(rpc::WatchRequest{
-            controller.epoch, controller.seq, std::max(version_, controller.passed_over), controller.wants});
+    void on_quota_leases(Time now, const std::vector<quota::QuotaLease>& leases, Time requested_at) override {
+        quota_limiter_.apply_leases(now, leases, requested_at);
     }
-    void announce_to(Controller& controller, const std::vector<quota::QuotaDemand>& demands) {
-        // A life's connections end with it: only this process's own clock can come back.
-        const auto asked = static_cast<std::uint64_t>(loop_.now().time_since_epoch().count());
-        controller.client->send(
-            rpc::RegisterRequest{registration_, demands, controller.taken, version_, asked});
+    void on_registry_changed(const std::vector<std::string>& nodes) override { apply(nodes); }
+    void on_config(std::uint32_t version, const std::string& document) override {
+        auto routes = parse_routes(version, document);
+        if (!routes) return;
+        controllers_.set_config_version(version);
+        outbound_.set_routes(std::move(routes));
+        const auto* cluster = outbound_.routes()->cluster(settings_.service);
+        if (cluster && !cluster->health_path.empty()) endpoint_back_.set_health_path(cluster->health_path);
+        local_endpoint_.probe_if_unknown();
+        controllers_.register_with_new_demands();
+        log_event(Event::ConfigApplied, "serves by", {{"version", mesh_config::text_of(version)}});
     }
-    void announce() {
-        announced_ = loop_.now();
-        const auto demands = quota_demands();
-        for (auto& [address, controller] : controllers_) announce_to(controller, demands);
-    }
-    std::vector<quota::QuotaDemand> quota_demands() {
-        // Told anew at most so often: what is asked for is a rate.
-        if (const Time now = loop_.now(); now - demanded_ >= kAnnounce / 2) {
-            demanded_ = now;
-            std::vector<std::string> tenants;
-            if (const auto* routes = outbound_.routes()) {
-                for (const auto& tenant : routes->tenants())
-                    if (tenant.rate_per_s > 0) tenants.push_back(tenant.name);
-            }
-            demands_ = quota_limiter_.demands(now, tenants);
-        }
-        return demands_;
-    }
-
-    void heard(const std::string& address, rpc::Message&& message) {
-        const Time now = loop_.now();
-        Controller& controller = controllers_.at(address);
-        if (auto* grants = std::get_if<rpc::RegisterResponse>(&message)) {
-            controller.taken = grants->response_number;
-            const Time asked{Duration{static_cast<Duration::rep>(grants->request_sent_at)}};
-            if (grants->from_leader && asked <= now)
-                quota_limiter_.apply_leases(now, grants->quota_leases, asked);
-        } else if (auto* news = std::get_if<rpc::WatchResponse>(&message)) {
-            controller.answered = now;
-            controller.in_touch = news->has_quorum_contact;
-            controller.epoch = news->registry.epoch;
-            controller.seq = news->registry.seq;
-            for (const auto& other : news->controllers) dial(other.address);
-            apply(view_.apply(now, address, news->registry));
-            const bool takes =
-                version_gate_.accepts(now, version_, news->config_version, news->has_quorum_contact);
-            if (takes && !news->config.empty()) serve(news->config_version, news->config);
-            controller.wants = takes && news->config_version > version_;
-            controller.passed_over = !takes && news->config_version > version_ ? news->config_version : 0;
-            if (controller.passed_over != 0 &&
-                !asking_again_) {  // once patience is over, whoever has it is asked
-                asking_again_ = true;
-                intake_timer_.set(now + kIntakePatience, [this] {
-                    for (auto& [other, each] : controllers_) {
-                        if (std::exchange(each.passed_over, 0) != 0) poll(each);
-                    }
-                });
-            }
-            poll(controller);
-        }
-    }
-
-    void serve(std::uint32_t version, const std::string& document) {
-        const auto json = mesh_config::Json::parse(document, nullptr, false);
-        if (json.is_discarded()) return;
-        const auto config = mesh_config::read_config(json);
-        if (const auto* read = std::get_if<mesh_config::Config>(&config)) {
-            version_ = version;
-            outbound_.set_routes(std::make_shared<const mesh_config::RouteTable>(version, *read));
-            if (const auto* cluster = outbound_.routes()->cluster(settings_.service);
-                cluster && !cluster->health_path.empty())
-                endpoint_back_.set_health_path(cluster->health_path);
-            find_endpoint();
-            demanded_ = {};  // tenants that are new have no share yet
-            announce();
-            log_event(Event::ConfigApplied, "serves by", {{"version", mesh_config::text_of(version)}});
-        }
+    void on_quorum_contact_changed(bool has_contact) override {
+        log_event(has_contact ? Event::QuorumContactRestored : Event::QuorumContactLost,
+                  has_contact ? "quorum contact restored" : "quorum contact lost",
+                  {{"version", mesh_config::text_of(controllers_.config_version())}});
     }
 
     // ---- what is known of others
@@ -277,7 +172,7 @@
     void apply(const std::vector<std::string>& nodes) {
         using Kind = outbound::UpstreamTable::Change::Kind;
         bool withdrawn = false;
-        for (const auto& step : upstream_table_.apply(view_, nodes)) {
+        for (const auto& step : upstream_table_.apply(controllers_.view(), nodes)) {
             if (step.kind == Kind::Withdraw) {
                 outbound_policy_.withdraw(step.id);
                 withdrawn = true;
@@ -294,149 +189,15 @@
         if (withdrawn) engine_.tell({});
     }
 
-    // ---- the endpoint beside it
-
-    control_api::Response beat(const control_api::Call& call) {
-        const auto json = mesh_config::Json::parse(call.body, nullptr, false);
-        if (json.is_discarded() || !json.is_object()) return {400, R"({"error":"no JSON object"})"};
-        const auto info = json.value("node_info", mesh_config::Json::object());
-        const auto status = json.value("status", mesh_config::Json::object());
-        std::string address, service, state;
-        std::int64_t slots = 0, seq = 0, cold = 0;
-        const auto want = [](const mesh_config::Json& from, const char* name, auto& to) {
-            const auto it = from.find(name);
-            return it != from.end() && !mesh_config::read(*it, to, name);
-        };
-        if (!info.is_object() || !status.is_object() || !want(json, "address", address) ||
-            !want(info, "service", service) || !want(info, "slots", slots) || !want(status, "state", state) ||
-            !want(status, "call_seq", seq))
-            return {400, R"({"error":"a field is missing or of another type"})"};
-        want(status, "cold_left_ms", cold);
-        const auto at = parse_address(address);
-        if (!at || slots < 1 || slots > 100000 || (state != "ready" && state != "draining"))
-            return {400, R"({"error":"a field is out of range"})"};
-        // Guards against taking in anew what was sent away at SIGTERM: its endpoint may go on beating.
-        if (stopping_ && call.id != registration_.instance_id) return {200, "{}"};
-        const Time now = loop_.now();
-        if (call.id != registration_.instance_id) {
-            if (past_.contains(call.id)) return {200, "{}"};  // late word of a life that is over
-            if (!registration_.instance_id.empty()) remember_past(registration_.instance_id);
-            log_event(Event::EndpointSeen, "endpoint", {{"id", call.id}, {"at", address}});
-            last_seq_ = -1;
-            endpoint_ = EndpointId{++last_id_};
-        }
-        beat_at_ = now;
-        if (seq <= last_seq_) return {200, "{}"};
-        last_seq_ = seq;
-        unreached_ = 0;
-        const auto before = std::tuple(registration_.instance_id, registration_.state, registration_.slots,
-                                       registration_.service);
-        registration_.instance_id = call.id;
-        registration_.service = service;
-        registration_.slots = static_cast<std::uint32_t>(slots);
-        registration_.cold_left_ms = static_cast<std::uint32_t>(std::clamp<std::int64_t>(cold, 0, 3'600'000));
-        registration_.state =
-            state == "ready" ? registry::EndpointState::Ready : registry::EndpointState::Draining;
-        to_endpoint_.place(endpoint_, *at, true);
-        gate_.set_endpoint(endpoint_, registration_.instance_id, registration_.slots);
-        if (registration_.state == registry::EndpointState::Draining) gate_.start_draining(now);
-        if (before != std::tuple(registration_.instance_id, registration_.state, registration_.slots,
-                                 registration_.service)) {
-            if (registration_.state == registry::EndpointState::Draining)
-                log_event(Event::EndpointDraining, "drains", {{"id", call.id}});
-            changed();
-        }
-        return {200, "{}"};
-    }
-    /// A proxy that has just started doesn't wait for the next beat of an endpoint that may have been there
-    /// all along.
-    void find_endpoint() {
-        if (stopping_ || !settings_.app || !registration_.instance_id.empty() || probes_ >= kMostProbes ||
-            last_seq_ >= 0)
-            return;
-        ++probes_;
-        const EndpointId id{++last_id_};
-        to_endpoint_.place(id, *settings_.app, true);
-        to_endpoint_.probe(id, [this, id](Result&& result) {
-            const auto* head = dynamic_cast<const HttpAnswerHead*>(result.head.get());
-            if (result.status == decision::Status::Ok && head && registration_.instance_id.empty() &&
-                last_seq_ < 0) {
-                const auto instance = head->fields["Instance-Id"];
-                registration_.instance_id = std::string(instance.data(), instance.size());
-                registration_.state = registry::EndpointState::Ready;
-                registration_.slots = kAssumedSlots;
-                endpoint_ = id;
-                beat_at_ = loop_.now();
-                gate_.set_endpoint(endpoint_, registration_.instance_id, registration_.slots);
-                log_event(Event::EndpointSeen, "endpoint, by its health",
-                          {{"id", registration_.instance_id}});
-                changed();
-            } else {
-                to_endpoint_.remove(id);
-                if (registration_.instance_id.empty())
-                    again_.set(loop_.now() + kProbeAgain, [this] { find_endpoint(); });
-            }
-        });
-    }
-    control_api::Response deregister(const control_api::Call& call) {
-        if (call.id == registration_.instance_id) gone("deregistered");
-        return {200, "{}"};
-    }
-    void gone(const std::string& why) {
-        if (registration_.state == registry::EndpointState::Absent) return;
-        log_event(Event::EndpointGone, "endpoint gone", {{"id", registration_.instance_id}, {"why", why}});
-        registration_.state = registry::EndpointState::Absent;
-        if (why == "deregistered") remember_past(registration_.instance_id);
-        registration_.instance_id.clear();
-        gate_.remove_endpoint();
-        to_endpoint_.remove(endpoint_);
-        changed();
-    }
-    void remember_past(const std::string& id) {
-        if (past_.insert(id).second) past_order_.push_back(id);
-        if (past_order_.size() > 64) {
-            past_.erase(past_order_.front());
-            past_order_.pop_front();
-        }
-    }
-    void changed() {
-        ++registration_.seq;
-        announce();
-    }
-
     // ---- the process
 
     bool ready() const { return !stopping_ && outbound_.routes() && outbound_policy_.any_ready(); }
 
     void tick() {
         const Time now = loop_.now();
-        ticker_.set(now + kTick, [this] { tick(); });
-        if (now - announced_ >= kAnnounce) announce();
-        bool in_touch = false;
-        for (auto it = controllers_.begin(); it != controllers_.end();) {
-            Controller& controller = it->second;
-            if (controller.client->is_connected() && now - controller.answered > kControllerSilent) {
-                controller.answered = now;
-                controller.client->reconnect();
-            }
-            in_touch |= controller.client->is_connected() && controller.in_touch;
-            if (!controller.client->is_connected() &&
-                now - std::max(controller.named, controller.answered) > kForgetController &&
-                !is_seed(it->first)) {
-                it = controllers_.erase(it);
-            } else {
-                ++it;
-            }
-        }
-        if (in_touch != in_touch_) {
-            in_touch_ = in_touch;
-            log_event(in_touch ? Event::QuorumContactRestored : Event::QuorumContactLost,
-                      in_touch ? "in touch" : "out of touch", {{"version", mesh_config::text_of(version_)}});
-        }
-        const auto patience = Duration{
-            static_cast<Duration::rep>(kBeatsMissed * static_cast<double>(settings_.beat_interval.count()))};
-        if (registration_.state != registry::EndpointState::Absent && now - beat_at_ > patience)
-            gone("no beats");
+        ticker_.set(now + kTickInterval, [this] { tick(); });
+        controllers_.tick();
+        local_endpoint_.check_heartbeats();
         if (now - figured_ >= kFiguresEvery) {
             figured_ = now;
             log_event(Event::RequestTotals, "answers",
@@ -449,19 +210,13 @@
                        {"over_quota", std::to_string(figures_.over_quota)}});
         }
     }
-    bool is_seed(const std::string& address) const {
-        return std::any_of(settings_.seeds.begin(), settings_.seeds.end(), [&](const Address& a) {
-            return address.starts_with(a.address().to_string() + ":");
-        });
-    }
-
     /// Readiness says no, clients leave, what was taken is answered.
     void drain() {
         if (std::exchange(stopping_, true)) return;
         log_event(Event::Stopping, "stopping");
         outbound_policy_.drain();
         // Its endpoint, if it is still there, is used on while clients leave.
-        again_.set(loop_.now() + settings_.bounds.grace / 4, [this] { gone("stopping"); });
+        local_endpoint_.begin_shutdown(settings_.bounds.grace / 4);
         const auto done = [this] {
             if (--draining_ == 0) loop_.stop();
         };
@@ -470,18 +225,6 @@
         gate_front_.drain(done, false);
         loop_.add(loop_.now() + settings_.bounds.grace - 200ms, [this] { loop_.stop(); });
     }
-    void hang_up() {
-        hangups_.async_wait([this](const auto& error, int) {
-            if (error) return;
-            // Seeds may be others now; the rest holds for the life of the process.
-            const auto loaded = bootstrap::load();
-            if (const auto* read = std::get_if<bootstrap::Settings>(&loaded)) {
-                for (const Address& seed : read->seeds)
-                    dial(seed.address().to_string() + ":" + std::to_string(read->first_port));
-            }
-            hang_up();
-        });
-    }
 
     const bootstrap::Settings& settings_;
     Loop loop_;
@@ -501,67 +244,21 @@
     Engine engine_, gate_engine_;
     Http1Front front_, gate_front_;
     control_api::ApiServer control_, readiness_;
-    std::map<std::string, Controller> controllers_;
-    registry::RegistryView view_;
     outbound::UpstreamTable upstream_table_;
-    std::uint32_t last_id_ = 0;
-    registry::ProxyRegistration registration_;
-    EndpointId endpoint_{};
-    std::int64_t last_seq_ = -1;
-    Time beat_at_{}, announced_{}, demanded_{}, figured_{};
-    int unreached_ = 0, draining_ = 0, probes_ = 0;
-    std::vector<quota::QuotaDemand> demands_;
-    std::set<std::string> past_;
-    std::deque<std::string> past_order_;
-    std::uint32_t version_ = 0;
-    ConfigVersionGate version_gate_{kIntakePatience};
-    bool asking_again_ = false;
-    bool stopping_ = false, in_touch_ = false;
-    asio::signal_set signals_, hangups_;
-    Timer ticker_, intake_timer_, again_;
+    Time figured_{};
+    int draining_ = 0;
+    bool stopping_ = false;
+    bootstrap::ProcessSignals signals_;
+    Timer ticker_;
+    LocalEndpoint local_endpoint_;
+    ControllerClient controllers_;
 };
 
-int main_of(int argc, char** argv) {
-    static const option options[] = {{"help", no_argument, nullptr, 'h'},
-                                     {"check", no_argument, nullptr, 'c'},
-                                     {"events", no_argument, nullptr, 'e'},
-                                     {nullptr, 0, nullptr, 0}};
-    bool check = false;
-    for (int given = 0; (given = getopt_long(argc, argv, "hce", options, nullptr)) != -1;) {
-        if (given == 'e') return std::cout << event_log::catalogue_page(), 0;
-        if (given == 'c') {
-            check = true;
-            continue;
-        }
-        std::cout << "martenford-proxy: the data plane, beside one endpoint. Settings: MARTENFORD_CONFIG.\n"
-                     "  --check   read the settings and end\n  --events  the catalogue of events\n";
-        return given == 'h' ? 0 : kBadSettings;
-    }
-    event_log::open("martenford-proxy");
-    const auto loaded = bootstrap::load();
-    if (const auto* trouble = std::get_if<bootstrap::SettingsError>(&loaded)) {
-        log_event(Event::BadSettings, trouble->message);
-        return kBadSettings;
-    }
-    const auto& settings = std::get<bootstrap::Settings>(loaded);
-    const std::pair<bool, const char*> wanted[] = {{settings.inbound.has_value(), "listen_addrs.inbound"},
-                                                   {settings.outbound.has_value(), "listen_addrs.outbound"},
-                                                   {settings.readiness.has_value(), "listen_addrs.readiness"},
-                                                   {settings.control.has_value(), "listen_addrs.control"}};
-    for (const auto& [there, name] : wanted) {
-        if (there) continue;
-        log_event(Event::BadSettings, std::string(name) + ": it is missing");
-        return kBadSettings;
-    }
-    if (check) return 0;
+}  // namespace
+
+void run_proxy(const bootstrap::Settings& settings) {
     Proxy proxy(settings);
     proxy.run();
-    return 0;
 }
 
-}  // namespace
 }  // namespace martenford::proxy
-
-int main(int argc, char** argv) {
-    return martenford::proxy::main_of(argc, argv);
-}
