--- a/tests/mesh/controller_test.cpp
+++ b/tests/mesh/controller_test.cpp
@@ -483,6 +483,36 @@
     CHECK(as_leader.quota_leases[0].rate_per_s > 0);
 }
 
+TEST_CASE("quota service: a leader that was frozen for longer than its lease grants nothing") {
+    const std::vector<raft::Member> voters{{1, kSeedAddresses[0]}, {2, kSeedAddresses[1]}};
+    std::vector<std::unique_ptr<raft::RaftNode>> nodes;
+    for (const raft::Member& voter : voters) {
+        nodes.push_back(std::make_unique<raft::RaftNode>(voter, state_with_voters(voter.id, voters),
+                                                         raft::RaftOptions{}, voter.id));
+    }
+    Time now = Time{} + 1h;
+    for (const Time until = now + 5s; now < until; now += 10ms) {
+        for (auto& node : nodes) {
+            node->tick(now);
+            if (node->take_persist_request()) node->on_persisted(now);
+            for (const raft::Message& message : node->take_messages()) {
+                nodes.at(message.to - 1)->receive(now, message);
+            }
+        }
+    }
+    raft::RaftNode& leader = nodes[0]->has_leader_lease(now) ? *nodes[0] : *nodes[1];
+    REQUIRE(leader.has_leader_lease(now));
+    config_service::ConfigService config_service(leader);
+    registry::Registry registry{42, {}};
+    QuotaService service({}, {registry, config_service, leader});
+    rpc::RegisterRequest request;
+    request.registration = registration_of("p1");
+    CHECK(service.respond(now, request).from_leader);
+    const rpc::RegisterResponse after_freeze = service.respond(now + 10s, request);
+    CHECK_FALSE(after_freeze.from_leader);
+    CHECK(after_freeze.quota_leases.empty());
+}
+
 TEST_CASE("quota service: a document that can't be read has no quotas") {
     CHECK(read_quotas("").empty());
     CHECK(read_quotas("{").empty());
