--- a/src/bootstrap/program.h
+++ b/src/bootstrap/program.h
@@ -61,7 +61,7 @@
     struct Handlers {
         /// The first SIGTERM or SIGINT. Later ones are ignored: a shutdown that is under way goes on.
         std::function<void()> on_terminate;
-        /// SIGHUP, with the settings file read again. Only `seeds` may change within a process's life; the
+        /// SIGHUP, with the settings file read again. Only `seeds` may change while the process runs; the
         /// caller ignores the rest. Not called if the file is invalid: the settings in use stay.
         std::function<void(const Settings&)> on_reload;
     };
--- a/src/controller/initial_state.h
+++ b/src/controller/initial_state.h
@@ -1,4 +1,4 @@
-// The Raft state that a controller starts with: what its disk holds, the first voters at the first boot of
+// The Raft state that a controller starts with: the state on its disk, the first voters at the first boot of
 // the whole system, or that of a new member without a vote. Pure.
 #pragma once
 
@@ -36,7 +36,7 @@
     StorageDamage damage = StorageDamage::None;
 };
 
-/// Decides which state to start with. `new_member_id` is a random id, taken if the disk holds none and this
+/// Decides which state to start with. `new_member_id` is a random id, used if the disk has none and this
 /// machine is no seed of a first boot. A state whose origin is not Loaded must be saved before it is used.
 /// Damaged records never count as a first boot: a voter that forgot its vote could vote twice in one term.
 [[nodiscard]] InitialState initial_state(const durable_store::LoadResult& loaded,
--- a/src/controller/operator_api.h
+++ b/src/controller/operator_api.h
@@ -13,7 +13,7 @@
 
 namespace martenford::controller {
 
-/// Connections of operators that are held at once.
+/// Limit on open connections to the operator API.
 inline constexpr std::size_t kMaxOperatorConnections = 512;
 
 /// Handlers that submit each call to `service`, then call `after_submit`. `clock` and `service` outlive them.
--- a/src/controller/peers.h
+++ b/src/controller/peers.h
@@ -19,9 +19,9 @@
 
 /// Interval of Hello messages to every peer: a new member is known everywhere within two of them.
 inline constexpr Duration kHelloInterval = 500ms;
-/// A peer that has not been heard of for longer is left out of the lists given to others: six Hellos lost.
+/// A peer last seen longer ago is left out of the lists that are sent to others: six Hellos were lost.
 inline constexpr Duration kKnownControllerMaxAge = 3s;
-/// A peer that is neither voter nor seed and was not heard of for longer is disconnected and forgotten.
+/// A peer that is neither a voter nor a seed and was last seen longer ago is disconnected and forgotten.
 inline constexpr Duration kPeerForgetAfter = 20s;
 /// Connections to other controllers. Several times the largest control plane; a bound against wrong Hellos.
 inline constexpr std::size_t kMaxControllers = 64;
@@ -75,7 +75,7 @@
     void tick(Time now);
 
     [[nodiscard]] rpc::Hello hello(Time now) const { return {self_, known_controllers(now)}; }
-    /// This one, the voters, and the peers heard of within kKnownControllerMaxAge; by address.
+    /// This controller, the voters, and the peers seen within kKnownControllerMaxAge; ordered by address.
     [[nodiscard]] std::vector<raft::Member> known_controllers(Time now) const;
 
   private:
@@ -96,7 +96,7 @@
     raft::RaftNode& raft_;
     Dependencies dependencies_;
     std::map<std::string, Peer> peers_;                    // by address; at most kMaxControllers
-    std::map<raft::MemberId, std::string> address_by_id_;  // one entry a member ever met
+    std::map<raft::MemberId, std::string> address_by_id_;  // one entry per member ever met
     Time next_hello_at_{};
 };
 
--- a/src/controller/raft_driver.h
+++ b/src/controller/raft_driver.h
@@ -20,7 +20,7 @@
   public:
     /// What the driver calls, in this order.
     struct Effects {
-        /// Blocks until the state is on disk; an error: the one before still stands there.
+        /// Blocks until the state is on disk. After an error the previous state is still there.
         std::function<std::optional<durable_store::StorageError>(const raft::PersistentState&)> persist;
         std::function<void(const raft::Message&)> send;
         /// The committed configuration may have changed.
--- a/src/controller/register_storage.h
+++ b/src/controller/register_storage.h
@@ -21,7 +21,7 @@
     explicit RegisterStorage(std::unique_ptr<durable_store::DurableStore> store) : store_(std::move(store)) {}
 
     [[nodiscard]] durable_store::LoadResult load() { return store_->load(); }
-    /// Returns nothing once `state` is synced to disk; after an error the state saved before still stands.
+    /// Returns nothing once `state` is synced to disk. After an error the previous state is still there.
     [[nodiscard]] std::optional<durable_store::StorageError> save(const raft::PersistentState& state);
 
   private:
--- a/src/controller/watchers.h
+++ b/src/controller/watchers.h
@@ -16,7 +16,7 @@
 
 namespace martenford::controller {
 
-/// Number of a connection that was accepted; never used again within a process's life.
+/// Id of an accepted connection; not reused while the process runs.
 using ConnectionId = std::uint64_t;
 
 /// A request is answered after this time even without an update; a proxy takes a controller that has not
