--- a/tests/mesh/raft_membership_test.cpp
+++ b/tests/mesh/raft_membership_test.cpp
@@ -1,4 +1,4 @@
-// Who votes, what a 200 waits for, and how old a contact is: the register's answers to the worst days.
+// Choice of voters, replicas of acknowledged entries, graceful shutdown, and leases of suspended processes.
 #include <doctest/doctest.h>
 
 #include <algorithm>
@@ -17,29 +17,31 @@
 Member member(MemberId id, const std::string& zone, const std::string& region = "r") {
     return {id, "10.0.0." + std::to_string(id) + ":7000", zone, region};
 }
-VoterCandidate voting(MemberId id, const std::string& zone, bool live = true) {
+VoterCandidate voter(MemberId id, const std::string& zone, bool live = true) {
     return {member(id, zone), true, live};
 }
-VoterCandidate fresh(MemberId id, const std::string& zone, const std::string& region = "r") {
+VoterCandidate learner(MemberId id, const std::string& zone, const std::string& region = "r") {
     return {member(id, zone, region), false, true};
 }
-std::set<MemberId> chosen(const std::vector<VoterCandidate>& candidates, const FaultTolerance& tolerance) {
+std::set<MemberId> chosen_ids(const std::vector<VoterCandidate>& candidates,
+                              const FaultTolerance& tolerance) {
     std::set<MemberId> ids;
     for (const Member& m : choose_voters(candidates, tolerance)) ids.insert(m.id);
     return ids;
 }
 
-/// Registers that hear each other at once, but for those that are silenced, held up or frozen.
-class Core {
+/// Nodes 1 to `machines`, of which the first `seeds` are the initial voters, each in a zone of its own.
+/// Messages arrive at once, except to and from partitioned or suspended nodes.
+class Cluster {
   public:
-    Core(std::size_t machines, std::size_t seeds, const FaultTolerance& tolerance) {
+    Cluster(std::size_t machines, std::size_t seeds, const FaultTolerance& tolerance) {
         options_.fault_tolerance = tolerance;
-        std::vector<Member> first;
-        for (MemberId id = 1; id <= seeds; ++id) first.push_back({id, member(id, "").address});
+        std::vector<Member> initial_voters;
+        for (MemberId id = 1; id <= seeds; ++id) initial_voters.push_back({id, member(id, "").address});
         for (MemberId id = 1; id <= machines; ++id) {
             PersistentState disk;
             disk.self_id = id;
-            if (id <= seeds) disk.last_entry.voters = disk.committed_entry.voters = first;
+            if (id <= seeds) disk.last_entry.voters = disk.committed_entry.voters = initial_voters;
             start(disk, "z" + std::to_string(id));
         }
     }
@@ -50,22 +52,22 @@
     }
     RaftNode& at(MemberId id) { return *machines_.at(id).raft; }
     void end(MemberId id) { machines_.erase(id); }
-    void cut(MemberId id, bool is) { machines_.at(id).cut = is; }
-    /// Its process stands still: what comes waits, and it hears all of it as it wakes.
-    void freeze(MemberId id) { machines_.at(id).frozen = true; }
-    void wake(MemberId id) {
+    /// Starts or ends a partition of this node from all others.
+    void partition(MemberId id, bool partitioned) { machines_.at(id).partitioned = partitioned; }
+    /// Suspends the process; messages to it stay unread until resume().
+    void suspend(MemberId id) { machines_.at(id).suspended = true; }
+    void resume(MemberId id) {
         Machine& machine = machines_.at(id);
-        machine.frozen = false;
-        for (const Message& message : std::exchange(machine.waiting, {}))
-            machine.raft->receive(now_, message);
+        machine.suspended = false;
+        for (const Message& message : std::exchange(machine.unread, {})) machine.raft->receive(now_, message);
         persist(machine);
     }
-    void run(Duration time) {
-        for (const Time until = now_ + time; now_ < until; now_ += 10ms) {
+    void run_for(Duration duration) {
+        for (const Time until = now_ + duration; now_ < until; now_ += 10ms) {
             for (auto& [id, machine] : machines_) {
-                if (machine.frozen) continue;
+                if (machine.suspended) continue;
                 for (auto& [other, to] : machines_) {
-                    if (other != id && !to.cut && !machine.cut && !to.frozen)
+                    if (other != id && !to.partitioned && !machine.partitioned && !to.suspended)
                         to.raft->add_known_member(now_, member(id, "z" + std::to_string(id)));
                 }
                 machine.raft->tick(now_);
@@ -75,7 +77,7 @@
     }
     std::optional<MemberId> leader() {
         for (auto& [id, machine] : machines_) {
-            if (!machine.frozen && machine.raft->has_leader_lease(now_)) return id;
+            if (!machine.suspended && machine.raft->has_leader_lease(now_)) return id;
         }
         return std::nullopt;
     }
@@ -89,8 +91,8 @@
   private:
     struct Machine {
         std::unique_ptr<RaftNode> raft;
-        bool cut = false, frozen = false;
-        std::vector<Message> waiting;
+        bool partitioned = false, suspended = false;
+        std::vector<Message> unread;
     };
     void persist(Machine& machine) {
         while (machine.raft->take_persist_request()) machine.raft->on_persisted(now_);
@@ -99,13 +101,13 @@
         for (bool more = true; more;) {
             more = false;
             for (auto& [id, machine] : machines_) {
-                if (machine.frozen) continue;
+                if (machine.suspended) continue;
                 persist(machine);
                 for (Message& message : machine.raft->take_messages()) {
                     const auto to = machines_.find(message.to);
-                    if (to == machines_.end() || to->second.cut || machine.cut) continue;
-                    if (to->second.frozen) {
-                        to->second.waiting.push_back(message);
+                    if (to == machines_.end() || to->second.partitioned || machine.partitioned) continue;
+                    if (to->second.suspended) {
+                        to->second.unread.push_back(message);
                         continue;
                     }
                     to->second.raft->receive(now_, message);
@@ -121,35 +123,35 @@
 
 }  // namespace
 
-TEST_CASE("voters: as many as the losses that must be borne ask for, spread, and no more") {
+TEST_CASE("choose_voters: as few voters as tolerate the failures, spread over zones and regions") {
     using Ids = std::set<MemberId>;
-    const std::vector<VoterCandidate> five{voting(1, "a"), voting(2, "b"), voting(3, "c"), fresh(4, "a"),
-                                           fresh(5, "b")};
-    CHECK(chosen(five, {1, 0, 0}) == Ids{1, 2, 3});
-    CHECK(chosen(five, {2, 0, 0}) == Ids{1, 2, 3, 4, 5});
-    CHECK(chosen(five, {2, 1, 0}) == Ids{1, 2, 3, 4, 5});
-    CHECK(chosen(five, {0, 1, 0}) == Ids{1, 2, 3});
-    // Two in one zone can't bear its loss; a third zone can.
-    CHECK(chosen({voting(1, "a"), voting(2, "a"), voting(3, "b"), fresh(4, "c")}, {1, 1, 0}).contains(4));
-    // Fewer machines than places: all that there are.
-    CHECK(chosen({voting(1, "a"), voting(2, "b"), voting(3, "c")}, {2, 0, 0}) == Ids{1, 2, 3});
-    CHECK(chosen({voting(1, "a"), voting(2, "b")}, {1, 0, 0}) == Ids{1, 2});
-    // A silent voter goes for a live machine, and for nobody else: its disk may come back.
-    CHECK(chosen({voting(1, "a"), voting(2, "b"), voting(3, "c", false), fresh(4, "c")}, {1, 0, 0}) ==
+    const std::vector<VoterCandidate> five{voter(1, "a"), voter(2, "b"), voter(3, "c"), learner(4, "a"),
+                                           learner(5, "b")};
+    CHECK(chosen_ids(five, {1, 0, 0}) == Ids{1, 2, 3});
+    CHECK(chosen_ids(five, {2, 0, 0}) == Ids{1, 2, 3, 4, 5});
+    CHECK(chosen_ids(five, {2, 1, 0}) == Ids{1, 2, 3, 4, 5});
+    CHECK(chosen_ids(five, {0, 1, 0}) == Ids{1, 2, 3});
+    // Two of three voters in one zone do not tolerate its loss; a third zone does.
+    CHECK(chosen_ids({voter(1, "a"), voter(2, "a"), voter(3, "b"), learner(4, "c")}, {1, 1, 0}).contains(4));
+    // Fewer machines than 2f+1: all of them vote.
+    CHECK(chosen_ids({voter(1, "a"), voter(2, "b"), voter(3, "c")}, {2, 0, 0}) == Ids{1, 2, 3});
+    CHECK(chosen_ids({voter(1, "a"), voter(2, "b")}, {1, 0, 0}) == Ids{1, 2});
+    // A voter that does not answer is replaced only by a live machine: its disk may return.
+    CHECK(chosen_ids({voter(1, "a"), voter(2, "b"), voter(3, "c", false), learner(4, "c")}, {1, 0, 0}) ==
           Ids{1, 2, 4});
-    CHECK(chosen({voting(1, "a"), voting(2, "b"), voting(3, "c", false)}, {1, 0, 0}) == Ids{1, 2, 3});
-    // One whose loss isn't counted never votes beside those whose loss is.
-    auto uncounted = voting(1, "a");
+    CHECK(chosen_ids({voter(1, "a"), voter(2, "b"), voter(3, "c", false)}, {1, 0, 0}) == Ids{1, 2, 3});
+    // A machine whose loss is not counted does not vote beside others.
+    auto uncounted = voter(1, "a");
     uncounted.member.loss_counted = false;
-    CHECK(chosen({uncounted, voting(2, "b"), voting(3, "c"), fresh(4, "a")}, {1, 0, 0}) == Ids{2, 3, 4});
-    // Three regions bear the loss of one only where no majority lies in it.
-    CHECK(tolerates_failures(choose_voters({fresh(1, "a", "x"), fresh(2, "b", "x"), fresh(3, "c", "x"),
-                                            fresh(4, "d", "y"), fresh(5, "e", "z")},
+    CHECK(chosen_ids({uncounted, voter(2, "b"), voter(3, "c"), learner(4, "a")}, {1, 0, 0}) == Ids{2, 3, 4});
+    // Three regions tolerate the loss of one only if it has no majority.
+    CHECK(tolerates_failures(choose_voters({learner(1, "a", "x"), learner(2, "b", "x"), learner(3, "c", "x"),
+                                            learner(4, "d", "y"), learner(5, "e", "z")},
                                            {1, 0, 1}),
                              {1, 0, 1}));
 }
 
-TEST_CASE("copies: enough where no loss that the voters outlive takes all of them") {
+TEST_CASE("replicas_survive_failures: no failure that the voters survive takes all replicas") {
     const std::vector<Member> voters{member(1, "a"), member(2, "a"), member(3, "b")};
     CHECK_FALSE(replicas_survive_failures({voters[0]}, voters, {1, 0, 0}));
     CHECK(replicas_survive_failures({voters[0], voters[1]}, voters, {1, 0, 0}));
@@ -157,94 +159,96 @@
     CHECK(replicas_survive_failures({voters[0], voters[2]}, voters, {1, 1, 0}));
     CHECK_FALSE(replicas_survive_failures({voters[0], voters[2]}, voters, {2, 0, 0}));
     CHECK(replicas_survive_failures({voters[0]}, {voters[0]},
-                                    {1, 0, 0}));  // no copy can outlive the loss of all
+                                    {1, 0, 0}));  // no replica can survive the loss of all voters
 }
 
-TEST_CASE("five machines of which two may go: the three seeds take in the others before anything is taken") {
-    Core core(5, 3, {2, 0, 0});
-    core.run(400ms);
-    bool early = false;
-    for (int i = 0; i < 200 && !core.leader(); ++i) core.run(10ms);
-    REQUIRE(core.leader());
-    if (core.voters(*core.leader()).size() < 5)
-        early = core.at(*core.leader()).propose(core.now(), "x").has_value();
-    CHECK_FALSE(early);
-    core.run(1s);
-    const MemberId leader = *core.leader();
-    CHECK(core.voters(leader).size() == 5);
-    // Two go at once, the leader among them: the rest goes on with what was taken.
-    const auto stamp = core.at(leader).propose(core.now(), "taken");
-    REQUIRE(stamp);
-    core.run(100ms);
-    CHECK(core.at(leader).is_durable(*stamp));
-    core.end(leader);
-    core.end(leader % 5 + 1);
-    core.run(3s);
-    REQUIRE(core.leader());
-    CHECK(core.at(*core.leader()).persistent_state().committed_entry.value == "taken");
+TEST_CASE("with two failures to tolerate, three initial voters become five before a proposal is accepted") {
+    Cluster cluster(5, 3, {2, 0, 0});
+    cluster.run_for(400ms);
+    bool accepted_early = false;
+    for (int i = 0; i < 200 && !cluster.leader(); ++i) cluster.run_for(10ms);
+    REQUIRE(cluster.leader());
+    if (cluster.voters(*cluster.leader()).size() < 5)
+        accepted_early = cluster.at(*cluster.leader()).propose(cluster.now(), "x").has_value();
+    CHECK_FALSE(accepted_early);
+    cluster.run_for(1s);
+    const MemberId leader = *cluster.leader();
+    CHECK(cluster.voters(leader).size() == 5);
+    // Two fail at once, the leader among them: the others go on with the acknowledged value.
+    const auto position = cluster.at(leader).propose(cluster.now(), "acknowledged");
+    REQUIRE(position);
+    cluster.run_for(100ms);
+    CHECK(cluster.at(leader).is_durable(*position));
+    cluster.end(leader);
+    cluster.end(leader % 5 + 1);
+    cluster.run_for(3s);
+    REQUIRE(cluster.leader());
+    CHECK(cluster.at(*cluster.leader()).persistent_state().committed_entry.value == "acknowledged");
 }
 
-TEST_CASE("a 200 waits for copies that outlive what may be lost, also where fewer are a majority") {
-    Core core(3, 3, {2, 0, 0});
-    core.run(4s);  // no others come: taken all the same, on all three
-    const MemberId leader = *core.leader(), away = leader % 3 + 1;
-    core.cut(away, true);
-    const auto stamp = core.at(leader).propose(core.now(), "x");
-    REQUIRE(stamp);
-    core.run(300ms);
-    CHECK(core.at(leader).persistent_state().committed_entry.value == "x");
-    CHECK_FALSE(core.at(leader).is_durable(*stamp));
-    core.cut(away, false);
-    core.run(300ms);
-    CHECK(core.at(leader).is_durable(*stamp));
+TEST_CASE(
+    "an entry is durable only on enough replicas for the failures to tolerate, although a majority commits "
+    "it") {
+    Cluster cluster(3, 3, {2, 0, 0});
+    cluster.run_for(4s);  // no others join: after the initial wait, proposals are accepted
+    const MemberId leader = *cluster.leader(), down = leader % 3 + 1;
+    cluster.partition(down, true);
+    const auto position = cluster.at(leader).propose(cluster.now(), "x");
+    REQUIRE(position);
+    cluster.run_for(300ms);
+    CHECK(cluster.at(leader).persistent_state().committed_entry.value == "x");
+    CHECK_FALSE(cluster.at(leader).is_durable(*position));
+    cluster.partition(down, false);
+    cluster.run_for(300ms);
+    CHECK(cluster.at(leader).is_durable(*position));
 }
 
-TEST_CASE("one that is to end gives lead, copy and place away first, and comes back as it left") {
-    Core core(4, 3, {1, 0, 0});
-    core.run(4s);
-    const MemberId leader = *core.leader();
-    core.at(leader).leave(core.now());
-    CHECK_FALSE(core.at(leader).has_left());
-    core.run(500ms);
-    REQUIRE(core.at(leader).has_left());
-    const PersistentState disk = core.at(leader).persistent_state();
-    core.end(leader);
-    core.run(500ms);
-    const MemberId next = *core.leader();
-    CHECK(core.voters(next).size() == 3);  // the fourth has its place
-    CHECK_FALSE(core.voters(next).contains(leader));
-    // Another may go now: two of three are left.
-    const auto left = core.voters(next);
+TEST_CASE("a leaving leader transfers leadership and its vote before it ends, and returns with its disk") {
+    Cluster cluster(4, 3, {1, 0, 0});
+    cluster.run_for(4s);
+    const MemberId leader = *cluster.leader();
+    cluster.at(leader).leave(cluster.now());
+    CHECK_FALSE(cluster.at(leader).has_left());
+    cluster.run_for(500ms);
+    REQUIRE(cluster.at(leader).has_left());
+    const PersistentState disk = cluster.at(leader).persistent_state();
+    cluster.end(leader);
+    cluster.run_for(500ms);
+    const MemberId next = *cluster.leader();
+    CHECK(cluster.voters(next).size() == 3);  // the fourth machine replaced it
+    CHECK_FALSE(cluster.voters(next).contains(leader));
+    // Another voter fails: two of three are left.
+    const auto left = cluster.voters(next);
     const MemberId second = *std::find_if(left.begin(), left.end(), [&](MemberId id) { return id != next; });
-    core.cut(second, true);
-    REQUIRE(core.at(next).propose(core.now(), "x"));
-    core.run(200ms);
-    CHECK(core.at(next).persistent_state().committed_entry.value == "x");
-    core.start(disk, "z" + std::to_string(leader));
-    core.run(2s);
-    CHECK(core.voters(*core.leader()).contains(leader));  // in the place of the one that is cut off
+    cluster.partition(second, true);
+    REQUIRE(cluster.at(next).propose(cluster.now(), "x"));
+    cluster.run_for(200ms);
+    CHECK(cluster.at(next).persistent_state().committed_entry.value == "x");
+    cluster.start(disk, "z" + std::to_string(leader));
+    cluster.run_for(2s);
+    CHECK(cluster.voters(*cluster.leader()).contains(leader));  // in place of the partitioned voter
 }
 
-TEST_CASE("a leader that wakes from a freeze into a buffer of old answers leads nothing") {
-    Core core(3, 3, {1, 0, 0});
-    core.run(3s);
-    const MemberId old = *core.leader();
-    core.freeze(old);
-    core.run(20s);
-    core.wake(old);
-    CHECK_FALSE(core.at(old).has_leader_lease(core.now()));
-    CHECK_FALSE(core.at(old).propose(core.now(), "x"));
-    // And a follower that wakes is in touch only once a question of its own was answered.
-    const MemberId follower = *core.leader() % 3 + 1;
-    core.freeze(follower);
-    core.run(5s);
-    core.wake(follower);
-    CHECK_FALSE(core.at(follower).has_quorum_contact(core.now(), 700ms));
-    core.run(300ms);
-    CHECK(core.at(follower).has_quorum_contact(core.now(), 700ms));
+TEST_CASE("a resumed process takes no lease and no contact from replies that waited in its buffer") {
+    Cluster cluster(3, 3, {1, 0, 0});
+    cluster.run_for(3s);
+    const MemberId old = *cluster.leader();
+    cluster.suspend(old);
+    cluster.run_for(20s);
+    cluster.resume(old);
+    CHECK_FALSE(cluster.at(old).has_leader_lease(cluster.now()));
+    CHECK_FALSE(cluster.at(old).propose(cluster.now(), "x"));
+    // A resumed follower has contact only once a request of its own was answered.
+    const MemberId follower = *cluster.leader() % 3 + 1;
+    cluster.suspend(follower);
+    cluster.run_for(5s);
+    cluster.resume(follower);
+    CHECK_FALSE(cluster.at(follower).has_quorum_contact(cluster.now(), 700ms));
+    cluster.run_for(300ms);
+    CHECK(cluster.at(follower).has_quorum_contact(cluster.now(), 700ms));
 }
 
-TEST_CASE("a lone voter's own copy counts once it is on disk") {
+TEST_CASE("a single voter's entry is durable once it is on its own disk") {
     PersistentState disk;
     disk.self_id = 1;
     disk.last_entry.voters = disk.committed_entry.voters = {{1, "10.0.0.1:7000"}};
@@ -255,28 +259,28 @@
         if (raft.take_persist_request()) raft.on_persisted(now);
     }
     REQUIRE(raft.has_leader_lease(now));
-    const auto stamp = raft.propose(now, "x");
-    REQUIRE(stamp);
-    CHECK_FALSE(raft.is_durable(*stamp));
+    const auto position = raft.propose(now, "x");
+    REQUIRE(position);
+    CHECK_FALSE(raft.is_durable(*position));
     REQUIRE(raft.take_persist_request());
-    CHECK_FALSE(raft.is_durable(*stamp));
+    CHECK_FALSE(raft.is_durable(*position));
     raft.on_persisted(now);
-    CHECK(raft.is_durable(*stamp));
+    CHECK(raft.is_durable(*position));
 }
 
-TEST_CASE("a quota's lease that is read late counts from its question") {
+TEST_CASE("a quota lease counts from the send time of its request, not from when the reply is read") {
     const quota::Quota quota{100, 10};
     quota::QuotaLimiter late({}), prompt({});
-    const Time asked{10s}, read{12500ms};
-    prompt.apply_leases(asked, {{"t", 100, 10, 2600}}, asked);
-    late.apply_leases(read, {{"t", 100, 10, 2600}}, asked);
-    const auto held = [&](quota::QuotaLimiter& scale, Time now) {
-        scale.admit(now, "t", quota, 10);
-        const auto demands = scale.demands(now, {"t"});
+    const Time requested_at{10s}, read_at{12500ms};
+    prompt.apply_leases(requested_at, {{"t", 100, 10, 2600}}, requested_at);
+    late.apply_leases(read_at, {{"t", 100, 10, 2600}}, requested_at);
+    const auto remaining_ms = [&](quota::QuotaLimiter& limiter, Time now) {
+        limiter.admit(now, "t", quota, 10);
+        const auto demands = limiter.demands(now, {"t"});
         return demands.front().lease_remaining_ms;
     };
-    CHECK(held(late, read) <= 100);
-    late.apply_leases(read + 1s, {{"t", 100, 10, 2600}}, asked);
-    CHECK(held(late, read + 1s) == 0);
-    CHECK(held(prompt, asked) == 2600);
+    CHECK(remaining_ms(late, read_at) <= 100);
+    late.apply_leases(read_at + 1s, {{"t", 100, 10, 2600}}, requested_at);
+    CHECK(remaining_ms(late, read_at + 1s) == 0);
+    CHECK(remaining_ms(prompt, requested_at) == 2600);
 }
