--- a/benchmarks/membership_benchmark.cpp
+++ b/benchmarks/membership_benchmark.cpp
@@ -61,7 +61,7 @@
         config.settings = settings();
         config.discovery = listener.local_endpoint();
         config.names = {{"a"}, {"m2"}};
-        back = std::make_unique<Http1Back>(loop, config.settings.limits, 500, 0, counters);
+        back = std::make_unique<Http1Back>(loop, protocol, config.settings.limits, 500, 0, counters);
         tally = std::make_unique<Tally>(counters, config.settings.classes);
         engine = std::make_unique<Engine>(loop, *back, config.settings.limits,
                                           make_policy(config.settings, 7, features, counters), *tally);
@@ -92,6 +92,7 @@
     Counters counters;
     Loop loop;
     Config config;
+    SidecarClientProtocol protocol;
     std::unique_ptr<Http1Back> back;
     std::unique_ptr<Tally> tally;
     std::unique_ptr<Engine> engine;
