--- a/tests/mesh/register_explorer.cpp
+++ b/tests/mesh/register_explorer.cpp
@@ -23,7 +23,7 @@
 }  // namespace
 
 const char* name_of(Invariant invariant) {
-    static const char* const names[kInvariants] = {
+    static const char* const names[kInvariantCount] = {
         "one leader a term",
         "elected by a majority",
         "one vote a term",
@@ -49,11 +49,11 @@
 std::string Counts::text() const {
     std::string text = "schedules " + std::to_string(schedules) + ", events " + std::to_string(events) +
                        ", messages " + std::to_string(messages) + ", terms led " + std::to_string(elections) +
-                       ", changes of members " + std::to_string(changes_of_members) +
+                       ", changes of members " + std::to_string(configuration_changes) +
                        ", orders acknowledged " + std::to_string(acknowledged) + ", refused " +
-                       std::to_string(refused) + ", unclear " + std::to_string(unclear) + ", reads " +
+                       std::to_string(refused) + ", unclear " + std::to_string(outcome_unknown) + ", reads " +
                        std::to_string(reads) + ", states " + std::to_string(states) + ", states met again " +
-                       std::to_string(repeated) + "; faults:";
+                       std::to_string(revisited) + "; faults:";
     for (const auto& [name, times] : faults) text += " " + name + " " + std::to_string(times) + ",";
     if (!faults.empty()) text.pop_back();
     return text;
--- a/tests/mesh/register_explorer.h
+++ b/tests/mesh/register_explorer.h
@@ -1,6 +1,6 @@
-// An explorer of the agreed register (src/raft): random schedules and a bounded exhaustive search, in virtual
-// time, with a model of disks, links and operators, and an oracle that judges only what goes out and what is
-// on disk.
+// An explorer of the replicated register (src/raft): random schedules of faults and a bounded exhaustive
+// search, in virtual time. It models disks, links and operators; its oracle judges only what is sent and what
+// is on disk.
 #pragma once
 
 #include <cstdint>
@@ -14,55 +14,61 @@
 
 /// The invariants; docs/control-explorer.md says what each means.
 enum class Invariant : std::uint8_t {
-    OneLeaderATerm,
+    OneLeaderPerTerm,
     ElectedByMajority,
-    OneVoteATerm,
+    OneVotePerTerm,
     PersistedBeforeSent,
     NoVoteWithoutMembership,
     CommittedOnMajority,
     CommittedNeverLost,
-    EnoughCopies,
+    EnoughReplicas,
     AcknowledgedReadable,
-    LoserNeverInForce,
-    ResendNeverRefused,
+    RefusedNeverCommitted,
+    AcknowledgedNeverRefused,
     NoStaleLease,
-    NoStaleTouch,
+    NoStaleContact,
     NoStaleConfirmation,
     ChangeOnCommitted,
-    QuorumsMeet,
-    LeaverGivesFirst,
+    QuorumsOverlap,
+    LeaverReplacedFirst,
     Progress,
 };
-inline constexpr std::size_t kInvariants = 18;
+inline constexpr std::size_t kInvariantCount = 18;
+/// Returns the name that docs/control-explorer.md has for it.
 const char* name_of(Invariant invariant);
 
+/// A violated invariant, with what is needed to repeat it.
 struct Violation {
     Invariant invariant;
     std::uint64_t seed = 0;  ///< of a random schedule; 0: the exhaustive search
     std::string what;
-    std::vector<std::string> steps;  ///< the last ones before it
+    std::vector<std::string> steps;  ///< the last ones before it, kMaxSteps at most
 };
 
-/// What a run went through; a search that saw little proves little.
+/// What a run covered; the tests require enough of each.
 struct Counts {
     std::uint64_t schedules = 0, events = 0, messages = 0, elections = 0, acknowledged = 0, refused = 0,
-                  reads = 0, unclear = 0, changes_of_members = 0;
-    std::uint64_t states = 0, repeated = 0;  ///< of the exhaustive search
+                  reads = 0, outcome_unknown = 0, configuration_changes = 0;
+    std::uint64_t states = 0, revisited = 0;  ///< of the exhaustive search
     std::map<std::string, std::uint64_t> faults;
     std::string text() const;
 };
 
+/// Options for runs by hand.
 struct Options {
-    bool trace = false;           ///< each step to standard output
-    std::set<Invariant> ignored;  ///< to look behind a known violation, by hand only
+    bool trace = false;           ///< prints each step to standard output
+    std::set<Invariant> ignored;  ///< not reported, to find what follows a known violation
 };
 
-/// One schedule; its shape (machines, tolerance, zones) and all that happens follow from the seed.
+/// Runs one schedule. Its cluster (machines, failures to tolerate, zones) and all faults follow from the
+/// seed. Returns the first violation.
 std::optional<Violation> random_schedule(std::uint64_t seed, Counts& counts, const Options& options = {});
 
-enum class Start : std::uint8_t { Election, Rivals, ChangeOfMembers };
-/// Every order of delivery from the start given, with a few timeouts, losses, duplicates and losses of power;
-/// states that were seen are not gone through again.
-std::optional<Violation> exhaustive_search(Start start, std::uint64_t most_states, Counts& counts);
+/// Where an exhaustive search begins: at an election, at two candidates with a won pre-vote, or before a
+/// voter is replaced.
+enum class Start : std::uint8_t { Election, SplitVote, MembershipChange };
+/// Goes through every order of delivery from `start`, with a few timeouts, message losses and losses of
+/// power, up to `max_states` different states. Returns the first violation.
+std::optional<Violation> exhaustive_search(Start start, std::uint64_t max_states, Counts& counts);
 
 }  // namespace martenford::explorer
--- a/tests/mesh/register_explorer_main.cpp
+++ b/tests/mesh/register_explorer_main.cpp
@@ -1,4 +1,5 @@
-// Goes through schedules by hand, or until a seeded defect shows itself.
+// The program register_explorer: schedules and searches by hand, and with --defect the test of a seeded
+// defect.
 #include <getopt.h>
 
 #include <cstdlib>
@@ -47,14 +48,15 @@
         } else if (given == 'k') {
             keep_going = true;
         } else {
-            std::cout << "register_explorer: schedules of the agreed register\n"
-                         "  --first SEED --schedules N   the schedules of the seeds from SEED on\n"
-                         "  --states N                   at most N of each exhaustive search, before the "
-                         "schedules\n"
-                         "  --trace                      each step\n"
-                         "  --keep-going                 all seeds, also after a violation\n"
-                         "  --ignore N                   not the Nth invariant, to look behind it\n"
-                         "  --defect                     success is a violation\n";
+            std::cout
+                << "register_explorer: random schedules and exhaustive searches of the replicated register\n"
+                   "  --first SEED --schedules N   N random schedules, with the seeds from SEED on\n"
+                   "  --states N                   at most N states of each exhaustive search, before the "
+                   "schedules\n"
+                   "  --trace                      prints each step\n"
+                   "  --keep-going                 runs all seeds, also after a violation\n"
+                   "  --ignore N                   does not report the Nth invariant, to find what follows\n"
+                   "  --defect                     succeeds only if a violation is found\n";
             return given == 'h' ? 0 : 2;
         }
     }
@@ -72,8 +74,8 @@
         for (const std::string& step : violation->steps) std::cout << step << "\n";
         return !keep_going;
     };
-    if (search(Start::Election, "election") || search(Start::Rivals, "rivals") ||
-        search(Start::ChangeOfMembers, "change of members"))
+    if (search(Start::Election, "election") || search(Start::SplitVote, "rivals") ||
+        search(Start::MembershipChange, "change of members"))
         return defect ? 0 : 1;
     for (std::uint64_t seed = first; seed < first + schedules; ++seed) {
         const auto violation = random_schedule(seed, counts, how);
--- a/tests/mesh/register_explorer_model.cpp
+++ b/tests/mesh/register_explorer_model.cpp
@@ -30,10 +30,11 @@
            "'";
 }
 std::string text_of(const Message& message) {
-    static const char* const kinds[] = {"AskVote", "Vote", "Append", "Ack", "TakeOver"};
+    static const char* const kinds[] = {"RequestVote", "RequestVoteReply", "AppendEntries",
+                                        "AppendEntriesReply", "TimeoutNow"};
     const auto kind = static_cast<std::size_t>(message.kind);
-    return std::string(kind < std::size(kinds) ? kinds[kind] : "?") + (message.pre_vote ? " pre" : "") +
-           " term " + std::to_string(message.term) + (message.granted ? " yes" : "") + " newest " +
+    return std::string(kind < std::size(kinds) ? kinds[kind] : "?") + (message.pre_vote ? " pre-vote" : "") +
+           " term " + std::to_string(message.term) + (message.granted ? " granted" : "") + " last " +
            text_of(message.last_position) + " committed " + text_of(message.commit_position) + " round " +
            std::to_string(message.round) + (message.entry ? " entry " + text_of(*message.entry) : "");
 }
--- a/tests/mesh/register_explorer_model.h
+++ b/tests/mesh/register_explorer_model.h
@@ -18,14 +18,18 @@
 using raft::RaftNode;
 using raft::Term;
 
-inline constexpr Duration kTick = 20ms, kHello = 500ms;  // as controller's
-inline constexpr Duration kSaveAgain = 200ms;
-inline constexpr Duration kInTouch = 700ms;
-inline constexpr Duration kCatchUp = 4s;  // a machine counts as lost until so long after its return
-inline constexpr Duration kLeaveGrace = 5s;
-inline constexpr Duration kCallAgain = 1s;  // an operator's call without an answer
-inline constexpr Duration kLongestCall = 4s;
-inline constexpr std::size_t kStepsKept = 60;
+// The controller's:
+inline constexpr Duration kTickInterval = 20ms;        ///< between calls of RaftNode::tick()
+inline constexpr Duration kAnnounceInterval = 500ms;   ///< between announcements to all other machines
+inline constexpr Duration kSaveRetryInterval = 200ms;  ///< after a write that failed
+inline constexpr Duration kMaxContactAge = 700ms;      ///< of has_quorum_contact()
+inline constexpr Duration kLeaveTimeout = 5s;          ///< after which a leaving process ends in any case
+// The model's:
+inline constexpr Duration kCatchUpTime = 4s;  ///< after its return, until a machine counts as recovered
+inline constexpr Duration kCallRetryInterval =
+    1s;                                       ///< after which an operator repeats a call without an answer
+inline constexpr Duration kCallTimeout = 4s;  ///< after which a machine answers a call with 503
+inline constexpr std::size_t kMaxSteps = 60;  ///< kept of a schedule, to be shown with a violation
 
 /// Returns whether more than half of `voters` have it.
 bool holds_majority(const std::vector<Member>& voters, const std::function<bool(MemberId)>& has);
--- a/tests/mesh/register_explorer_oracle.h
+++ b/tests/mesh/register_explorer_oracle.h
@@ -13,53 +13,62 @@
 
 namespace martenford::explorer {
 
+/// Records what happens in a cluster and reports the first violation of an invariant
+/// (docs/control-explorer.md).
 class Oracle {
   public:
     explicit Oracle(const std::set<Invariant>& ignored) : ignored_(ignored) {}
 
-    std::optional<std::pair<Invariant, std::string>> broken;
-    void fail(Invariant invariant, std::string what);
+    /// The first violation, and what it is.
+    std::optional<std::pair<Invariant, std::string>> violation;
+    void report(Invariant invariant, std::string what);
     bool require(bool holds, Invariant invariant, const std::string& what);
 
-    void first_voters(const LogEntry& entry) { saw(entry); }
-    /// It can never vote or answer again.
-    void dead(MemberId id) { dead_.insert(id); }
-    void synced(const PersistentState& disk);
+    void set_initial_voters(const LogEntry& entry) { add_members(entry); }
+    /// The member can never vote or answer again.
+    void mark_dead(MemberId id) { dead_.insert(id); }
+    /// `disk` is on the disk of its member.
+    void on_synced(const PersistentState& disk);
 
-    /// A message leaves the process whose disk holds `disk` for sure.
-    void sent(const Message& message, const PersistentState& disk);
+    /// A message leaves the process whose disk has `disk` synced.
+    void on_sent(const Message& message, const PersistentState& disk);
 
-    void leads(MemberId id, Term term, const LogEntry& entry);
+    /// A member is leader in a term, with `entry` as its last one.
+    void on_leader(MemberId id, Term term, const LogEntry& entry);
 
+    /// Returns whether the entry was on the disks of a majority of each of its configurations.
     bool on_majority(const LogEntry& entry) const;
-    /// A process serves this as committed.
-    void committed(const LogEntry& entry);
+    /// A process takes this entry for committed.
+    void on_committed(const LogEntry& entry);
 
-    /// A leader goes from one entry to the next.
-    void changed_members(const LogEntry& from, const LogEntry& to);
+    /// A leader replaces an entry by one with another configuration.
+    void on_configuration_change(const LogEntry& from, const LogEntry& to);
 
-    /// The operator is told 200 while so many disks of machines that are not lost hold it.
-    void acknowledged(const std::string& token, std::size_t copies, std::size_t needed);
-    void left(MemberId id);
-    void refused(const std::string& token);
+    /// An operator is answered 200 while `copies` disks of machines that have not failed hold the order;
+    /// `needed` of them are required.
+    void on_acknowledged(const std::string& token, std::size_t copies, std::size_t needed);
+    /// The member's has_left() holds.
+    void on_left(MemberId id);
+    /// An operator is answered 412.
+    void on_refused(const std::string& token);
     std::size_t acknowledgements() const { return acknowledged_.size(); }
     const std::vector<std::string>& all_acknowledged() const { return acknowledged_; }
-    /// An answer to a read that was asked when the first `before` orders had been acknowledged.
-    void read(const std::string& value, std::size_t before);
-    std::uint64_t elections = 0, changes = 0;
+    /// An answer to a read that was requested when the first `before` orders had been acknowledged.
+    void on_read(const std::string& value, std::size_t before);
+    std::uint64_t elections = 0, configuration_changes = 0;
 
   private:
-    void saw(const LogEntry& entry);
+    void add_members(const LogEntry& entry);
     std::set<Invariant> ignored_;
     std::set<MemberId> members_, dead_;
     struct Acceptance {
-        std::set<MemberId> by;  // whose disks held it, lost since or not
+        std::set<MemberId> by;  // the members on whose disks it was, lost since or not
         std::string value;
     };
     std::map<LogPosition, Acceptance> accepted_;
     std::map<std::pair<MemberId, Term>, MemberId> votes_;
     std::map<Term, MemberId> leaders_;
-    std::map<LogPosition, std::string> chain_;
+    std::map<LogPosition, std::string> committed_values_;
     LogEntry in_force_;
     std::vector<std::string> acknowledged_;
     std::set<std::string> refused_;
--- a/tests/mesh/register_explorer_test.cpp
+++ b/tests/mesh/register_explorer_test.cpp
@@ -1,4 +1,5 @@
-// The explorer on the register as it is; what it would find is shown by the seeded defects.
+// The explorer on src/raft as it is. That it finds faults is shown by the seeded defects
+// (defects/defects.cmake).
 #include "mesh/register_explorer.h"
 
 #include <doctest/doctest.h>
@@ -6,7 +7,7 @@
 using namespace martenford::explorer;
 
 namespace {
-void check_none(const std::optional<Violation>& violation) {
+void check_no_violation(const std::optional<Violation>& violation) {
     if (!violation) return;
     std::string steps;
     for (const std::string& step : violation->steps) steps += step + "\n";
@@ -14,9 +15,9 @@
 }
 }  // namespace
 
-TEST_CASE("random schedules break no invariant, and all kinds of faults and outcomes were among them") {
+TEST_CASE("random schedules violate no invariant, and cover every kind of fault and outcome") {
     Counts counts;
-    for (std::uint64_t seed = 1; seed <= 160; ++seed) check_none(random_schedule(seed, counts));
+    for (std::uint64_t seed = 1; seed <= 160; ++seed) check_no_violation(random_schedule(seed, counts));
     MESSAGE(counts.text());
     for (const char* fault : {"kill",
                               "power",
@@ -43,10 +44,10 @@
     CHECK(counts.refused > 1000);
     CHECK(counts.reads > 5000);
     CHECK(counts.elections > 300);
-    CHECK(counts.changes_of_members > 300);
+    CHECK(counts.configuration_changes > 300);
 }
 
-TEST_CASE("a seed gives the same schedule again") {
+TEST_CASE("a seed repeats its schedule") {
     Counts one, other;
     random_schedule(11, one);
     random_schedule(11, other);
@@ -54,12 +55,12 @@
 }
 
 TEST_CASE("every order of delivery around an election and around a change of members") {
-    for (const Start start : {Start::Election, Start::Rivals, Start::ChangeOfMembers}) {
+    for (const Start start : {Start::Election, Start::SplitVote, Start::MembershipChange}) {
         Counts counts;
-        const std::uint64_t most = 60'000;
-        check_none(exhaustive_search(start, most, counts));
-        MESSAGE(counts.states, " states, met again ", counts.repeated);
-        CHECK(counts.states < most);  // all of them
+        const std::uint64_t max_states = 60'000;
+        check_no_violation(exhaustive_search(start, max_states, counts));
+        MESSAGE(counts.states, " states, met again ", counts.revisited);
+        CHECK(counts.states < max_states);  // the search was complete
         CHECK(counts.states > 100);
     }
 }
--- a/tests/mesh/register_explorer_world.h
+++ b/tests/mesh/register_explorer_world.h
@@ -22,116 +22,129 @@
 
 namespace martenford::explorer {
 
-/// What must be borne, and the machines that bear it.
+/// A cluster, and the failures that it is to tolerate.
 struct Shape {
     const char* name;
     std::size_t machines, tolerated, zones;
     std::size_t tolerated_zones = 0;
-    std::size_t uncounted = 0;  // of the machines, the last ones
+    std::size_t uncounted = 0;  // machines whose loss is not counted (Member::loss_counted): the last ones
 };
 
+/// One random schedule. All that happens follows from the seed, so a violation is repeated by its seed.
 class World {
   public:
     World(std::uint64_t seed, const Shape& shape, Counts& counts, const Options& options);
 
+    /// Runs 8 s without faults, 20 s with faults and 12 s after all of them ended. Returns the first
+    /// violation.
     std::optional<Violation> run();
 
   private:
-    enum class Kept { Old, New, Torn };  // of a write that a loss of power struck
+    /// What ends the process in the midst of a save.
+    enum class SaveFault { None, Kill, PowerLoss };
+    /// An operator's call at a machine: a read, or an order that adds `token` to a value that ends with
+    /// `base`.
     struct Call {
         std::size_t operator_number = 0;
-        std::uint64_t number = 0;  // of the try
+        std::uint64_t number = 0;  // of the attempt
         bool reads = false;
         std::string token, base;
-        Time until{};
+        Time deadline{};
         std::size_t acknowledged_before = 0;
         std::optional<LogPosition> proposed;
-        std::optional<std::uint64_t> confirmation;
-        Time confirmation_asked{};
-        int decided = 0;  // status once confirmed
+        std::optional<std::uint64_t> read_index;
+        Time read_index_requested_at{};
+        int confirmed_status = 0;  // HTTP status to answer once the read index is confirmed
         std::string value;
     };
+    /// A machine; it has a process where `raft` is set.
     struct Machine {
         std::string address, zone;
-        bool counts = true;
+        bool loss_counted = true;
         std::unique_ptr<RaftNode> raft;
-        std::uint64_t life = 0;
-        Duration clock{};                       // its steady clock's distance from the world's, by life
-        PersistentState synced;                 // survives a loss of power
-        std::optional<PersistentState> cached;  // written, not synced: survives the process only
+        std::uint64_t incarnation = 0;
+        Duration clock{};        // offset of its steady clock from now_, another in each incarnation
+        PersistentState synced;  // survives a loss of power
+        std::optional<PersistentState> cached;  // written, not synced: survives the end of the process only
         std::optional<PersistentState> saving;  // being written
-        Time free_at{};
-        bool freezes_standing = false;  // the moment that it has asked for votes
-        bool unsaved = false, frozen = false, gone = false, fails = false, leaving = false;
-        Duration slow{};
-        int strike = 0;  // the next save is struck: 1 the process, 2 the power
-        Time save_again{};
+        bool suspends_in_election = false;      // is suspended as soon as it has requested votes
+        bool must_save = false, suspended = false, removed = false, disk_fails = false, leaving = false;
+        Duration save_delay{};
+        SaveFault save_fault = SaveFault::None;  // of its next save
+        Time retry_save_at{};
         std::deque<std::function<void()>> inbox;
         std::deque<Call> calls;
-        Time lost_until{};
-        // What the oracle keeps of a life
-        LogEntry seen_newest;
-        LogPosition seen_committed;
-        Time appended{-1h};  // when the newest of the leader's messages that arrived was sent
-        std::map<std::pair<Term, std::uint64_t>, std::map<MemberId, Time>> asked;
-        std::map<MemberId, Time> answered;  // when the question was sent
-        Term answered_term = 0, contact_term = 0;
-        Time contact{};  // with a majority of the set that was in force then
+        Time failed_until{};
+        // What the oracle's checks need of this incarnation:
+        LogEntry observed_entry;
+        LogPosition observed_commit;
+        Time last_append_sent_at{-1h};  // send time of the latest AppendEntries that arrived
+        std::map<std::pair<Term, std::uint64_t>, std::map<MemberId, Time>> requested_at;
+        std::map<MemberId, Time> acknowledged_at;  // send times of the requests, by who answered
+        Term acknowledged_term = 0, quorum_contact_term = 0;
+        Time quorum_contact_at{};  // send time of the latest requests that a quorum answered
     };
+    /// An operator: sends one order or read at a time, and again without an answer, to any machine.
     struct Operator {
         std::string token, base, known;
         bool reading = false;
         std::uint64_t number = 0;
         std::size_t made = 0;
-        std::vector<std::string> done;  // acknowledged ones, with their base: sent again at times
-        std::vector<std::string> done_base;
+        std::vector<std::string> acknowledged_tokens;  // sent again at times, with their bases
+        std::vector<std::string> acknowledged_bases;
     };
 
-    // -- time
-    void after(Duration in, std::function<void()> what);
-    void until(Duration in);
+    // -- time (register_explorer_world.cpp)
+    void schedule_after(Duration in, std::function<void()> what);
+    /// Runs the events of the next `in`, up to a violation.
+    void run_for(Duration in);
     Time local(const Machine& m) const { return now_ + m.clock; }
-    Duration spread(Duration least, Duration most);
+    Duration random_duration(Duration least, Duration most);
     template <class... Parts>
-    void note(const Parts&... parts) {
+    void record_step(const Parts&... parts) {
         std::string text;
         ((text += parts), ...);
         char time[32];
         std::snprintf(time, sizeof time, "%10.4f ",
                       std::chrono::duration<double>(now_.time_since_epoch()).count());
         steps_.push_back(time + text);
-        if (steps_.size() > kStepsKept) steps_.pop_front();
+        if (steps_.size() > kMaxSteps) steps_.pop_front();
         if (options_.trace) std::puts(steps_.back().c_str());
     }
-    static std::string named(std::size_t i) { return "#" + std::to_string(i); }
+    static std::string machine_name(std::size_t i) { return "#" + std::to_string(i); }
 
     // -- machines
+    /// Returns its index.
     std::size_t add_machine();
     Member member(std::size_t i) const;
-    bool runs(std::size_t i) const;
+    /// Returns whether the process is there, not suspended and not in the midst of a save.
+    bool is_running(std::size_t i) const;
 
     void start(std::size_t i);
-    /// The process ends; what it wrote is in the machine's memory.
+    /// Ends the process; what it wrote may be in the machine's memory.
     void kill(std::size_t i);
+    /// Ends the process; a write that was not synced is kept, lost, or torn, which loses the disk.
     void power_off(std::size_t i, bool may_tear);
-    void wipe_disk(std::size_t i);
+    /// The machine returns under another member id.
+    void lose_disk(std::size_t i);
 
-    void tick(std::size_t i, std::uint64_t life);
-    void hello(std::size_t i, std::uint64_t life);
+    void tick(std::size_t i, std::uint64_t incarnation);
+    void announce(std::size_t i, std::uint64_t incarnation);
 
-    /// As controller's turn(): to disk first, then out, then to those who wait.
-    void turn(std::size_t i);
+    /// In the order of the controller's: persists, sends, answers callers.
+    void process_output(std::size_t i);
     void save(std::size_t i);
-    void saved(std::size_t i);
-    /// What came while the process could not run.
-    void work_off(std::size_t i);
-
-    // -- links
-    void carry(std::size_t from, std::size_t to, std::function<void()> what);
-    bool is_cut(std::size_t from, std::size_t to) const { return cuts_.contains({from, to}); }
-    /// A cut link keeps some of what was sent, and brings it once it is joined.
-    void hold(std::size_t from, std::size_t to, std::function<void()> what);
-    void join(const std::set<std::pair<std::size_t, std::size_t>>& links);
+    void on_saved(std::size_t i);
+    /// Handles what arrived while the process could not run.
+    void process_inbox(std::size_t i);
+
+    // -- links (register_explorer_world_links.cpp)
+    /// Runs `what` at machine `to` once it arrives: perhaps late, twice, or never.
+    void transmit(std::size_t from, std::size_t to, std::function<void()> what);
+    bool is_cut(std::size_t from, std::size_t to) const { return cut_links_.contains({from, to}); }
+    /// A cut link keeps some messages and delivers them once it is reconnected.
+    void retain(std::size_t from, std::size_t to, std::function<void()> what);
+    void reconnect(const std::set<std::pair<std::size_t, std::size_t>>& links);
 
     void send(std::size_t i);
     static std::uint64_t round_of(const Message& message);
@@ -139,42 +152,46 @@
 
     // -- what the oracle sees after each event
     void observe(std::size_t i);
-    /// When the last question was sent that a majority of each set in force answered.
-    Time contact(const Machine& m) const;
+    /// Send time of the latest requests that a majority of each configuration in force answered.
+    Time quorum_contact_at(const Machine& m) const;
     void observe_lease(std::size_t i);
 
-    // -- the config_service, in short: values are the tokens of all orders
-    void settle(std::size_t i);
+    // -- a model of config_service: the value is the tokens of all orders
+    // (register_explorer_world_operators.cpp)
+    void process_calls(std::size_t i);
     void decide(std::size_t i, Call& call);
     void answer(std::size_t i, const Call& call, int status);
 
     // -- operators
-    void operate(std::size_t k);
-    void call(std::size_t k, bool reads, const std::string& token, const std::string& base,
-              std::uint64_t number);
-    void answered(const Call& call, int status);
-
-    // -- faults
-    bool may_lose_disks() const { return !stormy_ && now_ >= keep_disks_until_; }
-    bool is_lost(std::size_t i) const { return machines_[i].lost_until > now_; }
-    /// Whether it may be lost besides what is.
-    bool may_lose(std::size_t i) const;
-    void lose(std::size_t i, Duration time);
-    void come_back(std::size_t i, Duration in);
-    std::size_t pick();
-    void count(const char* name, std::size_t i, Duration time);
-    void fault();
-    void freeze(std::size_t i, Duration time);
-    void fault_of_all(bool loses);
-    void thaw(std::size_t i);
-    /// Another machine at another address takes its place; the old one may come back with its disk.
+    void run_operator(std::size_t k);
+    void send_call(std::size_t k, bool reads, const std::string& token, const std::string& base,
+                   std::uint64_t number);
+    void on_answer(const Call& call, int status);
+
+    // -- faults (register_explorer_world_faults.cpp)
+    bool may_lose_disks() const { return !keeps_all_disks_ && now_ >= keep_disks_until_; }
+    bool is_failed(std::size_t i) const { return machines_[i].failed_until > now_; }
+    /// Returns whether its failure, with the present ones, is one that the cluster is to tolerate.
+    bool may_fail(std::size_t i) const;
+    /// Counts it as failed for `time` and the time to catch up.
+    void mark_failed(std::size_t i, Duration time);
+    void restart_after(std::size_t i, Duration in);
+    std::size_t pick_machine();
+    void count_fault(const char* name, std::size_t i, Duration time);
+    void inject_fault();
+    void suspend(std::size_t i, Duration time);
+    void inject_fault_of_all(bool loses);
+    void resume(std::size_t i);
+    /// Adds a machine at another address in its place; the old one may return with its disk for a while.
     void replace(std::size_t i, Duration time);
     void leave(std::size_t i, bool for_good, Duration time);
-    void left(std::size_t i);
-    void end(std::size_t i);
-    void cut(std::size_t i, Duration time);
-    void mend();
+    /// has_left() holds: checks what it left behind, and ends it.
+    void on_left(std::size_t i);
+    void finish_leaving(std::size_t i);
+    void partition(std::size_t i, Duration time);
+    void heal();
 
+    /// Requires one leader, and a configuration of enough voters that all run.
     void require_progress(const char* when);
 
     struct Event {
@@ -185,7 +202,7 @@
             return std::pair{at, sequence} > std::pair{other.at, other.sequence};
         }
     };
-    struct Held {
+    struct RetainedMessage {
         std::size_t from, to;
         std::function<void()> what;
     };
@@ -194,21 +211,21 @@
     const Shape& shape_;
     Counts& counts_;
     Options options_;
-    raft::RaftOptions register_options_;
+    raft::RaftOptions raft_options_;
     decision::Random random_;
     Oracle oracle_;
     std::map<MemberId, std::size_t> machine_of_;
-    std::deque<Machine> machines_;  // references hold while it grows
+    std::deque<Machine> machines_;  // a deque: references stay valid while it grows
     std::vector<Operator> operators_{2};
     Time now_{1s};
     std::priority_queue<Event> events_;
     std::uint64_t sequence_ = 0, identities_ = 0;
-    bool stormy_ = seed_ % 3 == 2;  // nothing is lost from a disk: then all else may happen at once
+    bool keeps_all_disks_ = seed_ % 3 == 2;  // no disk is lost; then any number of other faults at once
     Time keep_disks_until_{};
-    double loss_ = 0.02;
-    bool quiet_ = false;
-    std::set<std::pair<std::size_t, std::size_t>> cuts_;
-    std::vector<Held> held_;
+    double message_loss_ = 0.02;
+    bool faults_ended_ = false;
+    std::set<std::pair<std::size_t, std::size_t>> cut_links_;
+    std::vector<RetainedMessage> retained_;
     std::map<std::size_t, std::pair<bool, Duration>> leaving_;
     std::deque<std::string> steps_;
 };
--- a/tests/mesh/register_explorer_world_faults.cpp
+++ b/tests/mesh/register_explorer_world_faults.cpp
@@ -5,29 +5,29 @@
 
 namespace martenford::explorer {
 
-bool World::may_lose(std::size_t i) const {
-    if (machines_[i].gone) return false;
-    if (!machines_[i].counts) return true;
-    std::size_t lost = 0;
+bool World::may_fail(std::size_t i) const {
+    if (machines_[i].removed) return false;
+    if (!machines_[i].loss_counted) return true;
+    std::size_t failed = 0;
     std::set<std::string> zones;
     for (std::size_t k = 0; k < machines_.size(); ++k) {
-        if (!machines_[k].counts || (k != i && !is_lost(k))) continue;
-        ++lost;
+        if (!machines_[k].loss_counted || (k != i && !is_failed(k))) continue;
+        ++failed;
         zones.insert(machines_[k].zone);
     }
-    return lost <= shape_.tolerated || zones.size() <= shape_.tolerated_zones;
+    return failed <= shape_.tolerated || zones.size() <= shape_.tolerated_zones;
 }
 
-void World::lose(std::size_t i, Duration time) {
-    machines_[i].lost_until = std::max(machines_[i].lost_until, now_ + time + kCatchUp);
+void World::mark_failed(std::size_t i, Duration time) {
+    machines_[i].failed_until = std::max(machines_[i].failed_until, now_ + time + kCatchUpTime);
 }
 
-void World::come_back(std::size_t i, Duration in) {
-    lose(i, in);
-    after(in, [this, i] { start(i); });
+void World::restart_after(std::size_t i, Duration in) {
+    mark_failed(i, in);
+    schedule_after(in, [this, i] { start(i); });
 }
 
-std::size_t World::pick() {
+std::size_t World::pick_machine() {
     std::vector<std::size_t> there, leading;
     for (std::size_t i = 0; i < machines_.size(); ++i) {
         if (!machines_[i].raft) continue;
@@ -39,229 +39,230 @@
     return from[random_.below(from.size())];
 }
 
-void World::count(const char* name, std::size_t i, Duration time) {
+void World::count_fault(const char* name, std::size_t i, Duration time) {
     ++counts_.faults[name];
-    note("FAULT ", name, " ", named(i), " for ", std::to_string(time.count() / 1'000'000), " ms");
+    record_step("FAULT ", name, " ", machine_name(i), " for ", std::to_string(time.count() / 1'000'000),
+                " ms");
 }
 
-void World::fault() {
-    const std::size_t i = pick();
+void World::inject_fault() {
+    const std::size_t i = pick_machine();
     Machine& m = machines_[i];
     if (!m.raft) return;
     const bool loses = may_lose_disks();
-    const Duration time = random_.unit() < 0.2 ? spread(3s, 9s) : spread(50ms, 2s);
-    if (random_.unit() < 0.07) return fault_of_all(loses);
-    if (!may_lose(i) && !stormy_) return;
+    const Duration time = random_.unit() < 0.2 ? random_duration(3s, 9s) : random_duration(50ms, 2s);
+    if (random_.unit() < 0.07) return inject_fault_of_all(loses);
+    if (!may_fail(i) && !keeps_all_disks_) return;
     const double what = random_.unit();
     if (what < 0.1) {
-        count("kill", i, time);
+        count_fault("kill", i, time);
         kill(i);
-        come_back(i, time);
+        restart_after(i, time);
     } else if (what < 0.2) {
-        count("power", i, time);
+        count_fault("power", i, time);
         power_off(i, loses);
-        come_back(i, time);
+        restart_after(i, time);
     } else if (what < 0.3) {
-        count("strike", i, time);
-        lose(i, 0s);
-        m.strike = random_.unit() < 0.3 ? 1 : 2;
+        count_fault("strike", i, time);
+        mark_failed(i, 0s);
+        m.save_fault = random_.unit() < 0.3 ? SaveFault::Kill : SaveFault::PowerLoss;
     } else if (what < 0.4 && loses) {
-        count("wipe", i, time);
+        count_fault("wipe", i, time);
         power_off(i, false);
-        wipe_disk(i);
-        come_back(i, time);
+        lose_disk(i);
+        restart_after(i, time);
     } else if (what < 0.45 && loses) {
-        count("replace", i, time);
+        count_fault("replace", i, time);
         replace(i, time);
     } else if (what < 0.55) {
         const bool for_good = loses && random_.unit() < 0.5;
-        count(for_good ? "leave for good" : "leave", i, time);
+        count_fault(for_good ? "leave for good" : "leave", i, time);
         leave(i, for_good, time);
     } else if (what < 0.7) {
-        cut(i, time);
+        partition(i, time);
     } else if (what < 0.75) {
-        // As long as it takes the others to choose another, and no longer than the lease.
-        freeze(i, random_.unit() < 0.4 ? spread(550ms, 950ms) : time);
+        // Long enough for the others to elect another leader, and no longer than the lease.
+        suspend(i, random_.unit() < 0.4 ? random_duration(550ms, 950ms) : time);
     } else if (what < 0.8) {
-        count("freeze in an election", i, time);
-        lose(i, time);
-        m.freezes_standing = true;
+        count_fault("freeze in an election", i, time);
+        mark_failed(i, time);
+        m.suspends_in_election = true;
     } else if (what < 0.88) {
-        count("slow disk", i, time);
-        m.slow = spread(20ms, 1500ms);
-        lose(i, time);
-        after(time, [this, i] { machines_[i].slow = {}; });
+        count_fault("slow disk", i, time);
+        m.save_delay = random_duration(20ms, 1500ms);
+        mark_failed(i, time);
+        schedule_after(time, [this, i] { machines_[i].save_delay = {}; });
     } else if (what < 0.95) {
-        count("failing disk", i, time);
-        m.fails = true;
-        lose(i, time);
-        after(time, [this, i] { machines_[i].fails = false; });
+        count_fault("failing disk", i, time);
+        m.disk_fails = true;
+        mark_failed(i, time);
+        schedule_after(time, [this, i] { machines_[i].disk_fails = false; });
     } else {
-        count("lossy links", i, time);
-        loss_ = 0.1 + random_.unit() * 0.3;
-        keep_disks_until_ = now_ + time + kCatchUp;  // all are lost in that time
-        after(time, [this] { loss_ = 0.02; });
+        count_fault("lossy links", i, time);
+        message_loss_ = 0.1 + random_.unit() * 0.3;
+        keep_disks_until_ = now_ + time + kCatchUpTime;  // any machine may miss messages in that time
+        schedule_after(time, [this] { message_loss_ = 0.02; });
     }
 }
 
-void World::freeze(std::size_t i, Duration time) {
-    count("freeze", i, time);
-    machines_[i].frozen = true;
-    lose(i, time);
-    after(time, [this, i, life = machines_[i].life] {
-        if (machines_[i].life == life) thaw(i);
+void World::suspend(std::size_t i, Duration time) {
+    count_fault("freeze", i, time);
+    machines_[i].suspended = true;
+    mark_failed(i, time);
+    schedule_after(time, [this, i, incarnation = machines_[i].incarnation] {
+        if (machines_[i].incarnation == incarnation) resume(i);
     });
 }
 
-void World::fault_of_all(bool loses) {
+void World::inject_fault_of_all(bool loses) {
     const bool power = random_.unit() < 0.6;
-    count(power ? "power of all" : "kill of all", 0, 0ms);
+    count_fault(power ? "power of all" : "kill of all", 0, 0ms);
     std::set<std::size_t> wiped;
     if (loses && power && random_.unit() < 0.5) {
         for (std::size_t n = 0; n < shape_.tolerated; ++n) {
             const std::size_t i = random_.below(machines_.size());
-            if (machines_[i].gone || !may_lose(i)) continue;
-            lose(i, 0s);
+            if (machines_[i].removed || !may_fail(i)) continue;
+            mark_failed(i, 0s);
             wiped.insert(i);
             ++counts_.faults["wipe with power of all"];
         }
     }
     for (std::size_t i = 0; i < machines_.size(); ++i) {
-        if (machines_[i].gone) continue;
+        if (machines_[i].removed) continue;
         power ? power_off(i, false) : kill(i);
-        if (wiped.contains(i)) wipe_disk(i);
-        come_back(i, spread(50ms, 1s));
+        if (wiped.contains(i)) lose_disk(i);
+        restart_after(i, random_duration(50ms, 1s));
     }
 }
 
-void World::thaw(std::size_t i) {
+void World::resume(std::size_t i) {
     Machine& m = machines_[i];
-    if (!m.raft || !m.frozen) return;
-    m.frozen = false;
-    note("thaw ", named(i), " with ", std::to_string(m.inbox.size()), " in its inbox");
-    if (runs(i)) observe_lease(i);
-    work_off(i);
+    if (!m.raft || !m.suspended) return;
+    m.suspended = false;
+    record_step("resume ", machine_name(i), " with ", std::to_string(m.inbox.size()), " in its inbox");
+    if (is_running(i)) observe_lease(i);
+    process_inbox(i);
 }
 
 void World::replace(std::size_t i, Duration time) {
     kill(i);
     power_off(i, false);
-    machines_[i].gone = true;
+    machines_[i].removed = true;
     const bool returns = random_.unit() < 0.5;
-    if (!returns) oracle_.dead(machines_[i].synced.self_id);
+    if (!returns) oracle_.mark_dead(machines_[i].synced.self_id);
     const std::size_t next = add_machine();
     machines_[next].zone = machines_[i].zone;
-    machines_[next].counts = machines_[i].counts;
-    machines_[i].lost_until = {};
-    lose(next, time);
-    after(time, [this, next] { start(next); });
+    machines_[next].loss_counted = machines_[i].loss_counted;
+    machines_[i].failed_until = {};
+    mark_failed(next, time);
+    schedule_after(time, [this, next] { start(next); });
     if (!returns) return;
-    after(time + spread(6s, 12s), [this, i] {
-        if (quiet_) return;
+    schedule_after(time + random_duration(6s, 12s), [this, i] {
+        if (faults_ended_) return;
         ++counts_.faults["old disk returns"];
-        machines_[i].gone = false;
-        machines_[i].counts = false;  // what it has is not needed
+        machines_[i].removed = false;
+        machines_[i].loss_counted = false;  // its replicas are not required
         start(i);
-        after(spread(1s, 4s), [this, i] {
+        schedule_after(random_duration(1s, 4s), [this, i] {
             kill(i);
-            machines_[i].gone = true;
+            machines_[i].removed = true;
         });
     });
 }
 
 void World::leave(std::size_t i, bool for_good, Duration time) {
     Machine& m = machines_[i];
-    if (m.leaving || !runs(i)) return;
+    if (m.leaving || !is_running(i)) return;
     m.leaving = true;
-    lose(i, kLeaveGrace + time);
+    mark_failed(i, kLeaveTimeout + time);
     std::optional<std::size_t> next;
     if (for_good) {
         next = add_machine();
         Machine& leaver = machines_[i];
         machines_[*next].zone = leaver.zone;
-        machines_[*next].counts = leaver.counts;
-        lose(*next, kLeaveGrace + time);
-        after(spread(0s, 1s), [this, n = *next] { start(n); });
+        machines_[*next].loss_counted = leaver.loss_counted;
+        mark_failed(*next, kLeaveTimeout + time);
+        schedule_after(random_duration(0s, 1s), [this, n = *next] { start(n); });
     }
     leaving_[i] = {for_good, time};
     machines_[i].raft->leave(local(machines_[i]));
-    turn(i);
-    after(kLeaveGrace, [this, i, life = machines_[i].life] {
-        if (machines_[i].life == life && machines_[i].leaving) end(i);
+    process_output(i);
+    schedule_after(kLeaveTimeout, [this, i, incarnation = machines_[i].incarnation] {
+        if (machines_[i].incarnation == incarnation && machines_[i].leaving) finish_leaving(i);
     });
 }
 
-void World::left(std::size_t i) {
-    note(named(i), " has left");
-    oracle_.left(machines_[i].synced.self_id);
-    if (!stormy_) {
+void World::on_left(std::size_t i) {
+    record_step(machine_name(i), " has left");
+    oracle_.on_left(machines_[i].synced.self_id);
+    if (!keeps_all_disks_) {
         std::size_t others = 0;
         for (std::size_t k = 0; k < machines_.size(); ++k)
-            others += k != i && machines_[k].raft && machines_[k].counts;
+            others += k != i && machines_[k].raft && machines_[k].loss_counted;
         for (const std::string& token : oracle_.all_acknowledged()) {
             std::size_t copies = 0;
             for (std::size_t k = 0; k < machines_.size(); ++k)
-                copies += k != i && !machines_[k].gone &&
+                copies += k != i && !machines_[k].removed &&
                           machines_[k].synced.last_entry.value.find(token) != std::string::npos;
-            oracle_.require(copies >= std::min(shape_.tolerated + 1, others), Invariant::LeaverGivesFirst,
-                            named(i) + " says that it has left, and " + token + " is on " +
+            oracle_.require(copies >= std::min(shape_.tolerated + 1, others), Invariant::LeaverReplacedFirst,
+                            machine_name(i) + " says that it has left, and " + token + " is on " +
                                 std::to_string(copies) + " other disks");
         }
     }
-    end(i);
+    finish_leaving(i);
 }
 
-void World::end(std::size_t i) {
+void World::finish_leaving(std::size_t i) {
     const auto [for_good, time] = leaving_[i];
     kill(i);
-    if (!for_good) return come_back(i, quiet_ ? 50ms : time);
-    machines_[i].gone = true;
-    machines_[i].lost_until = {};
-    oracle_.dead(machines_[i].synced.self_id);
+    if (!for_good) return restart_after(i, faults_ended_ ? 50ms : time);
+    machines_[i].removed = true;
+    machines_[i].failed_until = {};
+    oracle_.mark_dead(machines_[i].synced.self_id);
 }
 
-void World::cut(std::size_t i, Duration time) {
+void World::partition(std::size_t i, Duration time) {
     const double way = random_.unit();
     const char* name = way < 0.5   ? "cut"
                        : way < 0.7 ? "cut of what it says"
                        : way < 0.9 ? "cut of what it hears"
                                    : "cut in turn";
-    // One that ends in the moment of an election: the others stand after 500 to 1000 ms of silence.
-    if (random_.unit() < 0.3) time = spread(450ms, 1150ms);
-    count(name, i, time);
-    lose(i, time);
+    // Some end at the time of an election, which starts after 500 to 1000 ms without a leader.
+    if (random_.unit() < 0.3) time = random_duration(450ms, 1150ms);
+    count_fault(name, i, time);
+    mark_failed(i, time);
     std::set<std::pair<std::size_t, std::size_t>> out, in;
     for (std::size_t k = 0; k < machines_.size(); ++k) {
         if (k == i) continue;
         out.insert({i, k});
         in.insert({k, i});
     }
-    if (way < 0.7 || way >= 0.9) cuts_.insert(out.begin(), out.end());
-    if (way < 0.5 || (way >= 0.7 && way < 0.9)) cuts_.insert(in.begin(), in.end());
+    if (way < 0.7 || way >= 0.9) cut_links_.insert(out.begin(), out.end());
+    if (way < 0.5 || (way >= 0.7 && way < 0.9)) cut_links_.insert(in.begin(), in.end());
     if (way < 0.9) {
-        after(time, [this, out, in] {
-            join(out);
-            join(in);
+        schedule_after(time, [this, out, in] {
+            reconnect(out);
+            reconnect(in);
         });
         return;
     }
-    after(time / 2, [this, out, in] {
-        join(out);
-        if (!quiet_) cuts_.insert(in.begin(), in.end());
+    schedule_after(time / 2, [this, out, in] {
+        reconnect(out);
+        if (!faults_ended_) cut_links_.insert(in.begin(), in.end());
     });
-    after(time, [this, in] { join(in); });
+    schedule_after(time, [this, in] { reconnect(in); });
 }
 
-void World::mend() {
-    note("all is mended");
-    join(std::exchange(cuts_, {}));
+void World::heal() {
+    record_step("all faults ended");
+    reconnect(std::exchange(cut_links_, {}));
     for (std::size_t i = 0; i < machines_.size(); ++i) {
         Machine& m = machines_[i];
-        m.slow = {};
-        m.fails = false;
-        m.strike = 0;
-        m.freezes_standing = false;
-        if (m.frozen) thaw(i);
+        m.save_delay = {};
+        m.disk_fails = false;
+        m.save_fault = SaveFault::None;
+        m.suspends_in_election = false;
+        if (m.suspended) resume(i);
         start(i);
     }
 }
--- a/tests/mesh/register_explorer_world_operators.cpp
+++ b/tests/mesh/register_explorer_world_operators.cpp
@@ -5,12 +5,12 @@
 
 namespace martenford::explorer {
 
-void World::settle(std::size_t i) {
+void World::process_calls(std::size_t i) {
     Machine& m = machines_[i];
     RaftNode& raft = *m.raft;
     const Time now = local(m);
-    oracle_.committed(raft.persistent_state().committed_entry);
-    while (!m.calls.empty() && !oracle_.broken) {
+    oracle_.on_committed(raft.persistent_state().committed_entry);
+    while (!m.calls.empty() && !oracle_.violation) {
         Call& call = m.calls.front();
         std::optional<int> status;
         if (call.proposed) {
@@ -20,19 +20,20 @@
                 status = 200;
                 call.value = raft.persistent_state().committed_entry.value;
             }
-        } else if (call.confirmation) {
-            if (raft.is_read_confirmed(*call.confirmation)) {
-                status = call.decided;
-                oracle_.require(std::max(m.contact, contact(m)) >= call.confirmation_asked,
-                                Invariant::NoStaleConfirmation,
-                                named(i) + " is confirmed by answers to questions from before it asked");
+        } else if (call.read_index) {
+            if (raft.is_read_confirmed(*call.read_index)) {
+                status = call.confirmed_status;
+                oracle_.require(
+                    std::max(m.quorum_contact_at, quorum_contact_at(m)) >= call.read_index_requested_at,
+                    Invariant::NoStaleConfirmation,
+                    machine_name(i) + " is confirmed by replies to requests from before the read");
             }
         }
         if (!status && !call.proposed && !raft.has_leader_lease(now)) status = 307;
-        if (!status && now >= call.until) status = 503;
-        if (!status && !call.proposed && !call.confirmation) {
+        if (!status && now >= call.deadline) status = 503;
+        if (!status && !call.proposed && !call.read_index) {
             decide(i, call);
-            if (call.proposed || call.confirmation) continue;
+            if (call.proposed || call.read_index) continue;
         }
         if (!status) return;
         const Call done = std::move(call);
@@ -46,52 +47,53 @@
     const Time now = local(machines_[i]);
     const std::string& value = raft.persistent_state().committed_entry.value;
     if (call.reads || value.find(call.token) != std::string::npos) {
-        call.decided = 200;
+        call.confirmed_status = 200;
     } else if (!value.ends_with(call.base) || (call.base.empty() && !value.empty())) {
-        call.decided = 412;
+        call.confirmed_status = 412;
     } else {
         call.proposed = raft.propose(now, value + call.token);
         return;
     }
     call.value = value;
-    call.confirmation = raft.request_read_index(now);
-    call.confirmation_asked = now_;
+    call.read_index = raft.request_read_index(now);
+    call.read_index_requested_at = now_;
 }
 
 void World::answer(std::size_t i, const Call& call, int status) {
     if (call.reads && status == 200) {
         ++counts_.reads;
-        oracle_.read(call.value, call.acknowledged_before);
+        oracle_.on_read(call.value, call.acknowledged_before);
     } else if (status == 200) {
-        note(named(i), " acknowledges ", call.token);
-        std::size_t copies = 0, lost = 0;
+        record_step(machine_name(i), " acknowledges ", call.token);
+        std::size_t copies = 0, failed = 0;
         for (std::size_t k = 0; k < machines_.size(); ++k) {
-            if (machines_[k].gone) continue;
-            lost += is_lost(k) && machines_[k].counts;
+            if (machines_[k].removed) continue;
+            failed += is_failed(k) && machines_[k].loss_counted;
             copies +=
-                !is_lost(k) && machines_[k].synced.last_entry.value.find(call.token) != std::string::npos;
+                !is_failed(k) && machines_[k].synced.last_entry.value.find(call.token) != std::string::npos;
         }
-        // What is lost can't be lost once more; where more is lost than is to be borne, nothing is asked.
-        oracle_.acknowledged(
+        // Present failures use up some of those to tolerate; with more of them than that, nothing is
+        // required.
+        oracle_.on_acknowledged(
             call.token, copies,
-            lost > shape_.tolerated ? 0 : std::max<std::size_t>(1, shape_.tolerated + 1 - lost));
+            failed > shape_.tolerated ? 0 : std::max<std::size_t>(1, shape_.tolerated + 1 - failed));
     } else if (status == 412) {
         ++counts_.refused;
-        note(named(i), " refuses ", call.token, " on ", call.base, " at ", call.value);
-        oracle_.refused(call.token);
+        record_step(machine_name(i), " refuses ", call.token, " on ", call.base, " at ", call.value);
+        oracle_.on_refused(call.token);
     } else {
-        ++counts_.unclear;
+        ++counts_.outcome_unknown;
     }
-    if (!quiet_ && random_.unit() < 0.15) return;  // the answer is lost
-    after(spread(0ms, 15ms), [this, call, status] { answered(call, status); });
+    if (!faults_ended_ && random_.unit() < 0.15) return;  // the answer is lost
+    schedule_after(random_duration(0ms, 15ms), [this, call, status] { on_answer(call, status); });
 }
 
-void World::operate(std::size_t k) {
+void World::run_operator(std::size_t k) {
     Operator& o = operators_[k];
     if (o.token.empty() && !o.reading) {
-        if (!o.done.empty() && random_.unit() < 0.15) {  // an old one again
-            const std::size_t which = random_.below(o.done.size());
-            call(k, false, o.done[which], o.done_base[which], 0);
+        if (!o.acknowledged_tokens.empty() && random_.unit() < 0.15) {  // an acknowledged order again
+            const std::size_t which = random_.below(o.acknowledged_tokens.size());
+            send_call(k, false, o.acknowledged_tokens[which], o.acknowledged_bases[which], 0);
         }
         if (random_.unit() < 0.25) {
             o.reading = true;
@@ -101,14 +103,14 @@
         }
     }
     const std::uint64_t number = ++o.number;
-    call(k, o.reading, o.token, o.base, number);
-    after(kCallAgain, [this, k, number] {
-        if (operators_[k].number == number) operate(k);  // once more, to any
+    send_call(k, o.reading, o.token, o.base, number);
+    schedule_after(kCallRetryInterval, [this, k, number] {
+        if (operators_[k].number == number) run_operator(k);  // again, at any machine
     });
 }
 
-void World::call(std::size_t k, bool reads, const std::string& token, const std::string& base,
-                 std::uint64_t number) {
+void World::send_call(std::size_t k, bool reads, const std::string& token, const std::string& base,
+                      std::uint64_t number) {
     std::vector<std::size_t> up, leading;
     for (std::size_t i = 0; i < machines_.size(); ++i) {
         if (!machines_[i].raft) continue;
@@ -125,44 +127,44 @@
     call.token = token;
     call.base = base;
     call.acknowledged_before = oracle_.acknowledgements();
-    after(spread(0ms, 15ms), [this, i, call] {
+    schedule_after(random_duration(0ms, 15ms), [this, i, call] {
         Machine& m = machines_[i];
         const auto come = [this, i, call] {
             Machine& there = machines_[i];
             there.calls.push_back(call);
-            there.calls.back().until = local(there) + kLongestCall;
-            settle(i);
-            turn(i);
+            there.calls.back().deadline = local(there) + kCallTimeout;
+            process_calls(i);
+            process_output(i);
         };
         if (!m.raft) return;
-        runs(i) ? come() : m.inbox.push_back(come);
+        is_running(i) ? come() : m.inbox.push_back(come);
     });
 }
 
-void World::answered(const Call& call, int status) {
+void World::on_answer(const Call& call, int status) {
     Operator& o = operators_[call.operator_number];
-    if (call.number != o.number) {  // of an old try, or of an old order that was sent again
+    if (call.number != o.number) {  // of an earlier attempt, or of an acknowledged order
         return;
     }
     ++o.number;
-    Duration next = spread(20ms, 400ms);
+    Duration next = random_duration(20ms, 400ms);
     if (status == 200 && call.reads) {
         o.reading = false;
         const auto last =
             call.value.size() < 2 ? std::string::npos : call.value.rfind(';', call.value.size() - 2);
         o.known = last == std::string::npos ? call.value : call.value.substr(last + 1);
     } else if (status == 200) {
-        o.done.push_back(o.token);
-        o.done_base.push_back(o.base);
+        o.acknowledged_tokens.push_back(o.token);
+        o.acknowledged_bases.push_back(o.base);
         o.known = std::exchange(o.token, "");
     } else if (status == 412) {
         o.token.clear();
         o.reading = true;
     } else {
-        next = spread(50ms, 200ms);
+        next = random_duration(50ms, 200ms);
     }
-    after(next, [this, k = call.operator_number, number = o.number] {
-        if (operators_[k].number == number) operate(k);
+    schedule_after(next, [this, k = call.operator_number, number = o.number] {
+        if (operators_[k].number == number) run_operator(k);
     });
 }
 
