--- a/tests/mesh/register_explorer.cpp
+++ b/tests/mesh/register_explorer.cpp
@@ -23,7 +23,7 @@
 }  // namespace
 
 const char* name_of(Invariant invariant) {
-    static const char* const names[kInvariantCount] = {
+    static const char* const kNames[kInvariantCount] = {
         "one leader a term",
         "elected by a majority",
         "one vote a term",
@@ -43,7 +43,7 @@
         "a leaver gives its copy first",
         "progress in calm",
     };
-    return names[static_cast<std::size_t>(invariant)];
+    return kNames[static_cast<std::size_t>(invariant)];
 }
 
 std::string Counts::text() const {
--- a/tests/mesh/register_explorer_model.cpp
+++ b/tests/mesh/register_explorer_model.cpp
@@ -17,8 +17,8 @@
 bool same_voters(const LogEntry& a, const LogEntry& b) {
     return a.voters == b.voters && a.outgoing_voters == b.outgoing_voters;
 }
-std::string text_of(const LogPosition& stamp) {
-    return std::to_string(stamp.term) + "." + std::to_string(stamp.index);
+std::string text_of(const LogPosition& position) {
+    return std::to_string(position.term) + "." + std::to_string(position.index);
 }
 std::string text_of(const LogEntry& entry) {
     std::string text = text_of(entry.position) + " {";
@@ -30,13 +30,14 @@
            "'";
 }
 std::string text_of(const Message& message) {
-    static const char* const kinds[] = {"RequestVote", "RequestVoteReply", "AppendEntries",
-                                        "AppendEntriesReply", "TimeoutNow"};
+    static const char* const kKinds[] = {"RequestVote", "RequestVoteReply", "AppendEntries",
+                                         "AppendEntriesReply", "TimeoutNow"};
     const auto kind = static_cast<std::size_t>(message.kind);
-    return std::string(kind < std::size(kinds) ? kinds[kind] : "?") + (message.pre_vote ? " pre-vote" : "") +
-           " term " + std::to_string(message.term) + (message.granted ? " granted" : "") + " last " +
-           text_of(message.last_position) + " committed " + text_of(message.commit_position) + " round " +
-           std::to_string(message.round) + (message.entry ? " entry " + text_of(*message.entry) : "");
+    return std::string(kind < std::size(kKinds) ? kKinds[kind] : "?") +
+           (message.pre_vote ? " pre-vote" : "") + " term " + std::to_string(message.term) +
+           (message.granted ? " granted" : "") + " last " + text_of(message.last_position) + " committed " +
+           text_of(message.commit_position) + " round " + std::to_string(message.round) +
+           (message.entry ? " entry " + text_of(*message.entry) : "");
 }
 
 }  // namespace martenford::explorer
--- a/tests/mesh/register_explorer_oracle.h
+++ b/tests/mesh/register_explorer_oracle.h
@@ -17,7 +17,7 @@
 /// (docs/control-explorer.md).
 class Oracle {
   public:
-    explicit Oracle(const std::set<Invariant>& ignored) : ignored_(ignored) {}
+    explicit Oracle(std::set<Invariant> ignored) : ignored_(std::move(ignored)) {}
 
     /// The first violation, and what it is.
     std::optional<std::pair<Invariant, std::string>> violation;
--- a/tests/mesh/register_explorer_search.cpp
+++ b/tests/mesh/register_explorer_search.cpp
@@ -80,11 +80,10 @@
         std::vector<std::string> steps;
         void record_step(std::string text) { steps.push_back(std::move(text)); }
         std::uint64_t key() const {
-            std::uint64_t key = static_cast<std::uint64_t>(
-                budget.timeouts +
-                8 * (budget.heartbeats +
-                     8 * (budget.proposals +
-                          8 * (budget.power_losses + 8 * (budget.duplicates + 8 * budget.disk_losses)))));
+            std::uint64_t key = 0;
+            for (const int left : {budget.disk_losses, budget.duplicates, budget.power_losses,
+                                   budget.proposals, budget.heartbeats, budget.timeouts})
+                key = 8 * key + static_cast<std::uint64_t>(left);
             for (const Node& node : nodes) key = decision::Random(key ^ node.history).next();
             std::uint64_t sum = 0;  // independent of their order
             for (const InFlight& one : in_flight) sum += decision::Random(one.key).next();
@@ -208,7 +207,7 @@
     void restart(State& state, std::size_t i) const {
         Node& node = state.nodes[i];
         node.mix_input(0xdead);
-        node.raft.emplace(Member(member(i, node.disk.self_id)), node.disk, options_, 7 + i);
+        node.raft.emplace(member(i, node.disk.self_id), node.disk, options_, 7 + i);
         node.observed_entry = node.disk.last_entry;
         node.proposed.reset();
     }
@@ -231,18 +230,42 @@
             return message.last_position == persistent.committed_entry.position;
         return message.kind == Message::Kind::RequestVoteReply && !message.granted;
     }
+    static void observe(State& state, Node& node) {
+        const PersistentState& persistent = node.raft->persistent_state();
+        if (node.raft->role() == RaftNode::Role::Leader) {
+            state.oracle.on_leader(persistent.self_id, persistent.term, persistent.last_entry);
+            if (node.observed_entry.position != persistent.last_entry.position &&
+                !same_voters(node.observed_entry, persistent.last_entry))
+                state.oracle.on_configuration_change(node.observed_entry, persistent.last_entry);
+        }
+        node.observed_entry = persistent.last_entry;
+    }
+    void send(State& state, Node& node) const {
+        for (const Message& message : node.raft->take_messages()) {
+            state.oracle.on_sent(message, node.disk);
+            for (std::size_t k = 0; k < state.nodes.size(); ++k) {
+                const MemberId id = state.nodes[k].disk.self_id;
+                if (id != message.to && id != 1000 + message.to) continue;  // or the id that replaced it
+                if (searching_ && is_redundant(state.nodes[k], message)) continue;
+                state.in_flight.push_back({k, message, decision::Random(node.history + ++node.sent).next()});
+            }
+        }
+    }
+    static void acknowledge(State& state, Node& node) {
+        if (node.proposed && !node.raft->may_still_commit(*node.proposed)) node.proposed.reset();
+        if (!node.proposed || !node.raft->is_durable(*node.proposed)) return;
+        std::size_t copies = 0;
+        for (const Node& other : state.nodes)
+            copies += other.disk.last_entry.value.find(node.token) != std::string::npos;
+        state.oracle.on_acknowledged(node.token, copies, 2);
+        node.proposed.reset();
+    }
     /// In the order of the controller's: persists, sends, answers callers.
     void process_output(State& state, std::size_t i, PowerLoss power_loss) const {
         Node& node = state.nodes[i];
         do {
             const PersistentState& persistent = node.raft->persistent_state();
-            if (node.raft->role() == RaftNode::Role::Leader) {
-                state.oracle.on_leader(persistent.self_id, persistent.term, persistent.last_entry);
-                if (node.observed_entry.position != persistent.last_entry.position &&
-                    !same_voters(node.observed_entry, persistent.last_entry))
-                    state.oracle.on_configuration_change(node.observed_entry, persistent.last_entry);
-            }
-            node.observed_entry = persistent.last_entry;
+            observe(state, node);
             const bool saves = node.raft->take_persist_request();
             if (saves && power_loss != PowerLoss::BeforeWrite) {
                 node.disk = persistent;
@@ -253,25 +276,9 @@
                 node.mix_input(power_loss == PowerLoss::BeforeWrite ? 0x01d : 0x4e3);
                 return restart(state, i);
             }
-            for (Message& message : node.raft->take_messages()) {
-                state.oracle.on_sent(message, node.disk);
-                for (std::size_t k = 0; k < state.nodes.size(); ++k) {
-                    const MemberId id = state.nodes[k].disk.self_id;
-                    if (id != message.to && id != 1000 + message.to) continue;  // or the id that replaced it
-                    if (searching_ && is_redundant(state.nodes[k], message)) continue;
-                    state.in_flight.push_back(
-                        {k, message, decision::Random(node.history + ++node.sent).next()});
-                }
-            }
+            send(state, node);
             state.oracle.on_committed(persistent.committed_entry);
-            if (node.proposed && !node.raft->may_still_commit(*node.proposed)) node.proposed.reset();
-            if (node.proposed && node.raft->is_durable(*node.proposed)) {
-                std::size_t copies = 0;
-                for (const Node& other : state.nodes)
-                    copies += other.disk.last_entry.value.find(node.token) != std::string::npos;
-                state.oracle.on_acknowledged(node.token, copies, 2);
-                node.proposed.reset();
-            }
+            acknowledge(state, node);
         } while (node.raft->has_output() && !state.oracle.violation);
     }
     /// Runs all nodes with one clock and every message delivered in order.
--- a/tests/mesh/register_explorer_world.h
+++ b/tests/mesh/register_explorer_world.h
@@ -140,7 +140,7 @@
 
     // -- links (register_explorer_world_links.cpp)
     /// Runs `what` at machine `to` once it arrives: perhaps late, twice, or never.
-    void transmit(std::size_t from, std::size_t to, std::function<void()> what);
+    void transmit(std::size_t from, std::size_t to, const std::function<void()>& what);
     bool is_cut(std::size_t from, std::size_t to) const { return cut_links_.contains({from, to}); }
     /// A cut link keeps some messages and delivers them once it is reconnected.
     void retain(std::size_t from, std::size_t to, std::function<void()> what);
@@ -159,6 +159,8 @@
     // -- a model of config_service: the value is the tokens of all orders
     // (register_explorer_world_operators.cpp)
     void process_calls(std::size_t i);
+    /// HTTP status of a call whose proposal or read index has an outcome; nothing otherwise.
+    std::optional<int> status_of(std::size_t i, Call& call);
     void decide(std::size_t i, Call& call);
     void answer(std::size_t i, const Call& call, int status);
 
@@ -179,6 +181,9 @@
     std::size_t pick_machine();
     void count_fault(const char* name, std::size_t i, Duration time);
     void inject_fault();
+    void slow_down_disk(std::size_t i, Duration time);
+    void fail_disk(std::size_t i, Duration time);
+    void lose_messages(std::size_t i, Duration time);
     void suspend(std::size_t i, Duration time);
     void inject_fault_of_all(bool loses);
     void resume(std::size_t i);
--- a/tests/mesh/register_explorer_world_faults.cpp
+++ b/tests/mesh/register_explorer_world_faults.cpp
@@ -88,23 +88,35 @@
         mark_failed(i, time);
         m.suspends_in_election = true;
     } else if (what < 0.88) {
-        count_fault("slow disk", i, time);
-        m.save_delay = random_duration(20ms, 1500ms);
-        mark_failed(i, time);
-        schedule_after(time, [this, i] { machines_[i].save_delay = {}; });
+        slow_down_disk(i, time);
     } else if (what < 0.95) {
-        count_fault("failing disk", i, time);
-        m.disk_fails = true;
-        mark_failed(i, time);
-        schedule_after(time, [this, i] { machines_[i].disk_fails = false; });
+        fail_disk(i, time);
     } else {
-        count_fault("lossy links", i, time);
-        message_loss_ = 0.1 + random_.unit() * 0.3;
-        keep_disks_until_ = now_ + time + kCatchUpTime;  // any machine may miss messages in that time
-        schedule_after(time, [this] { message_loss_ = 0.02; });
+        lose_messages(i, time);
     }
 }
 
+void World::slow_down_disk(std::size_t i, Duration time) {
+    count_fault("slow disk", i, time);
+    machines_[i].save_delay = random_duration(20ms, 1500ms);
+    mark_failed(i, time);
+    schedule_after(time, [this, i] { machines_[i].save_delay = {}; });
+}
+
+void World::fail_disk(std::size_t i, Duration time) {
+    count_fault("failing disk", i, time);
+    machines_[i].disk_fails = true;
+    mark_failed(i, time);
+    schedule_after(time, [this, i] { machines_[i].disk_fails = false; });
+}
+
+void World::lose_messages(std::size_t i, Duration time) {
+    count_fault("lossy links", i, time);
+    message_loss_ = 0.1 + random_.unit() * 0.3;
+    keep_disks_until_ = now_ + time + kCatchUpTime;  // any machine may miss messages in that time
+    schedule_after(time, [this] { message_loss_ = 0.02; });
+}
+
 void World::suspend(std::size_t i, Duration time) {
     count_fault("freeze", i, time);
     machines_[i].suspended = true;
--- a/tests/mesh/register_explorer_world_links.cpp
+++ b/tests/mesh/register_explorer_world_links.cpp
@@ -5,7 +5,7 @@
 
 namespace martenford::explorer {
 
-void World::transmit(std::size_t from, std::size_t to, std::function<void()> what) {
+void World::transmit(std::size_t from, std::size_t to, const std::function<void()>& what) {
     const auto arrive = [this, from, to](std::function<void()> it, Duration in) {
         schedule_after(in, [this, from, to, it = std::move(it)] {
             Machine& m = machines_[to];
--- a/tests/mesh/register_explorer_world_operators.cpp
+++ b/tests/mesh/register_explorer_world_operators.cpp
@@ -12,23 +12,7 @@
     oracle_.on_committed(raft.persistent_state().committed_entry);
     while (!m.calls.empty() && !oracle_.violation) {
         Call& call = m.calls.front();
-        std::optional<int> status;
-        if (call.proposed) {
-            if (!raft.may_still_commit(*call.proposed)) {
-                status = 503;
-            } else if (raft.is_durable(*call.proposed)) {
-                status = 200;
-                call.value = raft.persistent_state().committed_entry.value;
-            }
-        } else if (call.read_index) {
-            if (raft.is_read_confirmed(*call.read_index)) {
-                status = call.confirmed_status;
-                oracle_.require(
-                    std::max(m.quorum_contact_at, quorum_contact_at(m)) >= call.read_index_requested_at,
-                    Invariant::NoStaleConfirmation,
-                    machine_name(i) + " is confirmed by replies to requests from before the read");
-            }
-        }
+        std::optional<int> status = status_of(i, call);
         if (!status && !call.proposed && !raft.has_leader_lease(now)) status = 307;
         if (!status && now >= call.deadline) status = 503;
         if (!status && !call.proposed && !call.read_index) {
@@ -42,6 +26,22 @@
     }
 }
 
+std::optional<int> World::status_of(std::size_t i, Call& call) {
+    const Machine& m = machines_[i];
+    const RaftNode& raft = *m.raft;
+    if (call.proposed) {
+        if (!raft.may_still_commit(*call.proposed)) return 503;
+        if (!raft.is_durable(*call.proposed)) return std::nullopt;
+        call.value = raft.persistent_state().committed_entry.value;
+        return 200;
+    }
+    if (!call.read_index || !raft.is_read_confirmed(*call.read_index)) return std::nullopt;
+    oracle_.require(std::max(m.quorum_contact_at, quorum_contact_at(m)) >= call.read_index_requested_at,
+                    Invariant::NoStaleConfirmation,
+                    machine_name(i) + " is confirmed by replies to requests from before the read");
+    return call.confirmed_status;
+}
+
 void World::decide(std::size_t i, Call& call) {
     RaftNode& raft = *machines_[i].raft;
     const Time now = local(machines_[i]);
@@ -137,7 +137,8 @@
             process_output(i);
         };
         if (!m.raft) return;
-        is_running(i) ? come() : m.inbox.push_back(come);
+        if (is_running(i)) return come();
+        m.inbox.emplace_back(come);
     });
 }
 
