--- a/src/control_api/control_api.h
+++ b/src/control_api/control_api.h
@@ -1,12 +1,15 @@
-// The calls of endpoints and operators, declared in one table, and what answers them on a port: a front whose
-// desk calls handlers.
+// The HTTP API of endpoints, operators and the platform: one table declares every call, and ApiServer serves
+// a subset of them on one port. Runs on the thread of the event loop.
 #pragma once
 
+#include <cstddef>
+#include <cstdint>
 #include <functional>
 #include <map>
 #include <memory>
 #include <string>
 #include <string_view>
+#include <variant>
 #include <vector>
 
 #include "core/engine.h"
@@ -16,63 +19,84 @@
 namespace martenford::control_api {
 
 enum class CallName { Readiness, Heartbeat, Deregister, Replace, Modify, Read };
-enum class Caller { Platform, Endpoint, Operator };
 
+/// Who makes a call.
+enum class Caller {
+    Platform,  ///< starts and stops processes; asks for readiness
+    Endpoint,  ///< an instance of a service, at the proxy beside it
+    Operator,  ///< changes the configuration, at a controller
+};
+
+/// The declaration of a call.
 struct CallSpec {
     CallName name;
     Caller caller;
     http::verb verb;
-    const char* path;  ///< "{id}" stands for one segment
-    std::size_t max_body_bytes;
-    const char* description;  ///< for people
+    const char* path;            ///< "{id}" stands for one segment of 1 to kMaxIdLength bytes
+    std::size_t max_body_bytes;  ///< a longer body is answered with 413
+    const char* description;     ///< the statuses it is answered with, for readers of the table
 };
-const std::vector<CallSpec>& call_table();
 
+/// Longest `{id}` of a path, in bytes; a path with a longer one is unknown (404).
+constexpr std::size_t kMaxIdLength = 128;
+
+[[nodiscard]] const std::vector<CallSpec>& call_table();
+
+/// A request for a call, as its handler gets it.
 struct Call {
     CallName name;
-    std::string id;  ///< what stands for {id}
+    std::string id;  ///< the segment of the path for {id}; empty: the path has none
     std::string body;
 };
+
 struct Response {
     unsigned status = 200;
-    std::string body;  ///< JSON; empty: none
-    std::string location{};
-    Duration retry_after{};
+    std::string body;        ///< JSON; empty: no body
+    std::string location{};  ///< of a redirect; empty: no such header
+    Duration retry_after{};  ///< 0: no such header; sent in seconds
 };
+
+/// Sends the response to a call. Only the first one is sent, and none once the caller has disconnected.
 using Respond = std::function<void(Response&&)>;
+/// Handles a call; `respond` may be called at once or later, on the same thread.
 using Handler = std::function<void(Call&&, Respond)>;
 
-/// The kind that a request is, and its {id}; nothing: no call has this path. A path whose method is another
-/// has `wrong_method`.
+/// The declaration that a request line matches.
 struct Match {
-    const CallSpec* spec = nullptr;
+    const CallSpec* spec = nullptr;  ///< null: no call has this path and method
     std::string id;
-    bool wrong_method = false;
+    bool wrong_method = false;  ///< calls have this path, but with other methods
 };
-Match match(http::verb verb, std::string_view path);
+/// Matches a method and a path; a query is ignored.
+[[nodiscard]] Match match(http::verb verb, std::string_view path);
 
-/// One port.
+/// Serves calls on one port.
 class ApiServer : private ServerProtocol, private Desk {
   public:
-    /// Answers the calls for which there are handlers; others are unknown here. `most` connections.
-    ApiServer(Loop& loop, std::map<CallName, Handler> handlers, std::size_t most,
+    /// Serves the calls for which there is a handler; others are answered with 404, and 405 for a wrong
+    /// method. Accepts up to `max_connections`.
+    ApiServer(Loop& loop, std::map<CallName, Handler> handlers, std::size_t max_connections,
               martenford::Counters& counters);
+    /// Throws boost::system::system_error if the address can't be listened on.
     void listen(const Address& address) { front_.listen(address); }
 
   private:
-    const FrontLimits& limits() const override { return limits_; }
-    DrainTimes drain_times() const override { return {100ms, 0ms, 500ms, 0ms}; }
+    // ServerProtocol
+    [[nodiscard]] const FrontLimits& limits() const override { return limits_; }
+    [[nodiscard]] DrainTimes drain_times() const override { return {100ms, 0ms, 500ms, 0ms}; }
     std::variant<decision::Request, TurnAway> read(Fields& head, Time arrived) override;
     void write(const Answer& answer, const decision::RequestId& id, http::response_header<>& head) override;
+    // Desk
     bool take(decision::Request request, std::shared_ptr<const Message> message, Reply reply) override;
     void received(const decision::RequestId&, Time) override {}
     void leave(const decision::RequestId& id) override { pending_replies_.erase(id); }
 
-    Loop& loop_;
+    void respond_to(const decision::RequestId& id, Response&& response);
+
     std::map<CallName, Handler> handlers_;
     FrontLimits limits_;
-    std::uint64_t last_ = 0;
-    std::map<decision::RequestId, Reply> pending_replies_;
+    std::uint64_t last_request_number_ = 0;
+    std::map<decision::RequestId, Reply> pending_replies_;  ///< of calls whose caller waits
     Http1Front front_;
 };
 
