--- a/src/admission/admission_controller.h
+++ b/src/admission/admission_controller.h
@@ -1,10 +1,25 @@
-// The endpoint's side: the gate that alone reaches it. It lets in what the endpoint has slots for, keeps the
-// rest in a queue of its own by priority and deadline, and refuses with proof what it has not handed on.
-// Pure.
+// Admission control on the endpoint's side. The inbound proxy alone reaches its endpoint, so this is the one
+// place that knows its load at first hand.
+//
+// Concurrency limit: as many requests are in flight at the endpoint as it has slots, and one more, so that it
+//     does not idle for the time between an answer and the next request.
+// Queue: what is beyond waits here, not at the endpoint. Order: priority (lower first), then the latency
+// target
+//     that ends first, then arrival.
+// Load shedding: a request is rejected at once if by the wait estimate it would miss its latency target, and
+//     out of the queue if it is about to. A rejection proves that the request did not run; the caller tries
+//     elsewhere or tells its client to come back. Without it, under overload all would wait so long that none
+//     is served in time.
+// At most once: a request that must not run twice is passed on once by Attempt-Id, see delivered_attempts.h.
+// Drain: see start_draining().
+//
+// Answers by core::Engine's actions: Send passes the request on, Refuse rejects it with the proof that it did
+// not run, Fail ends it without one.
+//
+// Pure: no I/O and no clock. Not thread safe; one event loop owns it.
 #pragma once
 
 #include <cstdint>
-#include <deque>
 #include <map>
 #include <optional>
 #include <string>
@@ -12,6 +27,8 @@
 #include <unordered_map>
 #include <vector>
 
+#include "admission/delivered_attempts.h"
+#include "admission/wait_estimator.h"
 #include "core/policy.h"
 #include "core/scheduler.h"
 
@@ -23,44 +40,65 @@
 using decision::Status;
 using decision::Time;
 
-/// What a hop says of its request, told before the engine takes it.
+/// What the caller's proxy says of a request. Given to prepare() before the engine takes the request.
 struct InboundRequest {
-    std::string instance_id;  ///< the endpoint that it is meant for
-    std::string attempt_id;   ///< the client's
-    bool idempotent = false;
-    bool may_queue = true;
-    std::int64_t priority = 0;
-    std::uint32_t kind = 0;     ///< of request: those alike take alike
-    Duration latency_target{};  ///< what is left of the time in which its answer earns its worth
+    std::string instance_id;    ///< the endpoint that it is meant for
+    std::string attempt_id;     ///< the client's Attempt-Id
+    bool idempotent = false;    ///< may run more than once
+    bool may_queue = true;      ///< false: rejected unless a slot is free (AdmissionMode::IfSlotFree)
+    std::int64_t priority = 0;  ///< lower goes first
+    std::uint32_t kind = 0;     ///< kind of request, by its route; those of a kind take a similar time
+    Duration latency_target{};  ///< what is left of the time in which its answer is worth its full value
 };
 
 class AdmissionController : public Policy {
   public:
     struct Options {
-        Duration drain =
-            2500ms;  ///< nothing reaches an endpoint later than this after its drain was acknowledged
-        Duration drain_margin = 700ms;          ///< and here nothing does this much sooner
-        Duration remember_delivered_for = 60s;  ///< for so long an id that must not run twice is remembered
-        Duration query_delay = 2s;              ///< a question is on its way for less: its caller waits 0.3 s
+        /// The platform's bound: nothing reaches an endpoint later than this after its drain was
+        /// acknowledged.
+        Duration drain = 2500ms;
+        /// The queue closes this much earlier, for what is on its way to the endpoint. Cost: requests that
+        /// come in that time go elsewhere.
+        Duration drain_margin = 700ms;
+        /// How long an Attempt-Id that must not run twice is remembered. Cost: memory.
+        Duration remember_delivered_for = 60s;
+        /// Upper bound of the time that a caller's query is on its way; the caller itself waits 300 ms.
+        Duration query_delay = 2s;
+        /// Requests in the queue; more are rejected. Bounds the memory.
         std::size_t max_queued = 256;
     };
-    explicit AdmissionController(const Options& options) : options_(options) {}
+    explicit AdmissionController(const Options& options)
+        : options_(options), delivered_attempts_(options.remember_delivered_for, options.query_delay) {}
 
-    /// The endpoint that is here now; `id` is the one that Sends name. None: all is refused.
+    /// The endpoint that is here now. `id` is named in the Send actions, `instance` is its id in requests,
+    /// `slots` is how many requests it serves concurrently. Another instance ends a drain.
     void set_endpoint(EndpointId id, const std::string& instance, std::uint32_t slots);
+    /// Begins to drain the endpoint. From now on a new request that need not queue here is rejected, so that
+    /// its caller goes elsewhere; one that may queue has found nothing else, and is admitted. From `drain` -
+    /// `drain_margin` on everything is rejected, the queue included.
     void start_draining(Time now);
+    /// There is no endpoint any more: all requests are rejected.
     void remove_endpoint();
-    const std::string& instance_id() const { return instance_id_; }
+    /// The endpoint's id; empty without one.
+    [[nodiscard]] const std::string& instance_id() const { return instance_id_; }
 
+    /// Gives what is known of a request; the Request event with this id follows.
     void prepare(const RequestId& id, InboundRequest inbound) { prepared_requests_[id] = std::move(inbound); }
-    const InboundRequest* inbound_request(const RequestId& id) const;
-    /// Whether an id that must not run twice, of a hop that went `age` ago, was never handed on here. If so
-    /// it never will be: it is barred. False where that is not known any more.
-    bool fence_attempt(Time now, const std::string& attempt_id, Duration age);
-    /// How long a request that came now would wait for a slot.
-    Duration expected_queue_wait() const;
-    std::size_t queue_length() const { return queue_.size(); }
-    std::size_t in_flight() const { return in_flight_; }
+    /// What was given for a request in progress, or nullptr.
+    [[nodiscard]] const InboundRequest* inbound_request(const RequestId& id) const;
+
+    /// Answers a caller's query whether an attempt, sent `age` ago, was passed on to the endpoint. Returns
+    /// true if it was not, and fences it: it will not be passed on any more. Returns false if it was, or if
+    /// that is not known any more.
+    [[nodiscard]] bool fence_attempt(Time now, const std::string& attempt_id, Duration age) {
+        return delivered_attempts_.fence(now, attempt_id, age);
+    }
+
+    /// How long a request that came now would wait for a slot; 10 s if there has been no endpoint yet.
+    [[nodiscard]] Duration expected_queue_wait() const;
+    [[nodiscard]] std::size_t queue_length() const { return queue_.size(); }
+    /// Requests at the endpoint.
+    [[nodiscard]] std::size_t in_flight() const { return in_flight_; }
 
     void start(Time, std::vector<decision::Action>&) override {}
     void handle(Time now, const decision::Event& event, std::vector<decision::Action>& out) override;
@@ -70,64 +108,65 @@
         decision::Request request;
         InboundRequest inbound;
         Time latency_target_at{};
-        bool queued = false, in_flight = false, open = true;
-        Time sent_at{}, received_at{};
-        Duration expected_wait{};  // wait
-        std::uint64_t number = 0;
-    };
-    /// What was seen of requests that are alike.
-    struct KindStatistics {
-        Duration typical_service_time{};
-        double wait_factor =
-            1;  ///< how much longer they waited than was expected when they came: others overtook them
+        bool queued = false;
+        bool in_flight = false;  // at the endpoint
+        bool open = true;        // no final answer yet
+        Time sent_at{};
+        Time queued_at{};
+        Duration expected_wait{};  // when it was queued
+        std::uint64_t number = 0;  // order of arrival; token of its timer
     };
+    // Priority, latency target, arrival: the order of the queue.
+    using QueueKey = std::tuple<std::int64_t, Time, std::uint64_t>;
+    static QueueKey queue_key(const Call& call) {
+        return {call.inbound.priority, call.latency_target_at, call.number};
+    }
+
     void on(const decision::Request& request);
     void on(const decision::Outcome& outcome);
-    void on(const decision::DeadlineExpired& lapsed);
+    void on(const decision::DeadlineExpired& expired);
     void on(const decision::TimerFired& timer);
     template <class T>
     void on(const T&) {}
+
+    // Admission.
+    [[nodiscard]] bool is_closed() const;
+    [[nodiscard]] bool is_unwanted(const Call& call) const;
+    [[nodiscard]] bool would_run_twice(const Call& call) const;
+    [[nodiscard]] bool may_enter_queue(const Call& call) const;
+    void enqueue(Call& call);
     void send(Call& call);
-    void record_delivered(const std::string& attempt_id);
-    void fail(Call& call);
-    void reject(Call& call);
     void admit_next();
-    void forget(const RequestId& id);
-    bool is_closed() const;
-    Time latest_useful_start(const Call& call) const;
-    bool is_worth_queueing(const Call& call) const;
-    Duration typical_service_time(std::uint32_t kind) const;
-    Duration expected_wait(const Call& call) const;
+
+    // Wait estimate.
+    [[nodiscard]] Duration expected_wait(const Call& call) const;
+    [[nodiscard]] Time latest_useful_start(const Call& call) const;
+    [[nodiscard]] Time latest_in_queue(const Call& call) const;
+    [[nodiscard]] bool is_worth_queueing(const Call& call) const;
     void record_wait(const Call& call);
-    Time latest_in_queue(const Call& call) const;
-    Duration wait_behind(std::size_t ahead) const;
-    using QueueKey = std::tuple<std::int64_t, Time, std::uint64_t>;
-    static QueueKey queue_key(const Call& call) {
-        return {call.inbound.priority, call.latency_target_at, call.number};
-    }
+
+    // The end.
+    void leave_queue(Call& call);
+    void finish(Call& call, const decision::Action& answer);
+    void reject(Call& call);
+    void fail(Call& call);
+    void forget_if_finished(const RequestId& id);
 
     Options options_;
     EndpointId id_{};
     std::string instance_id_;
-    std::uint32_t max_in_flight_ =
-        0;  // that are used: one more than the endpoint has, so that none stands idle between two
+    std::uint32_t max_in_flight_ = 0;
     std::optional<Time> draining_since_;
     std::size_t in_flight_ = 0;
-    Duration typical_service_time_ = 150ms;  // how long the endpoint takes, averaged
-    std::unordered_map<std::uint32_t, KindStatistics> statistics_by_kind_;  // and for requests of one kind
+    WaitEstimator estimator_;
+    DeliveredAttempts delivered_attempts_;
     std::unordered_map<RequestId, InboundRequest> prepared_requests_;
     std::unordered_map<RequestId, Call> calls_;
     std::map<std::uint64_t, RequestId> ids_by_number_;
-    /// By priority, then by whose aim ends first, then by who came first.
     std::map<QueueKey, RequestId> queue_;
-    /// Ids that must not run twice and were handed on, by when; and in that order.
-    std::unordered_map<std::string, Time> delivered_attempts_;
-    std::deque<std::pair<Time, std::string>> delivered_order_;
-    std::optional<Time>
-        newest_forgotten_at_;  // when the newest of those was spent that are not remembered any more
     std::uint64_t last_call_number_ = 0;
-    Time now_{};
-    std::vector<decision::Action>* actions_ = nullptr;
+    Time now_{};                                        // of the event being handled
+    std::vector<decision::Action>* actions_ = nullptr;  // its output
 };
 
 }  // namespace martenford::admission
--- a/tests/mesh/admission_controller_test.cpp
+++ b/tests/mesh/admission_controller_test.cpp
@@ -1,5 +1,4 @@
-// The gate: no more than the slots reach the endpoint, who waits goes by priority and aim, what is refused
-// never ran.
+// AdmissionController: the concurrency limit, the queue's order, load shedding, at most once, and the drain.
 #include "admission/admission_controller.h"
 
 #include <doctest/doctest.h>
@@ -10,176 +9,180 @@
 
 namespace {
 
-struct Gate {
-    Gate() { gate.set_endpoint(EndpointId{1}, "i-1", 1); }
-    AdmissionController gate{{}};
+/// A non-idempotent request for the endpoint that is there.
+InboundRequest attempt(const std::string& id) {
+    InboundRequest request;
+    request.instance_id = "i-1";
+    request.attempt_id = id;
+    request.latency_target = 800ms;
+    return request;
+}
+
+/// An AdmissionController beside an endpoint with one slot, driven event by event.
+struct Fixture {
+    Fixture() { controller.set_endpoint(EndpointId{1}, "i-1", 1); }
+    AdmissionController controller{{}};
     Time now{10s};
     std::vector<Action> out;
     std::uint64_t last = 0;
 
-    InboundRequest inbound(const std::string& id) {
-        InboundRequest t;
-        t.instance_id = "i-1";
-        t.attempt_id = id;
-        t.latency_target = 800ms;
-        return t;
-    }
-    RequestId ask(InboundRequest t, Duration left = 3s) {
+    RequestId receive(InboundRequest inbound, Duration left = 3s) {
         Request request;
         request.id = std::to_string(++last);
         request.deadline = now + left;
-        gate.prepare(request.id, std::move(t));
-        gate.handle(now, request, out);
+        controller.prepare(request.id, std::move(inbound));
+        controller.handle(now, request, out);
         return request.id;
     }
     void end(const RequestId& id, Status status) {
-        gate.handle(now, Outcome{id, 0, EndpointId{1}, status, 1ms, status == Status::Ok, {}, true}, out);
+        controller.handle(now, Outcome{id, 0, EndpointId{1}, status, 1ms, status == Status::Ok, {}, true},
+                          out);
     }
-    /// What was said of a request, and nothing else was.
-    std::string said(const RequestId& id) const {
-        std::string all;
+    /// The actions for a request so far, in their order.
+    std::string actions(const RequestId& id) const {
+        std::string names;
         for (const Action& action : out) {
-            if (const auto* send = std::get_if<Send>(&action); send && send->id == id) all += "send ";
+            if (const auto* send = std::get_if<Send>(&action); send && send->id == id) names += "send ";
             if (const auto* refuse = std::get_if<Refuse>(&action); refuse && refuse->id == id)
-                all += "refuse ";
-            if (const auto* fail = std::get_if<Fail>(&action); fail && fail->id == id) all += "fail ";
+                names += "refuse ";
+            if (const auto* fail = std::get_if<Fail>(&action); fail && fail->id == id) names += "fail ";
             if (const auto* cancel = std::get_if<Cancel>(&action); cancel && cancel->id == id)
-                all += "cancel ";
+                names += "cancel ";
         }
-        return all;
+        return names;
     }
 };
 
 }  // namespace
 
 TEST_CASE(
-    "as many as there are slots are handed on; the next waits, or is refused where it asked for a free one") {
-    Gate gate;
-    CHECK(gate.said(gate.ask(gate.inbound("a"))) == "send ");
-    const auto second = gate.ask(gate.inbound("b"));
-    CHECK(gate.said(second) == "send ");
-    InboundRequest free = gate.inbound("c");
-    free.may_queue = false;
-    CHECK(gate.said(gate.ask(free)) == "refuse ");
-    const auto waits = gate.ask(gate.inbound("d"));
-    CHECK(gate.said(waits).empty());
-    gate.end(second, Status::Ok);
-    CHECK(gate.said(waits) == "send ");
+    "requests are sent up to the concurrency limit; the next is queued, or rejected if it may not queue") {
+    Fixture inbound;
+    CHECK(inbound.actions(inbound.receive(attempt("a"))) == "send ");
+    const auto second = inbound.receive(attempt("b"));
+    CHECK(inbound.actions(second) == "send ");
+    InboundRequest no_queue = attempt("c");
+    no_queue.may_queue = false;
+    CHECK(inbound.actions(inbound.receive(no_queue)) == "refuse ");
+    const auto queued = inbound.receive(attempt("d"));
+    CHECK(inbound.actions(queued).empty());
+    inbound.end(second, Status::Ok);
+    CHECK(inbound.actions(queued) == "send ");
 }
 
-TEST_CASE("the queue goes by priority, then by whose aim ends first, whatever came first") {
-    Gate gate;
-    const auto first = gate.ask(gate.inbound("a")), second = gate.ask(gate.inbound("b"));
-    InboundRequest low = gate.inbound("low"), late = gate.inbound("late"), soon = gate.inbound("soon");
+TEST_CASE("the queue is ordered by priority, then by latency target, not by arrival") {
+    Fixture inbound;
+    const auto first = inbound.receive(attempt("a")), second = inbound.receive(attempt("b"));
+    InboundRequest low = attempt("low"), late = attempt("late"), soon = attempt("soon");
     low.priority = 2;
     low.latency_target = 700ms;
     late.latency_target = 900ms;
     soon.latency_target = 600ms;
-    const auto third = gate.ask(low), fourth = gate.ask(late), fifth = gate.ask(soon);
-    gate.end(first, Status::Ok);
-    CHECK(gate.said(fifth) == "send ");
-    gate.end(second, Status::Ok);
-    CHECK(gate.said(fourth) == "send ");
-    CHECK(gate.said(third).empty());
-    // Guards against a key that differs between going in and out: then a request that is over stays in the
-    // queue.
-    gate.gate.handle(gate.now, DeadlineExpired{third}, gate.out);
-    gate.end(fifth, Status::Ok);
-    gate.end(fourth, Status::Ok);
-    CHECK(gate.said(third).empty());
-    CHECK(gate.gate.queue_length() == 0);
-    CHECK(gate.gate.in_flight() == 0);
+    const auto third = inbound.receive(low), fourth = inbound.receive(late), fifth = inbound.receive(soon);
+    inbound.end(first, Status::Ok);
+    CHECK(inbound.actions(fifth) == "send ");
+    inbound.end(second, Status::Ok);
+    CHECK(inbound.actions(fourth) == "send ");
+    CHECK(inbound.actions(third).empty());
+    // The key in the queue must be the same at the end: otherwise a finished request stays queued.
+    inbound.controller.handle(inbound.now, DeadlineExpired{third}, inbound.out);
+    inbound.end(fifth, Status::Ok);
+    inbound.end(fourth, Status::Ok);
+    CHECK(inbound.actions(third).empty());
+    CHECK(inbound.controller.queue_length() == 0);
+    CHECK(inbound.controller.in_flight() == 0);
 }
 
-TEST_CASE("what would be late is refused at once, unless it has no time to come back") {
-    Gate gate;
-    gate.ask(gate.inbound("a"));
-    gate.ask(gate.inbound("b"));
-    InboundRequest hopeless = gate.inbound("c");
+TEST_CASE(
+    "a request that would miss its latency target is rejected at once, unless it cannot come back in time") {
+    Fixture inbound;
+    inbound.receive(attempt("a"));
+    inbound.receive(attempt("b"));
+    InboundRequest hopeless = attempt("c");
     hopeless.latency_target = 50ms;
-    CHECK(gate.said(gate.ask(hopeless)) == "refuse ");
-    CHECK(gate.said(gate.ask(hopeless, 600ms)).empty());
+    CHECK(inbound.actions(inbound.receive(hopeless)) == "refuse ");
+    CHECK(inbound.actions(inbound.receive(hopeless, 600ms)).empty());
 }
 
-TEST_CASE("a request that waits too long is refused before its deadline, as one that never ran") {
-    Gate gate;
-    gate.ask(gate.inbound("a"));
-    gate.ask(gate.inbound("b"));
-    const auto waits = gate.ask(gate.inbound("c"));
+TEST_CASE("a request queued too long is rejected before its deadline") {
+    Fixture inbound;
+    inbound.receive(attempt("a"));
+    inbound.receive(attempt("b"));
+    const auto queued = inbound.receive(attempt("c"));
     std::optional<SetTimer> timer;
-    for (const Action& action : gate.out) {
+    for (const Action& action : inbound.out) {
         if (const auto* set = std::get_if<SetTimer>(&action)) timer = *set;
     }
     REQUIRE(timer);
-    CHECK(timer->at < gate.now + 3s);
-    gate.now = timer->at;
-    gate.gate.handle(gate.now, TimerFired{timer->token}, gate.out);
-    CHECK(gate.said(waits) == "refuse ");
+    CHECK(timer->at < inbound.now + 3s);
+    inbound.now = timer->at;
+    inbound.controller.handle(inbound.now, TimerFired{timer->token}, inbound.out);
+    CHECK(inbound.actions(queued) == "refuse ");
 }
 
-TEST_CASE("an id that must not run twice is handed on once, whatever became of it") {
-    Gate gate;
-    const auto first = gate.ask(gate.inbound("order"));
-    gate.end(first, Status::Reset);
-    CHECK(gate.said(first) == "send fail ");
-    CHECK(gate.said(gate.ask(gate.inbound("order"))) == "fail ");
-    // Where it is proven that it did not run, it may come again.
-    const auto other = gate.ask(gate.inbound("other"));
-    gate.end(other, Status::Full);
-    CHECK(gate.said(other) == "send refuse ");
-    CHECK(gate.said(gate.ask(gate.inbound("other"))) == "send ");
+TEST_CASE("a non-idempotent attempt is sent once, whatever its outcome") {
+    Fixture inbound;
+    const auto first = inbound.receive(attempt("order"));
+    inbound.end(first, Status::Reset);
+    CHECK(inbound.actions(first) == "send fail ");
+    CHECK(inbound.actions(inbound.receive(attempt("order"))) == "fail ");
+    // An outcome that proves that it did not run releases the id.
+    const auto other = inbound.receive(attempt("other"));
+    inbound.end(other, Status::Full);
+    CHECK(inbound.actions(other) == "send refuse ");
+    CHECK(inbound.actions(inbound.receive(attempt("other"))) == "send ");
 }
 
-TEST_CASE(
-    "an id that was never handed on is barred by the question, also where its hop waits or is yet to come") {
-    Gate gate;
-    const auto first = gate.ask(gate.inbound("a"));
-    gate.ask(gate.inbound("b"));
-    const auto waits = gate.ask(gate.inbound("c"));
-    CHECK_FALSE(gate.gate.fence_attempt(gate.now, "a", 10ms));
-    CHECK(gate.gate.fence_attempt(gate.now, "c", 10ms));
-    CHECK(gate.gate.fence_attempt(gate.now, "d", 10ms));
-    gate.end(first, Status::Ok);
-    CHECK(gate.said(waits) == "fail ");
-    CHECK(gate.said(gate.ask(gate.inbound("d"))) == "fail ");
-    // What was handed on while that hop was out may have been forgotten: nobody knows.
-    gate.now += 61s;
-    gate.end("2", Status::Ok);
-    gate.ask(gate.inbound("e"));
-    CHECK_FALSE(gate.gate.fence_attempt(gate.now, "f", 61s));
-    CHECK(gate.gate.fence_attempt(gate.now, "f", 10s));
+TEST_CASE("a query fences an attempt that was not sent, also if it is queued or arrives later") {
+    Fixture inbound;
+    const auto first = inbound.receive(attempt("a"));
+    inbound.receive(attempt("b"));
+    const auto queued = inbound.receive(attempt("c"));
+    CHECK_FALSE(inbound.controller.fence_attempt(inbound.now, "a", 10ms));
+    CHECK(inbound.controller.fence_attempt(inbound.now, "c", 10ms));
+    CHECK(inbound.controller.fence_attempt(inbound.now, "d", 10ms));
+    inbound.end(first, Status::Ok);
+    CHECK(inbound.actions(queued) == "fail ");
+    CHECK(inbound.actions(inbound.receive(attempt("d"))) == "fail ");
+    // An attempt as old as forgotten ones may have been sent: not known.
+    inbound.now += 61s;
+    inbound.end("2", Status::Ok);
+    inbound.receive(attempt("e"));
+    CHECK_FALSE(inbound.controller.fence_attempt(inbound.now, "f", 61s));
+    CHECK(inbound.controller.fence_attempt(inbound.now, "f", 10s));
 }
 
-TEST_CASE("an id that was freed and handed on again is remembered from then on") {
-    Gate gate;
-    gate.end(gate.ask(gate.inbound("a")), Status::Full);
-    gate.now += 59s;
-    gate.end(gate.ask(gate.inbound("a")), Status::Reset);
-    gate.now += 2s;
-    gate.end(gate.ask(gate.inbound("other")), Status::Ok);
-    CHECK(gate.said(gate.ask(gate.inbound("a"))) == "fail ");
+TEST_CASE("an id that was released and sent again is remembered from the second time on") {
+    Fixture inbound;
+    inbound.end(inbound.receive(attempt("a")), Status::Full);
+    inbound.now += 59s;
+    inbound.end(inbound.receive(attempt("a")), Status::Reset);
+    inbound.now += 2s;
+    inbound.end(inbound.receive(attempt("other")), Status::Ok);
+    CHECK(inbound.actions(inbound.receive(attempt("a"))) == "fail ");
 }
 
-TEST_CASE("a request for another life of the endpoint is refused") {
-    Gate gate;
-    InboundRequest old = gate.inbound("a");
+TEST_CASE("a request for another instance of the endpoint is rejected") {
+    Fixture inbound;
+    InboundRequest old = attempt("a");
     old.instance_id = "i-0";
-    CHECK(gate.said(gate.ask(old)) == "refuse ");
-    gate.gate.remove_endpoint();
-    CHECK(gate.said(gate.ask(gate.inbound("b"))) == "refuse ");
+    CHECK(inbound.actions(inbound.receive(old)) == "refuse ");
+    inbound.controller.remove_endpoint();
+    CHECK(inbound.actions(inbound.receive(attempt("b"))) == "refuse ");
 }
 
-TEST_CASE("a drain sends what is new elsewhere at once, and everything before drain_ms") {
-    Gate gate;
-    gate.gate.start_draining(gate.now);
-    InboundRequest asks = gate.inbound("a");
-    asks.may_queue = false;
-    CHECK(gate.said(gate.ask(asks)) == "refuse ");
-    CHECK(gate.said(gate.ask(gate.inbound("b"))) == "send ");  // it has nowhere else to go
-    gate.ask(gate.inbound("c"));
-    const auto waits = gate.ask(gate.inbound("d"));
-    gate.now += 2s;
-    gate.end("2", Status::Ok);
-    CHECK(gate.said(waits) == "refuse ");
-    CHECK(gate.said(gate.ask(gate.inbound("e"))) == "refuse ");
+TEST_CASE(
+    "a draining endpoint gets only requests that have nowhere else to go, and none shortly before drain_ms") {
+    Fixture inbound;
+    inbound.controller.start_draining(inbound.now);
+    InboundRequest no_queue = attempt("a");
+    no_queue.may_queue = false;
+    CHECK(inbound.actions(inbound.receive(no_queue)) == "refuse ");
+    CHECK(inbound.actions(inbound.receive(attempt("b"))) == "send ");  // it has nowhere else to go
+    inbound.receive(attempt("c"));
+    const auto queued = inbound.receive(attempt("d"));
+    inbound.now += 2s;
+    inbound.end("2", Status::Ok);
+    CHECK(inbound.actions(queued) == "refuse ");
+    CHECK(inbound.actions(inbound.receive(attempt("e"))) == "refuse ");
 }
