--- a/src/proxy/controller_client.cpp
+++ b/src/proxy/controller_client.cpp
@@ -60,7 +60,7 @@
     observer_.on_registry_changed(view_.remove_controller(address));
 }
 
-void ControllerClient::send_watch_request(Controller& controller) {
+void ControllerClient::send_watch_request(const Controller& controller) const {
     controller.client->send(rpc::WatchRequest{controller.registry_epoch, controller.registry_seq,
                                               std::max(config_version_, controller.postponed_version),
                                               controller.wants_config});
--- a/src/proxy/controller_client.h
+++ b/src/proxy/controller_client.h
@@ -87,7 +87,7 @@
     void handle_register_response(Controller& controller, const rpc::RegisterResponse& response);
     void handle_watch_response(const std::string& address, Controller& controller,
                                const rpc::WatchResponse& response);
-    void send_watch_request(Controller& controller);
+    void send_watch_request(const Controller& controller) const;
     void send_register_request(Controller& controller, const std::vector<quota::QuotaDemand>& demands);
     const std::vector<quota::QuotaDemand>& current_demands();
     void schedule_postponed_polls(Time now);
--- /dev/null
+++ b/src/proxy/traffic.h
@@ -0,0 +1,105 @@
+// The two ways of requests through a proxy, each from its listener to its connections: OutboundTraffic from
+// clients to the proxies of other endpoints, InboundTraffic from other proxies to the endpoint beside this
+// one. Both run on the proxy's loop.
+#pragma once
+
+#include <cstddef>
+#include <cstdint>
+#include <functional>
+#include <memory>
+#include <string>
+#include <vector>
+
+#include "admission/admission_controller.h"
+#include "bootstrap/settings.h"
+#include "core/counters.h"
+#include "core/engine.h"
+#include "core/loop.h"
+#include "core/tally.h"
+#include "http1/back.h"
+#include "http1/front.h"
+#include "mesh_config/mesh_config.h"
+#include "outbound/outbound_policy.h"
+#include "proxy/inbound_protocol.h"
+#include "proxy/outbound_protocol.h"
+#include "proxy/upstream_updates.h"
+#include "quota/quota.h"
+#include "registry/registry.h"
+
+namespace martenford::proxy {
+
+/// Returns how many connections each listener, and the pool to other proxies, may have: together they stay
+/// within the settings' file descriptors.
+[[nodiscard]] std::size_t max_connections(const bootstrap::Settings& settings);
+
+class OutboundTraffic {
+  public:
+    /// @param proxy_count returns the number of proxies known, for quotas without a lease.
+    /// @param settings outlive it.
+    OutboundTraffic(Loop& loop, const bootstrap::Settings& settings,
+                    std::function<std::size_t()> proxy_count);
+
+    /// Throws boost::system::system_error where it can't listen.
+    void listen(const Address& address) { listener_.listen(address); }
+    /// Finishes what was accepted, then calls `done` once. No request is given up while an endpoint may be at
+    /// work on it.
+    void drain(std::function<void()> done);
+
+    void set_routes(std::shared_ptr<const mesh_config::RouteTable> routes);
+    /// The routes in force; null until the first configuration has come.
+    [[nodiscard]] const mesh_config::RouteTable* routes() const { return server_protocol_.routes(); }
+    /// Applies the entries of `nodes`, which have changed in `view`.
+    void update_upstreams(const registry::RegistryView& view, const std::vector<std::string>& nodes);
+    /// Returns true if there are routes and at least one upstream is ready.
+    [[nodiscard]] bool can_serve() const;
+
+    [[nodiscard]] quota::QuotaLimiter& quota_limiter() { return quota_limiter_; }
+    [[nodiscard]] const RequestTotals& totals() const { return totals_; }
+
+  private:
+    Counters counters_;
+    RequestTotals totals_;
+    quota::QuotaLimiter quota_limiter_;
+    outbound::OutboundPolicy policy_;
+    OutboundServerProtocol server_protocol_;
+    HopClientProtocol client_protocol_;
+    Tally tally_;
+    Http1Back connections_;
+    Engine engine_;
+    Http1Front listener_;
+    UpstreamUpdates upstream_updates_;
+};
+
+class InboundTraffic {
+  public:
+    /// @param incarnation of this process.
+    /// @param routes returns the routes in force; null until there are some.
+    /// @param settings outlive it.
+    InboundTraffic(Loop& loop, const bootstrap::Settings& settings, std::uint64_t incarnation,
+                   HopServerProtocol::RoutesInForce routes);
+
+    /// Throws boost::system::system_error where it can't listen.
+    void listen(const Address& address) { listener_.listen(address); }
+    /// Finishes what was accepted, then calls `done` once.
+    void drain(std::function<void()> done) { listener_.drain(std::move(done), false); }
+    /// @param callback is called at the end of each attempt at the endpoint.
+    void on_attempt_end(std::function<void(decision::Status)> callback);
+    /// @param path of the endpoint's health check.
+    void set_health_path(const std::string& path) { client_protocol_.set_health_path(path); }
+
+    [[nodiscard]] admission::AdmissionController& admission() { return admission_; }
+    /// The connections to the endpoint.
+    [[nodiscard]] Http1Back& connections() { return connections_; }
+
+  private:
+    Counters counters_;
+    admission::AdmissionController admission_;
+    HopServerProtocol server_protocol_;
+    EndpointClientProtocol client_protocol_;
+    Tally tally_;
+    Http1Back connections_;
+    Engine engine_;
+    Http1Front listener_;
+};
+
+}  // namespace martenford::proxy
--- a/tools/scale_test/simulated_proxy.cpp
+++ b/tools/scale_test/simulated_proxy.cpp
@@ -86,7 +86,7 @@
     if (!routes) return;
     controllers_.set_config_version(version);
     routes_ = std::move(routes);
-    gauge_.served_at_ns.store(std::chrono::nanoseconds(loop_.now().time_since_epoch()).count(),
+    gauge_.served_at_ns.store(std::chrono::nanoseconds{loop_.now().time_since_epoch()}.count(),
                               std::memory_order_relaxed);
     gauge_.version.store(version, std::memory_order_release);
     controllers_.register_with_new_demands();
