--- a/benchmarks/membership_benchmark.cpp
+++ b/benchmarks/membership_benchmark.cpp
@@ -14,6 +14,7 @@
 #include "core/engine.h"
 #include "discovery/discovery.h"
 #include "http1/back.h"
+#include "http1/protocol.h"
 #include "standins/usual_rules.h"
 
 namespace {
@@ -92,7 +93,7 @@
     Counters counters;
     Loop loop;
     Config config;
-    SidecarClientProtocol protocol;
+    martenford::SidecarClientProtocol protocol;
     std::unique_ptr<Http1Back> back;
     std::unique_ptr<Tally> tally;
     std::unique_ptr<Engine> engine;
