--- a/tests/mesh/register_explorer_main.cpp
+++ b/tests/mesh/register_explorer_main.cpp
@@ -94,11 +94,6 @@
     return true;
 }
 
-/// Returns whether the program succeeds with this result.
-bool is_success(const Arguments& arguments, bool found) {
-    return found == arguments.expects_defect;
-}
-
 /// Runs the searches and the schedules. Returns whether a violation was found.
 bool explore(const Arguments& arguments, Counts& counts) {
     bool found = false;
@@ -127,9 +122,9 @@
 int main(int argc, char** argv) {
     const auto parsed = parse_arguments(argc, argv);
     if (const int* status = std::get_if<int>(&parsed)) return *status;
-    const auto& arguments = std::get<Arguments>(parsed);
+    const auto* arguments = std::get_if<Arguments>(&parsed);
     Counts counts;
-    const bool found = explore(arguments, counts);
-    if (arguments.expects_defect && !found) std::cout << "the defect was not found\n";
-    return is_success(arguments, found) ? 0 : 1;
+    const bool found = explore(*arguments, counts);
+    if (arguments->expects_defect && !found) std::cout << "the defect was not found\n";
+    return found == arguments->expects_defect ? 0 : 1;
 }
--- a/tests/mesh/register_explorer_world.h
+++ b/tests/mesh/register_explorer_world.h
@@ -181,6 +181,7 @@
     std::size_t pick_machine();
     void count_fault(const char* name, std::size_t i, Duration time);
     void inject_fault();
+    void inject_leave(std::size_t i, bool loses, Duration time);
     void slow_down_disk(std::size_t i, Duration time);
     void fail_disk(std::size_t i, Duration time);
     void lose_messages(std::size_t i, Duration time);
--- a/tests/mesh/register_explorer_world_faults.cpp
+++ b/tests/mesh/register_explorer_world_faults.cpp
@@ -75,9 +75,7 @@
         count_fault("replace", i, time);
         replace(i, time);
     } else if (what < 0.55) {
-        const bool for_good = loses && random_.unit() < 0.5;
-        count_fault(for_good ? "leave for good" : "leave", i, time);
-        leave(i, for_good, time);
+        inject_leave(i, loses, time);
     } else if (what < 0.7) {
         partition(i, time);
     } else if (what < 0.75) {
@@ -96,6 +94,12 @@
     }
 }
 
+void World::inject_leave(std::size_t i, bool loses, Duration time) {
+    const bool for_good = loses && random_.unit() < 0.5;
+    count_fault(for_good ? "leave for good" : "leave", i, time);
+    leave(i, for_good, time);
+}
+
 void World::slow_down_disk(std::size_t i, Duration time) {
     count_fault("slow disk", i, time);
     machines_[i].save_delay = random_duration(20ms, 1500ms);
