--- a/src/raft/replication.cpp
+++ b/src/raft/replication.cpp
@@ -128,7 +128,7 @@
     if (!quorum.has_last_entry || is_last_entry_committed()) return;
     state_.committed_entry = state_.last_entry;
     must_persist_ = true;
-    next_heartbeat_at_ = now;  // followers serve what is committed: they are told at once
+    next_heartbeat_at_ = now;  // followers serve what is committed: they are notified at once
     if (is_voter()) return;
     // The committed configuration is without this leader, which steps down only now ([Raft] 6).
     broadcast_append_entries(now);
--- a/src/raft/voter_selection.cpp
+++ b/src/raft/voter_selection.cpp
@@ -56,7 +56,7 @@
 struct ChoiceRank {
     std::size_t shortfall = 0;          // failures that it does not tolerate, see FailureImpact
     std::size_t size = 0;               // voters; of fewer than 2f+1 with a shortfall, how many are missing
-    std::size_t silent = 0;             // voters that do not answer
+    std::size_t unresponsive = 0;       // voters that do not answer
     std::size_t in_largest_region = 0;  // voters
     std::size_t in_largest_zone = 0;    // voters
     std::size_t newcomers = 0;          // that do not vote today
@@ -76,7 +76,7 @@
     for (std::size_t i = 0; i < candidates.size(); ++i) {
         if ((subset >> i & 1) == 0) continue;
         choice.voters.push_back(candidates[i].member);
-        choice.rank.silent += candidates[i].is_live ? 0 : 1;
+        choice.rank.unresponsive += candidates[i].is_live ? 0 : 1;
         choice.rank.newcomers += candidates[i].is_voter ? 0 : 1;
     }
     const FailureImpact impact = failure_impact(choice.voters, tolerance);
--- a/src/raft/voter_selection.h
+++ b/src/raft/voter_selection.h
@@ -55,8 +55,8 @@
 
 /// Returns the members that should vote. Where no choice tolerates all failures, it is the best spread choice
 /// of 2f+1 members. A voter that does not answer is kept until a live candidate can replace it: its disk may
-/// return. Considers at most kMaxVoterCandidates, voters before others and live ones before silent ones. The
-/// result does not depend on the order of `candidates`.
+/// return. Considers at most kMaxVoterCandidates, voters before others and live ones before unresponsive
+/// ones. The result does not depend on the order of `candidates`.
 [[nodiscard]] std::vector<Member> choose_voters(std::vector<VoterCandidate> candidates,
                                                 const FaultTolerance& tolerance);
 
--- a/tests/mesh/register_explorer_world.cpp
+++ b/tests/mesh/register_explorer_world.cpp
@@ -281,8 +281,9 @@
                          std::to_string(leading.size()) + " machines lead " + when))
         return;
     const LogEntry& entry = machines_[leading.front()].raft->persistent_state().last_entry;
-    const std::size_t whole = std::min(2 * shape_.tolerated + 1, there);
-    oracle_.require(entry.voters.size() >= whole && entry.outgoing_voters.empty(), Invariant::Progress,
+    const std::size_t required_voters = std::min(2 * shape_.tolerated + 1, there);
+    oracle_.require(entry.voters.size() >= required_voters && entry.outgoing_voters.empty(),
+                    Invariant::Progress,
                     "the configuration is not complete " + std::string(when) + ": " + text_of(entry));
     for (const Member& voter : entry.voters) {
         const bool up = std::any_of(machines_.begin(), machines_.end(), [&](const Machine& m) {
--- a/tests/mesh/register_explorer_world_faults.cpp
+++ b/tests/mesh/register_explorer_world_faults.cpp
@@ -133,20 +133,20 @@
 void World::inject_fault_of_all(bool loses) {
     const bool power = random_.unit() < 0.6;
     count_fault(power ? "power of all" : "kill of all", 0, 0ms);
-    std::set<std::size_t> wiped;
+    std::set<std::size_t> disk_losers;
     if (loses && power && random_.unit() < 0.5) {
         for (std::size_t n = 0; n < shape_.tolerated; ++n) {
             const std::size_t i = random_.below(machines_.size());
             if (machines_[i].removed || !may_fail(i)) continue;
             mark_failed(i, 0s);
-            wiped.insert(i);
+            disk_losers.insert(i);
             ++counts_.faults["wipe with power of all"];
         }
     }
     for (std::size_t i = 0; i < machines_.size(); ++i) {
         if (machines_[i].removed) continue;
         power ? power_off(i, false) : kill(i);
-        if (wiped.contains(i)) lose_disk(i);
+        if (disk_losers.contains(i)) lose_disk(i);
         restart_after(i, random_duration(50ms, 1s));
     }
 }
--- a/tests/mesh/register_explorer_world_links.cpp
+++ b/tests/mesh/register_explorer_world_links.cpp
@@ -1,4 +1,4 @@
-// World: links, delivery, and what the oracle is told after each event.
+// World: links, delivery, and what the oracle checks after each event.
 #include <algorithm>
 
 #include "mesh/register_explorer_world.h"
