--- a/tests/mesh/register_explorer_world_faults.cpp
+++ b/tests/mesh/register_explorer_world_faults.cpp
@@ -75,9 +75,7 @@
         count_fault("replace", i, time);
         replace(i, time);
     } else if (what < 0.55) {
-        const bool for_good = loses && random_.unit() < 0.5;
-        count_fault(for_good ? "leave for good" : "leave", i, time);
-        leave(i, for_good, time);
+        inject_leave(i, loses, time);
     } else if (what < 0.7) {
         partition(i, time);
     } else if (what < 0.75) {
@@ -96,6 +94,12 @@
     }
 }
 
+void World::inject_leave(std::size_t i, bool loses, Duration time) {
+    const bool for_good = loses && random_.unit() < 0.5;
+    count_fault(for_good ? "leave for good" : "leave", i, time);
+    leave(i, for_good, time);
+}
+
 void World::slow_down_disk(std::size_t i, Duration time) {
     count_fault("slow disk", i, time);
     machines_[i].save_delay = random_duration(20ms, 1500ms);
@@ -129,20 +133,20 @@
 void World::inject_fault_of_all(bool loses) {
     const bool power = random_.unit() < 0.6;
     count_fault(power ? "power of all" : "kill of all", 0, 0ms);
-    std::set<std::size_t> wiped;
+    std::set<std::size_t> disk_losers;
     if (loses && power && random_.unit() < 0.5) {
         for (std::size_t n = 0; n < shape_.tolerated; ++n) {
             const std::size_t i = random_.below(machines_.size());
             if (machines_[i].removed || !may_fail(i)) continue;
             mark_failed(i, 0s);
-            wiped.insert(i);
+            disk_losers.insert(i);
             ++counts_.faults["wipe with power of all"];
         }
     }
     for (std::size_t i = 0; i < machines_.size(); ++i) {
         if (machines_[i].removed) continue;
         power ? power_off(i, false) : kill(i);
-        if (wiped.contains(i)) lose_disk(i);
+        if (disk_losers.contains(i)) lose_disk(i);
         restart_after(i, random_duration(50ms, 1s));
     }
 }
