--- a/tests/mesh/config_version_gate_test.cpp
+++ b/tests/mesh/config_version_gate_test.cpp
@@ -1,6 +1,6 @@
-// Which configuration a proxy takes, and from whom: the rule by itself, and a real proxy between two
-// controllers of this test, of which one is cut off from the rest of the core. Nothing waits for a time; all
-// waits are for what is to be seen.
+// Which configuration version a proxy accepts, and from which controller: the rule by itself, and a real
+// proxy process between two controllers of this test, one of them in the minority of a partition. All waits
+// are for events, none for a time.
 #include "proxy/config_version_gate.h"
 
 #include <doctest/doctest.h>
@@ -19,7 +19,7 @@
 
 namespace {
 
-constexpr Duration kPatience = 400ms;
+constexpr Duration kFirstConfigWait = 400ms;
 const Time kStart{1000s};
 
 constexpr int kPort = 21890;  // below the ports that the system gives away by itself
@@ -27,42 +27,42 @@
     return "127.0.95." + std::to_string(i);
 }
 
-/// Answers a proxy's polls as a controller does: at once where it has a newer version than the proxy says,
-/// with the document where that is asked for.
+/// Answers a proxy's polls as a controller does: at once if it has a newer version than the poll names, with
+/// the document if the poll asks for it.
 class ControllerDouble {
   public:
     ControllerDouble(Loop& loop, int i)
         : listener_(loop, *parse_address(host(i) + ":" + std::to_string(kPort)), [this](auto channel) {
               channel_ = channel;
-              channel->start([this](rpc::Message&& message) { heard(std::move(message)); }, [] {});
+              channel->start([this](rpc::Message&& message) { receive(std::move(message)); }, [] {});
           }) {}
-    /// Which polls are answered by themselves; others lie until answer().
+    /// Which polls are answered automatically; others stay pending until answer().
     enum class Answers { None, Documents, All };
     Answers answers = Answers::None;
     std::uint32_t version = 0;
-    bool in_touch = false;
-    std::optional<rpc::WatchRequest> poll;  // unanswered
-    std::vector<std::uint32_t> served;      // what the proxy has said that it serves by, each once
+    bool has_quorum_contact = false;
+    std::optional<rpc::WatchRequest> poll;  // pending
+    std::vector<std::uint32_t> applied;     // versions that the proxy registered with, without repeats
     Time first_answer{};
 
     void answer() {
         if (!poll || poll->config_version >= version) return;
         if (first_answer == Time{}) first_answer = Loop::monotonic();
-        rpc::WatchResponse news;
-        news.config_version = version;
-        news.has_quorum_contact = in_touch;
-        if (poll->wants_config) news.config = document(version);
+        rpc::WatchResponse response;
+        response.config_version = version;
+        response.has_quorum_contact = has_quorum_contact;
+        if (poll->wants_config) response.config = document(version);
         poll.reset();
-        channel_->send(news);
+        channel_->send(response);
     }
-    /// Says it all, asked or not.
-    void press() {
-        rpc::WatchResponse news;
-        news.config_version = version;
-        news.has_quorum_contact = in_touch;
-        news.config = document(version);
+    /// Sends version and document unasked.
+    void push() {
+        rpc::WatchResponse response;
+        response.config_version = version;
+        response.has_quorum_contact = has_quorum_contact;
+        response.config = document(version);
         poll.reset();
-        channel_->send(news);
+        channel_->send(response);
     }
 
   private:
@@ -76,22 +76,24 @@
                R"("matcher":{"path_prefix":"/r/"},"route_action":{"service":"web","timeout_ms":3000,)"
                R"("max_attempts":1}}]}],"clusters":[{"name":"web"}]})";
     }
-    void heard(rpc::Message&& message) {
-        if (const auto* asked = std::get_if<rpc::WatchRequest>(&message)) {
-            poll = *asked;
-            if (answers == Answers::All || (answers == Answers::Documents && asked->wants_config)) answer();
-        } else if (const auto* told = std::get_if<rpc::RegisterRequest>(&message)) {
-            if (served.empty() ? told->config_version != 0 : served.back() != told->config_version)
-                served.push_back(told->config_version);
+    void receive(rpc::Message&& message) {
+        if (const auto* watch = std::get_if<rpc::WatchRequest>(&message)) {
+            poll = *watch;
+            if (answers == Answers::All || (answers == Answers::Documents && watch->wants_config)) answer();
+        } else if (const auto* registration = std::get_if<rpc::RegisterRequest>(&message)) {
+            if (applied.empty() ? registration->config_version != 0
+                                : applied.back() != registration->config_version)
+                applied.push_back(registration->config_version);
         }
     }
     std::shared_ptr<rpc::Channel> channel_;
     rpc::Listener listener_;
 };
 
-class Cut {
+/// A proxy process, and the two controllers that are its seeds.
+class PartitionedControllers {
   public:
-    Cut() {
+    PartitionedControllers() {
         char path[] = "/tmp/mesh-intake-XXXXXX";
         folder_ = ::mkdtemp(path);
         const std::string config = folder_ + "/proxy.toml";
@@ -116,15 +118,15 @@
             ::_exit(127);
         }
     }
-    ~Cut() {
+    ~PartitionedControllers() {
         ::kill(pid_, SIGKILL);
         ::waitpid(pid_, nullptr, 0);
         std::filesystem::remove_all(folder_);
     }
-    void until(const std::string& what, const std::function<bool()>& is) {
+    void wait_for(const std::string& what, const std::function<bool()>& condition) {
         const Time give_up = Loop::monotonic() + 20s;
-        while (!is()) {
-            REQUIRE_MESSAGE(Loop::monotonic() < give_up, "waited in vain for " << what);
+        while (!condition()) {
+            REQUIRE_MESSAGE(Loop::monotonic() < give_up, "timed out waiting for " << what);
             loop_.add(loop_.now() + 5ms, [this] { loop_.stop(); });
             loop_.resume();
             loop_.run();
@@ -135,7 +137,7 @@
     Loop loop_;
 
   public:
-    ControllerDouble cut_off{loop_, 1}, inside{loop_, 2};
+    ControllerDouble minority{loop_, 1}, majority{loop_, 2};
 
   private:
     std::string folder_;
@@ -144,61 +146,64 @@
 
 }  // namespace
 
-TEST_CASE("versions only rise; the first one is a moment's patience for a controller that hears a leader") {
-    proxy::ConfigVersionGate fresh(kPatience);
-    CHECK_FALSE(fresh.accepts(kStart, 0, 0, true));  // nobody has any
+TEST_CASE("versions only rise; a first one without quorum contact is accepted after a wait") {
+    proxy::ConfigVersionGate fresh(kFirstConfigWait);
+    CHECK_FALSE(fresh.accepts(kStart, 0, 0, true));  // no configuration exists
     CHECK_FALSE(fresh.accepts(kStart, 0, 3, false));
-    CHECK_FALSE(fresh.accepts(kStart + kPatience - 1ms, 0, 4, false));  // patience is not begun anew
-    CHECK(fresh.accepts(kStart + kPatience, 0, 3, false));
-    proxy::ConfigVersionGate beside_a_leader(kPatience);
-    CHECK_FALSE(beside_a_leader.accepts(kStart, 0, 3, false));
-    CHECK(beside_a_leader.accepts(kStart, 0, 5, true));
-    // Whoever has a configuration takes each newer one from anybody, and no older one from anybody.
-    CHECK(beside_a_leader.accepts(kStart, 5, 6, false));
-    for (const bool in_touch : {false, true}) {
-        CHECK_FALSE(beside_a_leader.accepts(kStart + 60s, 5, 3, in_touch));
-        CHECK_FALSE(beside_a_leader.accepts(kStart + 60s, 5, 5, in_touch));
+    CHECK_FALSE(fresh.accepts(kStart + kFirstConfigWait - 1ms, 0, 4,
+                              false));  // a further offer does not restart the wait
+    CHECK(fresh.accepts(kStart + kFirstConfigWait, 0, 3, false));
+    proxy::ConfigVersionGate with_majority(kFirstConfigWait);
+    CHECK_FALSE(with_majority.accepts(kStart, 0, 3, false));
+    CHECK(with_majority.accepts(kStart, 0, 5, true));
+    // With a configuration in force a newer version is accepted from any controller, an older one from none.
+    CHECK(with_majority.accepts(kStart, 5, 6, false));
+    for (const bool has_quorum_contact : {false, true}) {
+        CHECK_FALSE(with_majority.accepts(kStart + 60s, 5, 3, has_quorum_contact));
+        CHECK_FALSE(with_majority.accepts(kStart + 60s, 5, 5, has_quorum_contact));
     }
 }
 
-TEST_CASE("a proxy that starts beside a cut serves by what is current, and never goes back") {
-    Cut cut;
-    cut.cut_off.version = 3;
-    cut.inside.version = 5;
-    cut.inside.in_touch = true;
-    cut.until("polls at both", [&] { return cut.cut_off.poll && cut.inside.poll; });
-    // The one that was cut off is first by all that can be seen.
-    cut.cut_off.answer();
-    cut.cut_off.answers = ControllerDouble::Answers::Documents;
-    cut.inside.answers = ControllerDouble::Answers::All;
-    cut.until("the poll that passes version 3 over, or asks for it",
-              [&] { return cut.cut_off.poll || !cut.cut_off.served.empty(); });
-    cut.inside.answer();
-    cut.until("a configuration in force", [&] { return !cut.inside.served.empty(); });
-    CHECK(cut.inside.served == std::vector<std::uint32_t>{5});
-
-    // All of the older one again, unasked; and as a controller that hears a leader would.
-    for (const bool in_touch : {false, true}) {
-        cut.cut_off.in_touch = in_touch;
-        cut.cut_off.press();
-        cut.until("the poll after it",
-                  [&] { return cut.cut_off.poll && cut.cut_off.poll->config_version == 5; });
-        CHECK_FALSE(cut.cut_off.poll->wants_config);
+TEST_CASE("a proxy started during a partition applies the majority's version, and never an older one") {
+    PartitionedControllers controllers;
+    controllers.minority.version = 3;
+    controllers.majority.version = 5;
+    controllers.majority.has_quorum_contact = true;
+    controllers.wait_for("polls at both",
+                         [&] { return controllers.minority.poll && controllers.majority.poll; });
+    // The minority's controller answers first.
+    controllers.minority.answer();
+    controllers.minority.answers = ControllerDouble::Answers::Documents;
+    controllers.majority.answers = ControllerDouble::Answers::All;
+    controllers.wait_for("the poll that postpones version 3, or asks for it",
+                         [&] { return controllers.minority.poll || !controllers.minority.applied.empty(); });
+    controllers.majority.answer();
+    controllers.wait_for("a configuration in force", [&] { return !controllers.majority.applied.empty(); });
+    CHECK(controllers.majority.applied == std::vector<std::uint32_t>{5});
+
+    // The older version with its document, unasked: without quorum contact, then with it.
+    for (const bool has_quorum_contact : {false, true}) {
+        controllers.minority.has_quorum_contact = has_quorum_contact;
+        controllers.minority.push();
+        controllers.wait_for("the poll after it", [&] {
+            return controllers.minority.poll && controllers.minority.poll->config_version == 5;
+        });
+        CHECK_FALSE(controllers.minority.poll->wants_config);
     }
-    // A newer one is taken from whoever has it.
-    cut.cut_off.version = 6;
-    cut.cut_off.in_touch = false;
-    cut.cut_off.answer();
-    cut.until("the newer one", [&] { return cut.inside.served.size() > 1; });
-    CHECK(cut.inside.served == std::vector<std::uint32_t>{5, 6});
+    // A newer version is accepted from any controller.
+    controllers.minority.version = 6;
+    controllers.minority.has_quorum_contact = false;
+    controllers.minority.answer();
+    controllers.wait_for("the newer one", [&] { return controllers.majority.applied.size() > 1; });
+    CHECK(controllers.majority.applied == std::vector<std::uint32_t>{5, 6});
 }
 
-TEST_CASE("where nobody hears a leader, a proxy that starts serves by what there is, after its patience") {
-    Cut cut;
-    cut.cut_off.version = cut.inside.version = 3;
-    cut.cut_off.answers = cut.inside.answers = ControllerDouble::Answers::All;
-    cut.until("a configuration in force", [&] { return !cut.cut_off.served.empty(); });
-    CHECK(cut.cut_off.served == std::vector<std::uint32_t>{3});
-    const Time first = std::min(cut.cut_off.first_answer, cut.inside.first_answer);
-    CHECK(Loop::monotonic() - first >= kPatience);
+TEST_CASE("without any quorum contact a proxy that starts applies what is offered after a wait") {
+    PartitionedControllers controllers;
+    controllers.minority.version = controllers.majority.version = 3;
+    controllers.minority.answers = controllers.majority.answers = ControllerDouble::Answers::All;
+    controllers.wait_for("a configuration in force", [&] { return !controllers.minority.applied.empty(); });
+    CHECK(controllers.minority.applied == std::vector<std::uint32_t>{3});
+    const Time first = std::min(controllers.minority.first_answer, controllers.majority.first_answer);
+    CHECK(Loop::monotonic() - first >= kFirstConfigWait);
 }
