--- a/benchmarks/register_report.cpp
+++ b/benchmarks/register_report.cpp
@@ -129,7 +129,7 @@
     if (!std::holds_alternative<std::unique_ptr<durable_store::DurableStore>>(opened)) return 1;
     const auto store = std::get<std::unique_ptr<durable_store::DurableStore>>(std::move(opened));
     const auto save = [&] {
-        if (!std::holds_alternative<std::monostate>(store->save(rpc::records_of(disk)))) std::abort();
+        if (!std::holds_alternative<std::monostate>(store->save(rpc::to_records(disk)))) std::abort();
     };
     save();
     Cost checked, encoded, decoded, proposed, committed, voted;
@@ -139,7 +139,7 @@
         word.document = next;
         std::string value;
         encoded.add([&] { value = rpc::encode(word); });
-        decoded.add([&] { rpc::decode_word(value); });
+        decoded.add([&] { rpc::decode_config_record(value); });
         disk.last_entry.position.index++;
         disk.last_entry.value = std::move(value);
         proposed.add(save);
--- a/src/config_service/config_service.cpp
+++ b/src/config_service/config_service.cpp
@@ -61,7 +61,7 @@
     const raft::LogEntry& committed = raft_.persistent_state().committed_entry;
     if (committed.position != record_position_) {
         // The first entry of a new term mostly repeats the value that was there.
-        auto decoded = rpc::decode_word(committed.value);
+        auto decoded = rpc::decode_config_record(committed.value);
         record_readable_ = decoded.has_value();
         if (decoded) record_ = std::move(*decoded);
         record_position_ = committed.position;
--- a/src/controller/initial_state.cpp
+++ b/src/controller/initial_state.cpp
@@ -33,7 +33,7 @@
     if (loaded.damaged) {
         initial.damage = StorageDamage::UnreadableRecord;
     } else if (!loaded.records.empty()) {
-        const auto state = rpc::disk_of(loaded.records);
+        const auto state = rpc::from_records(loaded.records);
         if (state && state->self_id != 0) return {*state, StateOrigin::Loaded, StorageDamage::None};
         initial.damage = StorageDamage::InconsistentRecords;
     } else if (conditions.first_boot) {
--- a/src/controller/register_storage.cpp
+++ b/src/controller/register_storage.cpp
@@ -56,7 +56,7 @@
 }  // namespace
 
 std::optional<StorageError> RegisterStorage::save(const raft::PersistentState& state) {
-    auto saved = store_->save(rpc::records_of(state));
+    auto saved = store_->save(rpc::to_records(state));
     if (auto* error = std::get_if<StorageError>(&saved)) return std::move(*error);
     return std::nullopt;
 }
--- a/src/rpc/config_record.h
+++ b/src/rpc/config_record.h
@@ -32,9 +32,4 @@
 /// document is longer than kMaxDocumentBytes.
 [[nodiscard]] std::optional<ConfigRecord> decode_config_record(std::string_view bytes);
 
-/// Former name, for callers that are not moved yet.
-inline std::optional<ConfigRecord> decode_word(std::string_view bytes) {
-    return decode_config_record(bytes);
-}
-
 }  // namespace martenford::rpc
--- a/src/rpc/persistent_records.h
+++ b/src/rpc/persistent_records.h
@@ -32,12 +32,4 @@
 std::string encode(const raft::PersistentState& state);
 [[nodiscard]] std::optional<raft::PersistentState> decode_persistent_state(std::string_view bytes);
 
-/// Former names, for callers that are not moved yet.
-inline PersistentRecords records_of(const raft::PersistentState& state) {
-    return to_records(state);
-}
-inline std::optional<raft::PersistentState> disk_of(const PersistentRecords& records) {
-    return from_records(records);
-}
-
 }  // namespace martenford::rpc
--- a/tests/mesh/config_service_repeated_calls_test.cpp
+++ b/tests/mesh/config_service_repeated_calls_test.cpp
@@ -159,7 +159,7 @@
 
     void start(Machine& machine) {
         // Through the encoding that a real disk has.
-        const auto disk = rpc::disk_of(rpc::records_of(machine.disk));
+        const auto disk = rpc::from_records(rpc::to_records(machine.disk));
         REQUIRE(disk);
         machine.raft = std::make_unique<raft::RaftNode>(machine.self, *disk, raft::RaftOptions{}, random_());
         machine.config_service = std::make_unique<config_service::ConfigService>(*machine.raft);
--- a/tests/mesh/controller_test.cpp
+++ b/tests/mesh/controller_test.cpp
@@ -226,7 +226,7 @@
     raft::PersistentState saved = state_with_voters(5, {{5, kSeedAddresses[0]}, {6, kSeedAddresses[1]}});
     saved.term = 4;
     saved.voted_for = 6;
-    const InitialState initial = initial_state({rpc::records_of(saved), false}, conditions_of(0, true), 99);
+    const InitialState initial = initial_state({rpc::to_records(saved), false}, conditions_of(0, true), 99);
     CHECK(initial.origin == StateOrigin::Loaded);
     CHECK(initial.state.self_id == 5);
     CHECK(initial.state.term == 4);
--- a/tests/mesh/reconnecting_client_test.cpp
+++ b/tests/mesh/reconnecting_client_test.cpp
@@ -66,7 +66,9 @@
                 loop.add(loop.now() + 5ms, [&loop] { loop.stop(); });
                 loop.resume();
                 loop.run();
-                max_attempts = std::max(max_attempts, count_syn_sent(port) - 1);
+                // One of them is the filler that is still in SYN_SENT, unless the kernel has given it up.
+                const std::size_t pending = count_syn_sent(port);
+                max_attempts = std::max(max_attempts, pending > 0 ? pending - 1 : 0);
             }
         };
         run_until([&] { return max_attempts >= 3; });
--- a/tests/mesh/rig/play.cpp
+++ b/tests/mesh/rig/play.cpp
@@ -12,7 +12,7 @@
 #include "mesh/rig/link_cuts.h"
 #include "mesh/rig/processes.h"
 #include "mesh/rig/standins.h"
-#include "mesh_config/described.h"
+#include "mesh_config/json_reader.h"
 
 namespace martenford::rig {
 
