--- a/src/admission/wait_estimator.cpp
+++ b/src/admission/wait_estimator.cpp
@@ -8,7 +8,7 @@
 
 // Weight of a new service time: 1 / 16. A change is followed within some dozen requests.
 constexpr int kServiceTimeWeightDivisor = 16;
-// Weight of a new wait in the kind's factor, and the most that the factor grows to, so that a single stall
+// Weight of a new wait in the kind's factor, and the most that the factor grows to, so that a single outlier
 // does not close the queue for the kind.
 constexpr double kWaitFactorGain = 0.1;
 constexpr double kMaxWaitFactor = 4;
--- a/src/bootstrap/settings.cpp
+++ b/src/bootstrap/settings.cpp
@@ -15,7 +15,7 @@
 using mesh_config::ConfigError;
 using mesh_config::Json;
 
-// The file as it stands: members have the names of its fields and their defaults.
+// The file as it is: members have the names of its fields and their defaults.
 
 struct ListenAddrs {
     std::optional<std::string> inbound, outbound, readiness, control;
--- a/src/bootstrap/settings.h
+++ b/src/bootstrap/settings.h
@@ -43,8 +43,8 @@
     /// `ack_ms`: not used. Default: 5 s.
     Duration ack{5s};
 
-    /// `catch_up_s`: the time a returned or replaced machine has to be a full member again. A silent voter is
-    /// replaced after 3/8 of it, but between 1 s and 2.5 s. Default: 4 s.
+    /// `catch_up_s`: the time a returned or replaced machine has to be a full member again. An unresponsive
+    /// voter is replaced after 3/8 of it, but between 1 s and 2.5 s. Default: 4 s.
     Duration catch_up{4s};
 
     /// `revocation_closed`, "true" or "false": not used. Default: false.
@@ -72,8 +72,8 @@
 /// `fault_tolerance`: what may fail at the same time with every guarantee kept. Each from 0 to 5.
 struct FaultTolerance {
     std::size_t machines = 1;  ///< `machines`: those with `loss_counted`. Default: 1.
-    std::size_t zones = 0;     ///< `zones`: whole zones. Default: 0.
-    std::size_t regions = 0;   ///< `regions`: whole regions. Default: 0.
+    std::size_t zones = 0;     ///< `zones`: complete zones. Default: 0.
+    std::size_t regions = 0;   ///< `regions`: complete regions. Default: 0.
 };
 
 struct Settings {
@@ -108,8 +108,8 @@
     /// `seed_nodes`: `control` addresses (ip:port) of the first controllers. Default: none.
     std::vector<Address> seeds;
 
-    /// `first_boot`: true only at the very first start of the whole mesh; a controller with an empty data
-    /// directory is then a voter from the start. Default: false.
+    /// `first_boot`: true only at the very first start of the mesh as a system; a controller with an empty
+    /// data directory is then a voter from the start. Default: false.
     bool first_boot = false;
 
     /// `beat_interval_ms`, 1 to 3,600,000: the interval of the endpoint's heartbeats. Default: 1500 ms.
--- a/src/config_service/change_checks.h
+++ b/src/config_service/change_checks.h
@@ -28,7 +28,7 @@
 /// have been accepted once: neither 200 nor a rejection would be safe.
 [[nodiscard]] bool is_before_history(const rpc::ConfigRecord& committed, mesh_config::Version version);
 
-/// 412 if the change was not made for the version in place.
+/// 412 if the change was not made for the current version.
 [[nodiscard]] std::optional<Rejection> check_base_version(const rpc::ConfigRecord& committed,
                                                           const ChangeRequest& request);
 
@@ -36,7 +36,7 @@
 [[nodiscard]] std::optional<Rejection> check_version_rises(const rpc::ConfigRecord& committed,
                                                            const ChangeRequest& request);
 
-/// The next document, validated: the request's own (replace), or the one in place with the change applied to
+/// The next document, validated: the request's own (replace), or the current one with the change applied to
 /// it (modify). 400 if it is invalid.
 [[nodiscard]] std::variant<mesh_config::Json, Rejection> next_document(const rpc::ConfigRecord& committed,
                                                                        const ChangeRequest& request);
--- a/src/config_service/change_request.h
+++ b/src/config_service/change_request.h
@@ -1,5 +1,5 @@
 // Parsing of an operator's change request, once, at the edge of the service. Pure: depends on the body alone,
-// not on the configuration in place. Everything behind it works on typed values.
+// not on the current configuration. All later steps work on typed values.
 #pragma once
 
 #include <cstdint>
@@ -27,7 +27,7 @@
 
 struct ChangeRequest {
     mesh_config::Version version = 0;       ///< of the document that the change would make
-    mesh_config::Version base_version = 0;  ///< must be the version in place; 0: no configuration yet
+    mesh_config::Version base_version = 0;  ///< must be the current version; 0: no configuration yet
     std::variant<ReplaceDocument, ModifyDocument> operation;
 };
 
--- a/src/config_service/config_service.cpp
+++ b/src/config_service/config_service.cpp
@@ -9,11 +9,11 @@
 
 namespace {
 
-/// How long an undecided call is held before it is answered with 503. Operators' clients give up after 1 s
-/// without an answer.
+/// How long an undecided call is kept pending before it is answered with 503. Operators' clients give up
+/// after 1 s without an answer.
 constexpr Duration kDecisionTimeout = 900ms;
 
-/// How long a proposed change is held, since receipt, while it may still commit. Longer than
+/// How long a proposed change is kept pending, since receipt, while it may still commit. Longer than
 /// kDecisionTimeout: no earlier answer would be definite, and clients wait longer than 1 s for large bodies.
 constexpr Duration kCommitTimeout = 4s;
 
@@ -141,7 +141,7 @@
     if (const auto* error = std::get_if<RequestError>(&parsed))
         return reject(now, call, {400, error->message(), error->log_reason()});
     const auto& request = std::get<ChangeRequest>(parsed);
-    // I1: of two changes on one base version, the second finds another version in place.
+    // I1: of two changes on one base version, the second finds that another version is current.
     if (const auto rejection = check_base_version(committed, request)) return reject(now, call, *rejection);
     // I1: versions rise, so none is used twice.
     if (const auto rejection = check_version_rises(committed, request)) return reject(now, call, *rejection);
--- a/src/config_service/config_service.h
+++ b/src/config_service/config_service.h
@@ -29,17 +29,17 @@
   public:
     explicit ConfigService(raft::RaftNode& raft) : raft_(raft) {}
 
-    /// Replaces the whole configuration. `respond` is called exactly once, possibly before this returns: 200
+    /// Replaces the entire configuration. `respond` is called exactly once, possibly before this returns: 200
     /// once the change is durable; 307 to the leader; 400, 412 or 413 if it is rejected; 503 if nothing
     /// definite can be said, after which the caller sends the same bytes again.
     void replace(Time now, const std::string& body, control_api::Respond respond) {
         submit(now, CallKind::Replace, body, std::move(respond));
     }
-    /// Changes the configuration in place by name. Answers as replace().
+    /// Changes items of the current configuration by name. Answers as replace().
     void modify(Time now, const std::string& body, control_api::Respond respond) {
         submit(now, CallKind::Modify, body, std::move(respond));
     }
-    /// Reads the configuration in place (linearizable): 200, 307, 404 before the first one, or 503.
+    /// Reads the current configuration (linearizable): 200, 307, 404 before the first one, or 503.
     void read(Time now, control_api::Respond respond) { submit(now, CallKind::Read, "", std::move(respond)); }
     /// Advances every pending call in the order of arrival and answers those whose outcome is known. Call it
     /// after each step of the Raft node, once that step's state is on disk and its messages are sent.
--- a/src/controller/controller.cpp
+++ b/src/controller/controller.cpp
@@ -115,7 +115,8 @@
     }
 }
 
-/// On a connection that a proxy or another controller has opened. Responses have no business here.
+/// On a connection that a proxy or another controller has opened. Responses are not expected here and are
+/// ignored.
 void Controller::on_inbound_message(ConnectionId connection, rpc::Message&& message) {
     if (const auto* hello = std::get_if<rpc::Hello>(&message)) {
         handle(connection, *hello);
--- a/src/controller/graceful_shutdown.h
+++ b/src/controller/graceful_shutdown.h
@@ -1,5 +1,5 @@
-// The end of a controller after SIGTERM: leadership and vote go to others first, so that the cluster keeps
-// its fault tolerance; where nobody can take them, the process ends all the same.
+// Graceful shutdown of a controller after SIGTERM: leadership and vote go to others first, so that the
+// cluster keeps its fault tolerance; where nobody can take them, the process ends all the same.
 #pragma once
 
 #include <functional>
@@ -14,7 +14,8 @@
 inline constexpr Duration kMaxLeaveTime = 2s;
 /// Interval at which the shutdown looks whether the vote has been handed over.
 inline constexpr Duration kLeaveCheckInterval = 20ms;
-/// After the vote was given away or the time is over: what was sent last is still written to its connections.
+/// After the vote was transferred or the time is over: what was sent last is still written to its
+/// connections.
 inline constexpr Duration kFinalFlushTime = 50ms;
 
 class GracefulShutdown {
--- a/src/controller/initial_state.h
+++ b/src/controller/initial_state.h
@@ -1,5 +1,5 @@
 // The Raft state that a controller starts with: the state on its disk, the first voters at the first boot of
-// the whole system, or that of a new member without a vote. Pure.
+// the system, or that of a new member without a vote. Pure.
 #pragma once
 
 #include <cstdint>
--- a/src/controller/options.h
+++ b/src/controller/options.h
@@ -7,7 +7,7 @@
 
 namespace martenford::controller {
 
-/// `fault_tolerance` and the time after which a silent voter is replaced; the rest keeps RaftOptions'
+/// `fault_tolerance` and the time after which an unresponsive voter is replaced; the rest keeps RaftOptions'
 /// defaults.
 [[nodiscard]] raft::RaftOptions raft_options(const bootstrap::Settings& settings);
 
--- a/src/durable_store/durable_store.h
+++ b/src/durable_store/durable_store.h
@@ -13,9 +13,9 @@
 
 namespace martenford::durable_store {
 
-/// The file in the data directory. The name dates from the mesh's first release, in which the records were
-/// called the register's word. It stays: a controller that did not find its file would come back as a new
-/// member.
+/// The file in the data directory. The name dates from the mesh's first release and means the replicated
+/// register's value and Raft state. It must not change: a controller that did not find its file would come
+/// back as a new member.
 constexpr char kDatabaseFileName[] = "word.mdb";
 
 /// Why an operation on the disk failed.
--- a/src/mesh_config/config.h
+++ b/src/mesh_config/config.h
@@ -1,4 +1,4 @@
-// The schema of the operator's configuration, as it stands on the wire (the platform's page, "The operator").
+// The schema of the operator's configuration, as it is on the wire (the platform's page, "The operator").
 // Member names are the JSON field names: they are the platform's and never renamed. A default applies to an
 // absent field.
 #pragma once
--- a/src/mesh_config/config_change.cpp
+++ b/src/mesh_config/config_change.cpp
@@ -48,7 +48,7 @@
     }
 }
 
-/// Replaces the route where it stands. A route that moves to another host, and a new one, goes to the end of
+/// Replaces the route at its position. A route that moves to another host, and a new one, goes to the end of
 /// the last listener of `host`, which is added if there is none.
 void upsert_route(Json& listeners, const std::string& host, const Json& rule) {
     const std::string name = rule.value("name", "");
--- a/src/mesh_config/mesh_config.h
+++ b/src/mesh_config/mesh_config.h
@@ -1,4 +1,4 @@
-// The operator's configuration: the whole package in one include. Pure.
+// The operator's configuration: all headers of the package in one include. Pure.
 #pragma once
 
 #include "mesh_config/config.h"
--- a/src/proxy/graceful_shutdown.h
+++ b/src/proxy/graceful_shutdown.h
@@ -1,4 +1,4 @@
-// The end of a proxy after SIGTERM: readiness fails, clients leave, what was accepted is answered.
+// Graceful shutdown of a proxy after SIGTERM: readiness fails, clients leave, what was accepted is answered.
 #pragma once
 
 #include "core/loop.h"
--- a/src/proxy/inbound_protocol.cpp
+++ b/src/proxy/inbound_protocol.cpp
@@ -15,7 +15,7 @@
 /// Connections between proxies are kept open for this long without a request.
 constexpr Duration kHopIdleTimeout = 30s;
 constexpr std::size_t kMaxHopHeaderBytes = 32 * 1024;
-/// The caller's proxy has already held a body to the configuration's own limit.
+/// The caller's proxy has already enforced the configuration's own limit on a body.
 constexpr std::uint64_t kMaxHopBodyBytes = 256u * 1024 * 1024;
 /// A response must be written so much before the hop's deadline to reach the caller's proxy in time.
 constexpr Duration kHopTransitTime = 4ms;
@@ -53,7 +53,7 @@
 TurnAway HopServerProtocol::answer_delivery_query(const HopHeader& hop,
                                                   const admission::InboundRequest& inbound) {
     TurnAway answer{http::status::service_unavailable, true, {}, {{kAttemptId, inbound.attempt_id}}};
-    // Another process stood here when the hop was sent: what that one delivered is not known.
+    // Another incarnation ran here when the hop was sent: what it delivered is not known.
     const bool same_process = hop.incarnation == incarnation_;
     if (same_process &&
         admission_.fence_attempt(Loop::monotonic(), inbound.attempt_id, inbound.latency_target)) {
--- a/src/proxy/inbound_protocol.h
+++ b/src/proxy/inbound_protocol.h
@@ -38,7 +38,7 @@
     /// otherwise, or does not allow it.
     [[nodiscard]] bool is_outdated(const Fields& head, const admission::InboundRequest& inbound,
                                    mesh_config::Version version) const;
-    /// The queue wait in ms, at least 1, as a rejection tells it.
+    /// The queue wait in ms, at least 1, as a rejection reports it.
     [[nodiscard]] std::string queue_wait_text() const;
 
     const bootstrap::Settings& settings_;
--- a/src/proxy/local_endpoint.cpp
+++ b/src/proxy/local_endpoint.cpp
@@ -64,7 +64,7 @@
     const auto& heartbeat = std::get<Heartbeat>(parsed);
 
     if (!accept_instance(call, heartbeat.address)) return ok();
-    // A heartbeat that arrives out of order shows that the endpoint lives, though its content is outdated.
+    // A heartbeat that arrives out of order shows that the endpoint is alive, though its content is outdated.
     last_heartbeat_at_ = dependencies_.scheduler.now();
     if (heartbeat.sequence_number <= last_sequence_number_) return ok();
     last_sequence_number_ = heartbeat.sequence_number;
@@ -144,7 +144,7 @@
 void LocalEndpoint::handle_attempt_end(decision::Status status) {
     if (status == decision::Status::Ok) connect_failures_ = 0;
     if (status != decision::Status::ConnectFailed || ++connect_failures_ < kMaxConnectFailures) return;
-    // Deferred: the engine is amid the attempt's end, and the removal changes what it works on.
+    // Deferred: the engine is still handling the attempt's end, and the removal changes what it works on.
     dependencies_.scheduler.add(dependencies_.scheduler.now(),
                                 [this] { remove(EndpointRemoval::Unreachable); });
 }
--- a/src/proxy/local_endpoint.h
+++ b/src/proxy/local_endpoint.h
@@ -37,7 +37,7 @@
         Placement& placement;  ///< of the connections to the endpoint
         Back& back;            ///< for health probes
         admission::AdmissionController& admission;
-        /// The registration has changed in what other proxies go by; its `seq` has risen.
+        /// The registration has changed in a field that other proxies use; its `seq` has risen.
         std::function<void()> on_registration_changed;
     };
     LocalEndpoint(Options options, Dependencies dependencies);
--- a/src/proxy/outbound_protocol.cpp
+++ b/src/proxy/outbound_protocol.cpp
@@ -18,14 +18,14 @@
 constexpr Duration kResponseTransitTime = 20ms;
 /// Retry-After where nothing is known of when a retry would succeed.
 constexpr Duration kDefaultRetryAfter = 200ms;
-/// Configured header limits are held within these, in bytes.
+/// Configured header limits are clamped to these, in bytes.
 constexpr std::int64_t kMinHeaderBytes = 1024;
 constexpr std::int64_t kMaxHeaderBytes = 32 * 1024;
 /// Queue wait assumed of a proxy that rejected a request without saying how long.
 constexpr std::int64_t kAssumedQueueWaitMs = 1000;
 /// A tenant's priority counts before the route's, which has three digits.
 constexpr std::int64_t kRoutePriorities = 1000;
-/// Kinds of request are told apart by so many bits of a digest.
+/// Kinds of request are distinguished by this many bits of a digest.
 constexpr std::uint64_t kKindMask = 0xffffff;
 
 bool is_valid_time_remaining(const std::optional<std::int64_t>& time_ms) {
--- a/src/proxy/proxy.h
+++ b/src/proxy/proxy.h
@@ -1,6 +1,6 @@
 // The data plane's process: a proxy beside one endpoint. Forwards its clients' requests to the proxies of
-// other endpoints (outbound), and admits what other proxies send to its own endpoint (inbound). Joins the
-// objects of this folder; each decision is in one of them.
+// other endpoints (outbound), and admits what other proxies send to its own endpoint (inbound). Composes
+// the classes of this folder; each decision is in one of them.
 #pragma once
 
 #include <cstdint>
--- a/src/proxy/traffic.h
+++ b/src/proxy/traffic.h
@@ -1,6 +1,6 @@
-// The two ways of requests through a proxy, each from its listener to its connections: OutboundTraffic from
-// clients to the proxies of other endpoints, InboundTraffic from other proxies to the endpoint beside this
-// one. Both run on the proxy's loop.
+// The two directions of requests through a proxy, each from its listener to its connections: OutboundTraffic
+// from clients to the proxies of other endpoints, InboundTraffic from other proxies to the endpoint beside
+// this one. Both run on the proxy's loop.
 #pragma once
 
 #include <cstddef>
@@ -41,8 +41,8 @@
 
     /// Throws boost::system::system_error where it can't listen.
     void listen(const Address& address) { listener_.listen(address); }
-    /// Finishes what was accepted, then calls `done` once. No request is given up while an endpoint may be at
-    /// work on it.
+    /// Finishes what was accepted, then calls `done` once. No request is given up while an endpoint may be
+    /// working on it.
     void drain(std::function<void()> done);
 
     void set_routes(std::shared_ptr<const mesh_config::RouteTable> routes);
--- a/src/proxy/upstream_updates.cpp
+++ b/src/proxy/upstream_updates.cpp
@@ -26,7 +26,7 @@
 }
 
 void UpstreamUpdates::set(const outbound::UpstreamTable::Change& change) {
-    // The address is another proxy's word; one that can't be parsed can't be connected to.
+    // The address is what another proxy reported; one that can't be parsed can't be connected to.
     const auto address = parse_address(change.inbound_address);
     if (!address) return;
     hop_.set_upstream(change.id, change.instance_id, change.incarnation);
--- a/src/raft/election.cpp
+++ b/src/raft/election.cpp
@@ -90,8 +90,9 @@
     confirmed_heartbeat_round_ = 0;
     evaluated_candidates_.clear();
     // An entry of the own term, with the value of the last entry that was found ([Raft] 5.4.2): whether an
-    // entry of an earlier term is committed cannot be told by counting copies. Once this one is committed,
-    // what it contains is. It takes the last entry and not the committed one, which may lag behind.
+    // entry of an earlier term is committed cannot be determined by counting copies. Once this one is
+    // committed, what it contains is. It takes the last entry and not the committed one, which may lag
+    // behind.
     append(now, state_.last_entry.voters, state_.last_entry.outgoing_voters, state_.last_entry.value);
 }
 
--- a/src/raft/replication.cpp
+++ b/src/raft/replication.cpp
@@ -17,7 +17,7 @@
 /// An entry that was sent and not acknowledged is sent again after this time. Longer than a heartbeat, since
 /// an entry may be large and the link slow: a second copy would queue behind the first.
 constexpr Duration kEntryResendInterval = 2s;
-/// A learner without a sign of life for this time is forgotten.
+/// A learner that was not heard of for this time is forgotten.
 constexpr Duration kLearnerForgetTimeout = 10s;
 
 /// Returns the highest value that more than half of `values` reach. `values` is not empty.
--- a/src/registry/registry.h
+++ b/src/registry/registry.h
@@ -1,7 +1,8 @@
 // The registry of one controller: which proxies are present and what they report of their endpoints.
 //
 // Soft state under leases: nothing is stored, each proxy repeats its registration in every heartbeat, and
-// each controller keeps a registry of its own by what it hears. Two steps follow when heartbeats stop:
+// each controller keeps its own registry of the heartbeats that it receives. Two steps follow when heartbeats
+// stop:
 //   1. after `lease` the entry is marked expired, and readers use the proxy only as a last resort;
 //   2. after `remove_after` the entry is removed.
 // Readers (proxies, see registry_view.h) poll with the epoch and sequence number that they have, and get a
