--- a/tests/mesh/approved.h
+++ b/tests/mesh/approved.h
@@ -1,4 +1,4 @@
-// Transcripts that were read and approved: a test plays an exchange and its words must be those of the file.
+// Transcripts that were read and approved: a test runs an exchange, and its transcript must equal the file.
 // With MARTENFORD_APPROVE set the files are written anew, to be read before they are committed.
 #pragma once
 
--- a/tests/mesh/config_service_test.cpp
+++ b/tests/mesh/config_service_test.cpp
@@ -1,4 +1,4 @@
-// ConfigService on a Raft group of three in virtual time: whole exchanges of an operator, as approved
+// ConfigService on a Raft group of three in virtual time: complete exchanges of an operator, as approved
 // transcripts.
 #include "config_service/config_service.h"
 
@@ -132,7 +132,7 @@
     approve("operator", group.transcript);
 }
 
-TEST_CASE("every rejection of a change keeps its status, its body and its place in the order of checks") {
+TEST_CASE("every rejection of a change keeps its status, its body and its position in the order of checks") {
     RaftGroup group;
     const std::size_t leader = group.leader();
     const auto replace = [&](const std::string& who, const std::string& body) {
--- a/tests/mesh/controller_test.cpp
+++ b/tests/mesh/controller_test.cpp
@@ -429,7 +429,7 @@
     CHECK(std::holds_alternative<raft::Message>(fixture.sent[kSeedAddresses[2]][0]));
 }
 
-TEST_CASE("peers: Hellos are sent at their interval; a silent peer is forgotten unless it is a seed") {
+TEST_CASE("peers: Hellos are sent at their interval; an unresponsive peer is forgotten unless it is a seed") {
     PeersFixture fixture;
     fixture.peers.connect(fixture.now, kSeedAddresses[1]);
     fixture.peers.connect(fixture.now, kSeedAddresses[2]);
--- a/tests/mesh/day_test.cpp
+++ b/tests/mesh/day_test.cpp
@@ -139,7 +139,7 @@
 
     std::map<int, std::unique_ptr<Endpoint>> endpoints;
     std::multiset<std::string> ran;
-    std::map<int, std::set<std::string>> callers, tenants;  // as each endpoint was told
+    std::map<int, std::set<std::string>> callers, tenants;  // as each endpoint received them
     std::string led_by;
     int last_status = 0;
 
@@ -233,7 +233,7 @@
     }
     REQUIRE(mesh.post(at(mesh.side(1), Port::Control), "/v1/instances/i-1/deregister", "").status == 200);
 
-    // A proxy killed: what goes to its endpoint goes elsewhere; it comes back beside a new life of it.
+    // A proxy killed: what goes to its endpoint goes elsewhere; it comes back beside a new instance of it.
     mesh.end("side-2", SIGKILL);
     for (int k = 0; k < 10; ++k)
         CHECK(mesh.ask(3 + k % 2, "/web/x", "killed-" + std::to_string(k)).status == 200);
--- a/tests/mesh/front_test.cpp
+++ b/tests/mesh/front_test.cpp
@@ -1,4 +1,4 @@
-// A front that is drained tells its end once, and not before what it took is answered.
+// A drained front reports its end once, and not before all that it accepted is answered.
 #include "http1/front.h"
 
 #include <doctest/doctest.h>
@@ -72,7 +72,7 @@
     CHECK(ended == 1);
 }
 
-TEST_CASE("where only idle connections are left, the end is told once as well") {
+TEST_CASE("where only idle connections are left, the end is reported once as well") {
     Fixture fixture;
     Http1Front front(
         fixture.loop, fixture, fixture, 16, [] { return true; }, fixture.counters);
--- a/tests/mesh/golden_test.cpp
+++ b/tests/mesh/golden_test.cpp
@@ -1,5 +1,5 @@
 // The messages between proxies and controllers, and the controllers' data directories, against bytes that an
-// earlier release wrote (golden/README.md). The fixtures' file names bear the names of that release.
+// earlier release wrote (golden/README.md). The fixtures' file names contain the type names of that release.
 #include "golden.h"
 
 #include <doctest/doctest.h>
--- a/tests/mesh/hop_test.cpp
+++ b/tests/mesh/hop_test.cpp
@@ -1,6 +1,6 @@
 // The three connections of a request, with the programs' own fronts, backs, engines and policies on loopback
-// sockets: client - caller's proxy - gate - endpoint. Endpoints misbehave and the hop breaks by seed; a
-// checker reads the history.
+// sockets: client - caller's proxy - gate (the inbound proxy) - endpoint. Endpoints misbehave and the hop
+// breaks by seed; a checker reads the history.
 #include <doctest/doctest.h>
 
 #include <map>
--- a/tests/mesh/hop_world.h
+++ b/tests/mesh/hop_world.h
@@ -1,5 +1,6 @@
-// A request's whole way in one process and one loop: clients, a caller's proxy, relays that do harm, gates,
-// endpoints that misbehave; and what was asked, run and heard.
+// The complete path of a request in one process and one loop: clients, the caller's proxy, relays that inject
+// faults, gates (inbound proxies, each beside its endpoint), endpoints that misbehave; and a history of what
+// was requested, executed and answered.
 #pragma once
 
 #include <doctest/doctest.h>
@@ -38,7 +39,7 @@
 };
 struct Asked {
     bool repeatable = false;
-    std::optional<Heard> answer;  // a whole one
+    std::optional<Heard> answer;  // a complete one
 };
 struct History {
     std::map<std::string, Asked> asked;
@@ -46,7 +47,7 @@
     std::set<std::string> served;
 };
 
-/// One in four is longer than what is held whole.
+/// One in four is longer than what a proxy buffers completely.
 inline std::string body_of(const std::string& id) {
     return id + std::string(std::hash<std::string>{}(id) % 4 == 0 ? 90'000 : 300, 'x');
 }
@@ -183,7 +184,7 @@
     void say(const Held& line, const std::string& text) {
         write(line, text, [this, line] { read(line); });
     }
-    /// One after another: bytes of two answers in each other are beyond what anybody could tell apart.
+    /// One after another: bytes of two answers in each other are impossible for any reader to separate.
     void write(const Held& line, const std::string& text, std::function<void()> then) {
         if (std::exchange(line->writing, true))
             return loop_.add(loop_.now() + 1ms, [=, this] { write(line, text, then); }), void();
@@ -386,7 +387,7 @@
         }
         return is();
     }
-    /// Each asks so often, one after another; then whatever is still held somewhere comes out.
+    /// Each asks so often, one after another; then all messages that relays still delay are delivered.
     bool clients(int count, int times) {
         open_ = count;
         for (int i = 0; i < count; ++i) ask(std::make_shared<Client>(loop_, i, times));
@@ -395,7 +396,7 @@
         until([&] { return loop_.now() >= settled; });
         return done;
     }
-    /// Asks once; 20 ms later `then` is done and the rest is sent. Nothing: no whole answer came.
+    /// Asks once; 20 ms later `then` is done and the rest is sent. Nothing: no complete answer came.
     std::optional<Heard> ask_once(
         const std::string& text, const std::string& rest = "", std::function<void()> then = [] {}) {
         const auto client = std::make_shared<Client>(loop_, 0, 1);
--- a/tests/mesh/power_test.cpp
+++ b/tests/mesh/power_test.cpp
@@ -171,8 +171,8 @@
             CHECK(found.records == records(saved));
             ++image_count;
         };
-        // One unsynced write is on disk in whole, in its first or second half, or not at all; the others are
-        // all on disk, or none is.
+        // One unsynced write is on disk completely, in its first or second half, or not at all; the others
+        // are all on disk, or none is.
         for (const bool others_on_disk : {false, true}) {
             for (const Operation* one : unsynced) {
                 for (const auto& [from, to] : {std::pair{0.0, 0.0}, {0.0, 0.5}, {0.5, 1.0}, {0.0, 1.0}}) {
--- a/tests/mesh/raft_membership_test.cpp
+++ b/tests/mesh/raft_membership_test.cpp
@@ -226,7 +226,7 @@
     CHECK(cluster.at(next).persistent_state().committed_entry.value == "x");
     cluster.start(disk, "z" + std::to_string(leader));
     cluster.run_for(2s);
-    CHECK(cluster.voters(*cluster.leader()).contains(leader));  // in place of the partitioned voter
+    CHECK(cluster.voters(*cluster.leader()).contains(leader));  // instead of the partitioned voter
 }
 
 TEST_CASE("a resumed process takes no lease and no contact from replies that waited in its buffer") {
--- a/tests/mesh/register_explorer_world.h
+++ b/tests/mesh/register_explorer_world.h
@@ -188,7 +188,7 @@
     void suspend(std::size_t i, Duration time);
     void inject_fault_of_all(bool loses);
     void resume(std::size_t i);
-    /// Adds a machine at another address in its place; the old one may return with its disk for a while.
+    /// Adds a machine at another address to replace it; the old one may return with its disk for a while.
     void replace(std::size_t i, Duration time);
     void leave(std::size_t i, bool for_good, Duration time);
     /// has_left() holds: checks what it left behind, and ends it.
--- a/tests/mesh/rig/faults.h
+++ b/tests/mesh/rig/faults.h
@@ -1,4 +1,5 @@
-// The faults of one play, drawn from its seed before it begins.
+// The faults of one play (a run of real processes, see play.h), drawn from its seed before it begins.
+// Names: "core" is the controllers, "stall" a proxy's machine, "borne" the losses to be tolerated at once.
 #pragma once
 
 #include <cstdint>
@@ -20,18 +21,18 @@
     Replace,            // killed for good; another comes at a new address
     TermReturn,         // SIGTERM, back with its disk
     TermReplace,        // SIGTERM for good
-    KillAll,            // all of the core, back within a second
+    KillAll,            // all controllers, back within a second
     WipeBorne,          // as many disks as may be lost at once, beginning with `machine`'s
     WipeBorneKillRest,  // and all others killed meanwhile
     // of a proxy's machine
     StallKill,
     StallFreeze,
     StallCut,
-    StallTerm,    // its endpoint drains and ends first; a new life of it comes
-    EndpointDies  // and a new life of it comes
+    StallTerm,    // its endpoint drains and ends first; a new instance of it comes
+    EndpointDies  // and a new instance of it comes
 };
 const char* name_of(FaultKind kind);
-/// Of the core as a whole.
+/// Returns whether the fault is one of all controllers at once.
 inline bool strikes_all(FaultKind kind) {
     return kind >= FaultKind::KillAll && kind <= FaultKind::WipeBorneKillRest;
 }
@@ -42,8 +43,8 @@
 struct Fault {
     FaultKind kind{};
     std::size_t machine = 0;
-    Duration at{};     // from the play's begin
-    Duration lasts{};  // until it is mended
+    Duration at{};     // from the start of the play
+    Duration lasts{};  // until it is repaired
 };
 
 struct FaultOptions {
--- a/tests/mesh/rig/history.h
+++ b/tests/mesh/rig/history.h
@@ -12,7 +12,7 @@
 
 namespace martenford::rig {
 
-/// One sending of an order. Status 0: no clear answer.
+/// One attempt of an operator's call (an order). Status 0: no definite answer.
 struct Sending {
     Time sent{}, answered{};
     int status = 0;
@@ -34,11 +34,11 @@
 /// A client's request, one try.
 struct Request {
     bool repeatable = true;
-    int status = 0;  // 0: no whole answer
+    int status = 0;  // 0: no complete answer
     std::string answered_id{}, seal{}, body{};
     Time sent{}, ended{};
     std::string mark{};  // on the route that this change brought; empty: on one that is always there
-    std::string life{};  // of the process that it was sent to
+    std::string life{};  // incarnation of the process that it was sent to
 };
 struct Run {
     std::string id, instance;
--- a/tests/mesh/rig/link_cuts.cpp
+++ b/tests/mesh/rig/link_cuts.cpp
@@ -17,7 +17,7 @@
 
 namespace {
 
-/// A file descriptor that is closed again at once: held longer, it would keep the process's own close from
+/// A file descriptor that is closed again at once: open longer, it would keep the process's own close from
 /// being seen by its peer.
 class Descriptor {
   public:
@@ -39,7 +39,7 @@
     return static_cast<int>(::syscall(SYS_pidfd_getfd, *handle, descriptor, 0));
 }
 
-/// Guards against a number that the process has given to another socket since it was listed.
+/// Returns whether the descriptor is still this socket: the process may have reused its number since.
 bool is_socket(int descriptor, std::uint64_t inode) {
     struct stat found {};
     return descriptor >= 0 && ::fstat(descriptor, &found) == 0 && found.st_ino == inode;
--- a/tests/mesh/rig/link_cuts.h
+++ b/tests/mesh/rig/link_cuts.h
@@ -19,7 +19,8 @@
     enum class Way { In, Out, Both };
 
     /// `ports` of links between machines; what else a process listens on stays reached. While a link is cut
-    /// outwards, nobody dials anew to `shut` on any machine: whose packet a dial is can't be told there.
+    /// outwards, nobody connects anew to `shut` on any machine: there it can't be determined whose packet a
+    /// connection attempt is.
     LinkCuts(std::set<int> ports, std::set<int> shut);
     /// Why it can't be done here; empty: it can.
     static std::string unable();
--- a/tests/mesh/rig/play.cpp
+++ b/tests/mesh/rig/play.cpp
@@ -110,7 +110,7 @@
     History& history() { return outcome_.history; }
     bool stopping() const { return stopping_; }
     std::size_t below(std::size_t end) { return random_() % end; }
-    /// One of the core's machines, as a list names them that is not always up to date.
+    /// One of the controllers' machines, as a list names them that is not always up to date.
     std::string control() { return at(cores_[below(cores_.size())].ip, Port::Control); }
     /// A call by whoever follows 307, twice at most.
     void call(const std::string& to, const std::string& verb, const std::string& path,
@@ -135,12 +135,12 @@
     struct Core {
         std::string ip;
         int generation = 0;
-        bool gone = false;  //: another will take its place
+        bool gone = false;  // another one will replace it
     };
     struct Proxy {
         std::unique_ptr<Endpoint> endpoint;
-        int life = 0;   // of its endpoint
-        int lives = 0;  // of the proxy
+        int life = 0;   // incarnation of its endpoint
+        int lives = 0;  // number of starts of the proxy
         bool draining = false, there = false;
     };
     struct Client {
@@ -172,7 +172,7 @@
             "[zones]\nzone-0 = \"region\"\nzone-1 = \"region\"\nzone-2 = \"region\"\n"
             "[fault_tolerance]\nmachines = " +
             std::to_string(borne_) + "\nzones = 0\nregions = 0\n";
-        // The operator's list as it stands: three of it, the same at the first start.
+        // The operator's list as it is: three of it, the same at the first start.
         std::vector<std::size_t> order(cores_.size());
         for (std::size_t i = 0; i < order.size(); ++i) order[i] = i;
         if (!first_boot_) {
--- a/tests/mesh/rig/processes.h
+++ b/tests/mesh/rig/processes.h
@@ -40,7 +40,8 @@
     const std::string& folder() const { return folder_; }
     /// "127.x.y.z" for these processes alone: tests may go on beside each other.
     std::string ip(std::size_t machine) const;
-    /// Writes the settings file and starts the program; a controller finds its disk of earlier lives.
+    /// Writes the settings file and starts the program; a controller finds the disk of its earlier
+    /// incarnations.
     void start(const Machine& machine);
     bool runs(const std::string& name) const { return all_.contains(name); }
     pid_t pid(const std::string& name) const { return all_.at(name).pid; }
--- a/tests/mesh/rig/standins.h
+++ b/tests/mesh/rig/standins.h
@@ -15,7 +15,7 @@
 
 namespace martenford::rig {
 
-/// An answer. Status 0: none, or none that is whole.
+/// An answer. Status 0: none, or an incomplete one.
 struct Said {
     int status = 0;
     std::string head, body;
--- a/tests/mesh/scale_test_test.cpp
+++ b/tests/mesh/scale_test_test.cpp
@@ -51,7 +51,7 @@
     const Address at = *parse_address("127.0.93.1:21790");  // no other test listens here
     std::vector<std::shared_ptr<rpc::Channel>> channels;
     std::vector<rpc::WatchRequest> polls;
-    std::set<std::uint32_t> told;  // versions, by its announcements
+    std::set<std::uint32_t> told;  // versions that its registrations announced
     rpc::Listener listener(loop, at, [&](std::shared_ptr<rpc::Channel> channel) {
         channels.push_back(channel);
         channel->start(
@@ -83,7 +83,7 @@
     SimulatedProxy proxy(loop, {"proxy-1", "127.0.94.1:1", "web", "zone-1", {at}, {}}, gauge);
     loop.add(loop.now() + 5s, [&] { loop.stop(); });
     loop.run();
-    REQUIRE(polls.size() >= 3);  // it has nothing; it is told of a version and wants it; it has it
+    REQUIRE(polls.size() >= 3);  // it has nothing; it hears of a version and asks for it; it has it
     CHECK(polls[0].config_version == 0);
     CHECK_FALSE(polls[0].wants_config);
     CHECK(polls[1].wants_config);
--- a/tests/mesh/upstream_updates_test.cpp
+++ b/tests/mesh/upstream_updates_test.cpp
@@ -65,7 +65,7 @@
     CHECK(fixture.connections.placed.size() == 1);
     CHECK(fixture.connections.placed.begin()->second == "127.0.0.1:9000");
     CHECK(fixture.policy.any_ready());
-    // Its proxy lives and says that it has left: requests there end by themselves.
+    // Its proxy is alive and reports it as absent: requests there end by themselves.
     auto left = Fixture::endpoint(1, 2);
     left.state = registry::EndpointState::Absent;
     CHECK(fixture.apply(left) == Effect::None);
--- a/tools/scale_test/figures.h
+++ b/tools/scale_test/figures.h
@@ -33,7 +33,7 @@
 /// Three significant digits; "-" for NaN.
 std::string cell(double value);
 
-/// A whole configuration of the size that is asked for.
+/// A complete configuration of the size that is asked for.
 struct Shape {
     std::size_t services = 1, routes = 1, tenants = 0;
 };
--- a/tools/scale_test/main.cpp
+++ b/tools/scale_test/main.cpp
@@ -256,7 +256,8 @@
             pause(0.02);
         }
     }
-    /// The seconds until `is` holds for each proxy that counts, and the share for which it held at the end.
+    /// The seconds until `is` holds for each proxy that counts, and the fraction of proxies for which it
+    /// holds at the end.
     std::pair<double, double> until(const std::function<bool(std::size_t, const Gauge&)>& is,
                                     double patience = kPatience) {
         const auto begun = Clock::now();
@@ -370,7 +371,7 @@
             workers.push_back(load(worker_name(w), before, after));
         if (size_.proxies) {
             out.emplace_back("simulated proxy", summed(workers, static_cast<double>(size_.proxies)));
-            // A worker near a whole core makes this tool the limit.
+            // A worker that uses nearly a full core makes this tool the limit.
             out.emplace_back("busiest worker", *std::max_element(workers.begin(), workers.end(),
                                                                  [](const Load& a, const Load& b) {
                                                                      return a.processor < b.processor;
