--- a/src/mesh_config/digest.h
+++ b/src/mesh_config/digest.h
@@ -1,4 +1,5 @@
-// The digest behind weighted splits, shedding order and the recognition of repeated calls.
+// The digest behind weighted splits, kinds of request, the first voters' ids and the recognition of repeated
+// calls.
 #pragma once
 
 #include <cstdint>
