--- a/src/bootstrap/settings.h
+++ b/src/bootstrap/settings.h
@@ -20,7 +20,7 @@
 constexpr const char* kDefaultSettingsPath = "/etc/martenford/boot.toml";
 constexpr const char* kSettingsPathVariable = "MARTENFORD_CONFIG";
 
-/// `bounds`, a list of texts "name=value": the platform's limits that the programs go by. An absent one keeps
+/// `bounds`, a list of texts "name=value": the platform's limits that the programs obey. An absent one keeps
 /// its default; an unknown one is ignored. Durations are numbers with the unit that the name ends in,
 /// fractions allowed. Those marked "not used" are read and checked only.
 struct Bounds {
@@ -77,7 +77,7 @@
 };
 
 struct Settings {
-    /// `node_name`: this machine, as it stands in logs. Required.
+    /// `node_name`: this machine's name, the key of its proxy's registration. Required.
     std::string node_name;
 
     /// `zone`, `region`: the machine's failure domains. Default: empty.
--- a/src/event_log/event_log.h
+++ b/src/event_log/event_log.h
@@ -49,7 +49,7 @@
     const char* name;         ///< "program.started"
     const char* former_name;  ///< the name until 2026-12-02; nullptr if it is the same
     Severity severity;
-    unsigned max_per_minute;  ///< lines; further ones are counted, and the next line tells how many
+    unsigned max_per_minute;  ///< lines; further ones are counted, and the next line says how many
     const char* meaning;      ///< one sentence or two, for the operator
 };
 
--- a/src/rpc/channel.h
+++ b/src/rpc/channel.h
@@ -18,7 +18,7 @@
 
 /// A connection, open from its construction until it fails or close() is called. It is never reopened.
 ///
-/// Ownership: held by std::shared_ptr; pending reads and writes hold it too, so it outlives its owner until
+/// Ownership: by std::shared_ptr; pending reads and writes share it, so it outlives its owner until
 /// they have ended. `loop` must outlive it.
 ///
 /// Threads: all calls and all callbacks run on the loop's thread.
--- a/src/rpc/persistent_records.h
+++ b/src/rpc/persistent_records.h
@@ -2,9 +2,8 @@
 //
 //   "state"                 term, vote, positions and voters: some hundred bytes. Since 2026-12-02.
 //   "value.<term>.<index>"  the value of the entry at that position, up to some megabytes. Since 2026-12-02.
-//   "word"                  the whole state in one record, as releases before 2026-12-02 wrote it. Read if
-//   there
-//                           is no "state"; the next save replaces it.
+//   "word"                  the complete state in one record, as releases before 2026-12-02 wrote it. Read
+//                           if there is no "state"; the next save replaces it.
 //
 // A value never changes under its key, so a vote or a commit rewrites "state" alone.
 #pragma once
