--- a/tests/mesh/rig/faults.h
+++ b/tests/mesh/rig/faults.h
@@ -32,7 +32,7 @@
     EndpointDies  // and a new instance of it comes
 };
 const char* name_of(FaultKind kind);
-/// Returns whether the fault is one of all controllers at once.
+/// Returns whether the fault is one of the control plane, not of one of its machines.
 inline bool strikes_all(FaultKind kind) {
     return kind >= FaultKind::KillAll && kind <= FaultKind::WipeBorneKillRest;
 }
