--- a/tools/scale_test/main.cpp
+++ b/tools/scale_test/main.cpp
@@ -25,10 +25,10 @@
     Options options;
     const auto here = std::filesystem::read_symlink("/proc/self/exe").parent_path();
     for (const auto& folder : {here, here.parent_path()}) {
-        if (options.controller.empty() && std::filesystem::exists(folder / "controller"))
-            options.controller = folder / "controller";
-        if (options.proxy.empty() && std::filesystem::exists(folder / "proxy"))
-            options.proxy = folder / "proxy";
+        if (options.controller.empty() && std::filesystem::exists(folder / "martenford-controller"))
+            options.controller = folder / "martenford-controller";
+        if (options.proxy.empty() && std::filesystem::exists(folder / "martenford-proxy"))
+            options.proxy = folder / "martenford-proxy";
     }
     return options;
 }
@@ -96,7 +96,7 @@
         if (error->message.empty()) {
             std::cerr << help_text();
         } else {
-            std::cerr << "simulated: " << error->message << '\n';
+            std::cerr << "scale_test: " << error->message << '\n';
         }
         return 2;
     }
@@ -116,6 +116,6 @@
 int main(int argc, char** argv) try {
     return martenford::scale_test::run(argc, argv);
 } catch (const std::exception& error) {
-    std::cerr << "simulated: " << error.what() << '\n';
+    std::cerr << "scale_test: " << error.what() << '\n';
     return 1;
 }
--- a/tools/scale_test/options.cpp
+++ b/tools/scale_test/options.cpp
@@ -13,7 +13,7 @@
 namespace {
 
 constexpr char kHelp[] =
-    "simulated: load of the mesh's control plane by its size. Starts controllers and simulated proxies on "
+    "scale_test: load of the mesh's control plane by its size. Starts controllers and simulated proxies on "
     "loopback.\n"
     "  --proxies LIST        simulated proxies in each step (12,30,86)\n"
     "  --real N             real proxies beside them (0)\n"
--- a/tools/scale_test/processes.cpp
+++ b/tools/scale_test/processes.cpp
@@ -142,7 +142,7 @@
 }
 
 Processes::Processes() {
-    std::string path = (std::filesystem::temp_directory_path() / "simulated-XXXXXX").string();
+    std::string path = (std::filesystem::temp_directory_path() / "scale_test-XXXXXX").string();
     if (!::mkdtemp(path.data())) throw std::runtime_error("no temporary directory");
     folder_ = path;
 }
