--- a/tests/mesh/scale_test_test.cpp
+++ b/tests/mesh/scale_test_tool_test.cpp
@@ -1,5 +1,5 @@
-// The measuring tool: what it makes of figures, the configurations that it puts, and that a simulated proxy
-// says to a controller what a proxy says.
+// Tests of tools/scale_test: statistics and tables, generated configurations, and the messages of a simulated
+// proxy to a controller.
 #include <doctest/doctest.h>
 
 #include <cmath>
@@ -11,7 +11,7 @@
 using namespace martenford;
 using namespace martenford::scale_test;
 
-TEST_CASE("slopes, quantiles and tables are those of their points") {
+TEST_CASE("slope, quantile and table text match hand-computed values") {
     const auto squared = slope({{10, 200}, {20, 800}, {40, 3200}, {0, 7}, {80, 0}});
     REQUIRE(squared);
     CHECK(squared->power == doctest::Approx(2));
@@ -26,9 +26,9 @@
     CHECK(table.tsv(false) == "100\t1\n2\t-\n");
 }
 
-TEST_CASE("the configurations that are put have the size that was asked for, and differ") {
-    const Shape shape{71, 100, 12};
-    const auto read = mesh_config::read_config(mesh_config::Json::parse(configuration(shape, 2, 1)));
+TEST_CASE("generated configurations are valid, have the requested size and differ by version") {
+    const ConfigSize size{71, 100, 12};
+    const auto read = mesh_config::read_config(mesh_config::Json::parse(configuration(size, 2, 1)));
     const auto* config = std::get_if<mesh_config::Config>(&read);
     REQUIRE(config);
     std::size_t routes = 0;
@@ -38,44 +38,42 @@
     CHECK(config->tenants.size() == 12);
     CHECK(config->listeners[0].rule_set[0].route_action.timeout_ms !=
           std::get<mesh_config::Config>(
-              mesh_config::read_config(mesh_config::Json::parse(configuration(shape, 3, 2))))
+              mesh_config::read_config(mesh_config::Json::parse(configuration(size, 3, 2))))
               .listeners[0]
               .rule_set[0]
               .route_action.timeout_ms);
 }
 
-TEST_CASE(
-    "a simulated proxy announces itself, polls, fetches a newer configuration and shows that it serves by "
-    "it") {
+TEST_CASE("a simulated proxy registers, watches, fetches a newer configuration and reports it in force") {
     Loop loop;
     const Address at = *parse_address("127.0.93.1:21790");  // no other test listens here
     std::vector<std::shared_ptr<rpc::Channel>> channels;
-    std::vector<rpc::WatchRequest> polls;
-    std::set<std::uint32_t> told;  // versions, by its announcements
+    std::vector<rpc::WatchRequest> watch_requests;
+    std::set<std::uint32_t> registered_versions;
     rpc::Listener listener(loop, at, [&](std::shared_ptr<rpc::Channel> channel) {
         channels.push_back(channel);
         channel->start(
             [&, channel = channel.get()](rpc::Message&& message) {
-                if (const auto* announce = std::get_if<rpc::RegisterRequest>(&message)) {
-                    CHECK(announce->registration.service == "web");
-                    CHECK(announce->registration.state == registry::EndpointState::Ready);
-                    if (announce->config_version == 7) CHECK(announce->demands.size() == 2);
-                    told.insert(announce->config_version);
+                if (const auto* request = std::get_if<rpc::RegisterRequest>(&message)) {
+                    CHECK(request->registration.service == "web");
+                    CHECK(request->registration.state == registry::EndpointState::Ready);
+                    if (request->config_version == 7) CHECK(request->demands.size() == 2);
+                    registered_versions.insert(request->config_version);
                     channel->send(rpc::RegisterResponse{1, {}, true, 1});
-                } else if (const auto* poll = std::get_if<rpc::WatchRequest>(&message)) {
-                    polls.push_back(*poll);
-                    rpc::WatchResponse news;
-                    news.registry = {5, polls.size(), polls.size() == 1, {}, {}};
-                    registry::ProxyRegistration place;
-                    place.node = "other";
-                    place.incarnation = 1;
-                    if (polls.size() == 1) news.registry.registrations.push_back(place);
-                    news.config_version = 7;
-                    news.has_quorum_contact = true;
-                    if (poll->wants_config) news.config = configuration({3, 3, 2}, 7, 0);
-                    if (poll->config_version < 7) channel->send(news);
+                } else if (const auto* watch = std::get_if<rpc::WatchRequest>(&message)) {
+                    watch_requests.push_back(*watch);
+                    rpc::WatchResponse response;
+                    response.registry = {5, watch_requests.size(), watch_requests.size() == 1, {}, {}};
+                    registry::ProxyRegistration registration;
+                    registration.node = "other";
+                    registration.incarnation = 1;
+                    if (watch_requests.size() == 1) response.registry.registrations.push_back(registration);
+                    response.config_version = 7;
+                    response.has_quorum_contact = true;
+                    if (watch->wants_config) response.config = configuration({3, 3, 2}, 7, 0);
+                    if (watch->config_version < 7) channel->send(response);
                 }
-                if (told.contains(7)) loop.stop();
+                if (registered_versions.contains(7)) loop.stop();
             },
             [] {});
     });
@@ -83,12 +81,12 @@
     SimulatedProxy proxy(loop, {"proxy-1", "127.0.94.1:1", "web", "zone-1", {at}, {}}, gauge);
     loop.add(loop.now() + 5s, [&] { loop.stop(); });
     loop.run();
-    REQUIRE(polls.size() >= 3);  // it has nothing; it is told of a version and wants it; it has it
-    CHECK(polls[0].config_version == 0);
-    CHECK_FALSE(polls[0].wants_config);
-    CHECK(polls[1].wants_config);
-    CHECK(polls[1].epoch == 5);
-    CHECK(polls[2].config_version == 7);
+    REQUIRE(watch_requests.size() >= 3);  // has no version; learns of version 7 and wants it; has it
+    CHECK(watch_requests[0].config_version == 0);
+    CHECK_FALSE(watch_requests[0].wants_config);
+    CHECK(watch_requests[1].wants_config);
+    CHECK(watch_requests[1].epoch == 5);
+    CHECK(watch_requests[2].config_version == 7);
     CHECK(gauge.version == 7);
     CHECK(gauge.in_touch == 1);
     CHECK(gauge.live == 1);
--- a/tools/scale_test/figures.cpp
+++ b/tools/scale_test/figures.cpp
@@ -10,17 +10,17 @@
 namespace martenford::scale_test {
 
 namespace {
-constexpr std::size_t kRoutesOfAHost = 25;
+constexpr std::size_t kRoutesPerHost = 25;
 }
 
 double quantile(std::vector<double> values, double q) {
     std::erase_if(values, [](double value) { return std::isnan(value); });
     if (values.empty()) return std::numeric_limits<double>::quiet_NaN();
     std::sort(values.begin(), values.end());
-    const double place = q * static_cast<double>(values.size() - 1);
-    const auto low = static_cast<std::size_t>(place);
+    const double position = q * static_cast<double>(values.size() - 1);
+    const auto low = static_cast<std::size_t>(position);
     const auto high = std::min(low + 1, values.size() - 1);
-    return values[low] + (values[high] - values[low]) * (place - static_cast<double>(low));
+    return values[low] + (values[high] - values[low]) * (position - static_cast<double>(low));
 }
 
 std::optional<Slope> slope(const std::vector<std::pair<double, double>>& points) {
@@ -87,7 +87,7 @@
     return "service-" + std::to_string(i);
 }
 
-std::string configuration(const Shape& shape, std::uint32_t version, std::uint32_t base) {
+std::string configuration(const ConfigSize& size, std::uint32_t version, std::uint32_t base) {
     using mesh_config::Json;
     Json out = {{"version", mesh_config::text_of(version)}, {"base_version", mesh_config::text_of(base)}};
     out["limits"] = {{"max_header_bytes", 16384},
@@ -95,7 +95,7 @@
                      {"header_timeout_ms", 3000},
                      {"idle_timeout_ms", 15000}};
     out["tenants"] = Json::array();
-    for (std::size_t i = 0; i < shape.tenants; ++i) {
+    for (std::size_t i = 0; i < size.tenants; ++i) {
         const auto n = std::to_string(i);
         out["tenants"].push_back({{"name", "tenant-" + n},
                                   {"api_keys", {"key-of-tenant-" + n}},
@@ -104,11 +104,11 @@
                                   {"burst", 500}});
     }
     out["clusters"] = Json::array();
-    for (std::size_t i = 0; i < shape.services; ++i) out["clusters"].push_back({{"name", service_name(i)}});
+    for (std::size_t i = 0; i < size.services; ++i) out["clusters"].push_back({{"name", service_name(i)}});
     out["listeners"] = Json::array();
-    for (std::size_t i = 0; i < shape.routes; ++i) {
-        if (i % kRoutesOfAHost == 0) {
-            const auto host = "host-" + std::to_string(i / kRoutesOfAHost) + ".example";
+    for (std::size_t i = 0; i < size.routes; ++i) {
+        if (i % kRoutesPerHost == 0) {
+            const auto host = "host-" + std::to_string(i / kRoutesPerHost) + ".example";
             out["listeners"].push_back({{"host", host}, {"rule_set", Json::array()}});
         }
         const auto n = std::to_string(i);
@@ -122,9 +122,7 @@
              {"keyless", false},
              {"matcher", {{"path_prefix", "/path-" + n + "/"}}},
              {"route_action",
-              {{"service", service_name(i % shape.services)},
-               {"timeout_ms", timeout},
-               {"max_attempts", 2}}}});
+              {{"service", service_name(i % size.services)}, {"timeout_ms", timeout}, {"max_attempts", 2}}}});
     }
     return out.dump();
 }
--- a/tools/scale_test/load.cpp
+++ b/tools/scale_test/load.cpp
@@ -21,7 +21,7 @@
     const auto earlier = before.sockets.find(name);
     load.connections = static_cast<double>(open->second.size());
     for (const auto& [cookie, socket] : open->second) {
-        Socket start;  // zero for a connection opened in between
+        TcpEndpoint start;  // zero for a connection opened in between
         if (earlier != before.sockets.end()) {
             if (const auto it = earlier->second.find(cookie); it != earlier->second.end()) start = it->second;
         }
@@ -36,11 +36,11 @@
 }  // namespace
 
 Load load_between(const std::string& name, const Snapshot& before, const Snapshot& after) {
-    const Spent& end = after.spent.at(name);
-    Spent start;
+    const ProcessUsage& end = after.spent.at(name);
+    ProcessUsage start;
     if (const auto it = before.spent.find(name); it != before.spent.end()) start = it->second;
     const bool is_same_process = end.processor_s >= start.processor_s && end.disk_bytes >= start.disk_bytes;
-    if (!is_same_process) start = Spent{};
+    if (!is_same_process) start = ProcessUsage{};
     Load out;
     out.processor = end.processor_s - start.processor_s;
     out.disk = end.disk_bytes - start.disk_bytes;
--- a/tools/scale_test/load.h
+++ b/tools/scale_test/load.h
@@ -20,9 +20,9 @@
 /// The counters of all processes at one moment, by the process's name.
 struct Snapshot {
     Clock::time_point at;
-    std::map<std::string, Spent> spent;
-    std::map<std::string, std::map<std::uint64_t, Socket>> sockets;  ///< by process, then cookie
-    std::set<std::uint64_t> between_controllers;                     ///< cookies
+    std::map<std::string, ProcessUsage> spent;
+    std::map<std::string, std::map<std::uint64_t, TcpEndpoint>> sockets;  ///< by process, then cookie
+    std::set<std::uint64_t> between_controllers;                          ///< cookies
 };
 
 /// What one process spent over a span, or several of a role put together.
--- a/tools/scale_test/mesh.cpp
+++ b/tools/scale_test/mesh.cpp
@@ -76,12 +76,12 @@
 
 double Mesh::put_configuration() {
     const auto version = version_ + 1;
-    const std::string body = configuration(size_.shape, version, version_);
+    const std::string body = configuration(size_.config, version, version_);
     const auto started_at = Clock::now();
     std::size_t next = 0;
     std::string target = leader_ip_.empty() ? controller_ip(options_.net, next) : leader_ip_;
     while (to_seconds(Clock::now() - started_at) < kEventTimeout) {
-        const Reply reply = post(target, kControlPort, kConfigurationPath, body, kPutTimeoutSeconds);
+        const HttpReply reply = http_post(target, kControlPort, kConfigurationPath, body, kPutTimeoutSeconds);
         if (reply.status == 200) {
             leader_ip_ = target;
             version_ = version;
@@ -101,7 +101,7 @@
 
 void Mesh::check_controllers() const {
     for (const std::string& name : controllers_) {
-        if (ended(processes_.pid(name)))
+        if (has_exited(processes_.pid(name)))
             throw std::runtime_error(name + " has ended; is another run on these addresses?");
     }
 }
@@ -127,7 +127,7 @@
     const auto port = [&](int offset) { return host_port(ip, kControlPort + offset) + "\"\n"; };
     const auto number = size_.proxies + index;
     processes_.write(name, settings(name, ip, FirstBoot::Yes, zone_name(number)) + "service = \"" +
-                               service_name(number % size_.shape.services) + "\"\napp_address = \"" +
+                               service_name(number % size_.config.services) + "\"\napp_address = \"" +
                                port(1) + "[listen_addrs]\ninbound = \"" + port(2) + "outbound = \"" +
                                port(3) + "readiness = \"" + port(4) + "control = \"" + port(0));
     processes_.start(name, options_.proxy);
@@ -141,9 +141,9 @@
     for (std::size_t i = 0; i < real_proxies_.size(); ++i) {
         const std::size_t number = size_.proxies + i;
         const std::string ip = real_proxy_ip(options_.net, i);
-        post(ip, kControlPort, "/v1/instances/instance-" + std::to_string(number) + "/heartbeat",
-             heartbeat_body(ip, service_name(number % size_.shape.services), heartbeats_),
-             kHeartbeatTimeoutSeconds);
+        http_post(ip, kControlPort, "/v1/instances/instance-" + std::to_string(number) + "/heartbeat",
+                  heartbeat_body(ip, service_name(number % size_.config.services), heartbeats_),
+                  kHeartbeatTimeoutSeconds);
     }
 }
 
@@ -186,11 +186,11 @@
     const std::vector<std::string> names = process_names();
     std::map<std::uint64_t, const std::string*> owners;  // by the socket's inode
     for (const std::string& name : names) {
-        for (const auto inode : held_sockets(processes_.pid(name))) owners[inode] = &name;
+        for (const auto inode : socket_inodes(processes_.pid(name))) owners[inode] = &name;
     }
-    const auto all = sockets();
+    const auto all = tcp_endpoints();
     out.at = Clock::now();
-    for (const std::string& name : names) out.spent[name] = spent(processes_.pid(name));
+    for (const std::string& name : names) out.spent[name] = read_process_usage(processes_.pid(name));
     std::map<EndKey, const std::string*> owner_by_end;
     for (const auto& [cookie, socket] : all) {
         if (const auto it = owners.find(socket.inode); it != owners.end())
--- a/tools/scale_test/phases.cpp
+++ b/tools/scale_test/phases.cpp
@@ -72,7 +72,7 @@
 
 void StepRun::log_progress(const std::string& text) const {
     std::cerr << size_.proxies << "+" << size_.real << " proxies, " << size_.controllers << " controllers, "
-              << size_.shape.services << " services, " << size_.shape.routes << " routes: " << text
+              << size_.config.services << " services, " << size_.config.routes << " routes: " << text
               << std::endl;
 }
 
@@ -155,7 +155,7 @@
     for (std::size_t i = 0; i < size_.proxies; ++i) {
         const Gauge& gauge = mesh_.board().gauges[i];
         if (gauge.version >= version)
-            times.push_back(static_cast<double>(gauge.served_at_ns) / 1e9 - start_s);
+            times.push_back(static_cast<double>(gauge.in_force_since_ns) / 1e9 - start_s);
     }
     out.median_s = median(times);
     out.max_s = quantile(times, 1);
--- a/tools/scale_test/processes.cpp
+++ b/tools/scale_test/processes.cpp
@@ -8,12 +8,12 @@
 #include <linux/rtnetlink.h>
 #include <linux/sock_diag.h>
 #include <linux/tcp.h>
-#include <signal.h>
 #include <sys/prctl.h>
 #include <sys/socket.h>
 #include <sys/wait.h>
 #include <unistd.h>
 
+#include <csignal>
 #include <cstdlib>
 #include <cstring>
 #include <filesystem>
@@ -26,12 +26,14 @@
 
 namespace {
 
-constexpr int kEstablished = 1;  // the kernel's number of the state
+constexpr int kTcpEstablished = 1;                       // TCP_ESTABLISHED of the kernel's tcp_states.h
+constexpr std::size_t kNetlinkBufferBytes = 256 * 1024;  // a dump comes in parts of at most 32 KB
 
 std::string proc(pid_t pid, const char* what) {
     return "/proc/" + std::to_string(pid) + "/" + what;
 }
 
+/// Closes a file descriptor.
 class Descriptor {
   public:
     explicit Descriptor(int fd) : fd_(fd) {}
@@ -46,10 +48,48 @@
     int fd_;
 };
 
+/// Asks the kernel for all established IPv4 TCP sockets with their TCP_INFO.
+void request_dump(int link) {
+    struct {
+        nlmsghdr head;
+        inet_diag_req_v2 body;
+    } request{};
+    request.head.nlmsg_len = sizeof request;
+    request.head.nlmsg_type = SOCK_DIAG_BY_FAMILY;
+    request.head.nlmsg_flags = NLM_F_REQUEST | NLM_F_DUMP;
+    request.body.sdiag_family = AF_INET;
+    request.body.sdiag_protocol = IPPROTO_TCP;
+    request.body.idiag_states = 1u << kTcpEstablished;
+    request.body.idiag_ext = 1u << (INET_DIAG_INFO - 1);
+    if (::send(link, &request, sizeof request, 0) < 0) throw std::runtime_error("no socket diagnostics");
+}
+
+/// Reads one message of the dump; `diag` is its payload, followed by the attributes.
+TcpEndpoint parse_endpoint(const nlmsghdr& head, const inet_diag_msg& diag) {
+    TcpEndpoint out;
+    out.inode = diag.idiag_inode;
+    out.local = diag.id.idiag_src[0];
+    out.remote = diag.id.idiag_dst[0];
+    out.local_port = ntohs(diag.id.idiag_sport);
+    out.remote_port = ntohs(diag.id.idiag_dport);
+    int left = static_cast<int>(head.nlmsg_len - NLMSG_LENGTH(sizeof diag));
+    for (const auto* attribute = reinterpret_cast<const rtattr*>(&diag + 1); RTA_OK(attribute, left);
+         attribute = RTA_NEXT(attribute, left)) {
+        if (attribute->rta_type != INET_DIAG_INFO) continue;
+        tcp_info info{};
+        std::memcpy(&info, RTA_DATA(attribute), std::min(sizeof info, RTA_PAYLOAD(attribute)));
+        out.bytes_in = static_cast<double>(info.tcpi_bytes_received);
+        out.bytes_out = static_cast<double>(info.tcpi_bytes_acked);
+        out.messages_in = info.tcpi_data_segs_in;
+        out.messages_out = info.tcpi_data_segs_out;
+    }
+    return out;
+}
+
 }  // namespace
 
-Spent spent(pid_t pid) {
-    Spent out;
+ProcessUsage read_process_usage(pid_t pid) {
+    ProcessUsage out;
     std::error_code error;
     for (const auto& task : std::filesystem::directory_iterator(proc(pid, "task"), error)) {
         std::ifstream file(task.path() / "schedstat");
@@ -74,30 +114,19 @@
     return out;
 }
 
-bool ended(pid_t pid) {
+bool has_exited(pid_t pid) {
     siginfo_t info{};
-    // Left to be waited for: until then its number is nobody else's.
+    // WNOWAIT: not reaped, so that no other process gets its id.
     return ::waitid(P_PID, static_cast<id_t>(pid), &info, WEXITED | WNOHANG | WNOWAIT) != 0 ||
            info.si_pid != 0;
 }
 
-std::map<std::uint64_t, Socket> sockets() {
-    std::map<std::uint64_t, Socket> out;
+std::map<std::uint64_t, TcpEndpoint> tcp_endpoints() {
+    std::map<std::uint64_t, TcpEndpoint> out;
     const Descriptor link(::socket(AF_NETLINK, SOCK_RAW | SOCK_CLOEXEC, NETLINK_SOCK_DIAG));
     if (link.get() < 0) throw std::runtime_error("no socket diagnostics on this system");
-    struct {
-        nlmsghdr head;
-        inet_diag_req_v2 body;
-    } ask{};
-    ask.head.nlmsg_len = sizeof ask;
-    ask.head.nlmsg_type = SOCK_DIAG_BY_FAMILY;
-    ask.head.nlmsg_flags = NLM_F_REQUEST | NLM_F_DUMP;
-    ask.body.sdiag_family = AF_INET;
-    ask.body.sdiag_protocol = IPPROTO_TCP;
-    ask.body.idiag_states = 1u << kEstablished;
-    ask.body.idiag_ext = 1u << (INET_DIAG_INFO - 1);
-    if (::send(link.get(), &ask, sizeof ask, 0) < 0) throw std::runtime_error("no socket diagnostics");
-    std::vector<char> buffer(256 * 1024);
+    request_dump(link.get());
+    std::vector<char> buffer(kNetlinkBufferBytes);
     for (;;) {
         const auto size = ::recv(link.get(), buffer.data(), buffer.size(), 0);
         if (size <= 0) return out;
@@ -106,31 +135,14 @@
              head = NLMSG_NEXT(head, left)) {
             if (head->nlmsg_type == NLMSG_DONE || head->nlmsg_type == NLMSG_ERROR) return out;
             const auto* diag = static_cast<const inet_diag_msg*>(NLMSG_DATA(head));
-            Socket socket;
-            socket.inode = diag->idiag_inode;
-            socket.local = diag->id.idiag_src[0];
-            socket.remote = diag->id.idiag_dst[0];
-            socket.local_port = ntohs(diag->id.idiag_sport);
-            socket.remote_port = ntohs(diag->id.idiag_dport);
-            int rest = static_cast<int>(head->nlmsg_len - NLMSG_LENGTH(sizeof *diag));
-            for (const auto* attribute = reinterpret_cast<const rtattr*>(diag + 1); RTA_OK(attribute, rest);
-                 attribute = RTA_NEXT(attribute, rest)) {
-                if (attribute->rta_type != INET_DIAG_INFO) continue;
-                tcp_info info{};
-                std::memcpy(&info, RTA_DATA(attribute), std::min(sizeof info, RTA_PAYLOAD(attribute)));
-                socket.bytes_in = static_cast<double>(info.tcpi_bytes_received);
-                socket.bytes_out = static_cast<double>(info.tcpi_bytes_acked);
-                socket.messages_in = info.tcpi_data_segs_in;
-                socket.messages_out = info.tcpi_data_segs_out;
-            }
             const auto cookie =
                 static_cast<std::uint64_t>(diag->id.idiag_cookie[1]) << 32 | diag->id.idiag_cookie[0];
-            out[cookie] = socket;
+            out[cookie] = parse_endpoint(*head, *diag);
         }
     }
 }
 
-std::set<std::uint64_t> held_sockets(pid_t pid) {
+std::set<std::uint64_t> socket_inodes(pid_t pid) {
     std::set<std::uint64_t> out;
     std::error_code error;
     for (const auto& entry : std::filesystem::directory_iterator(proc(pid, "fd"), error)) {
@@ -153,9 +165,8 @@
     std::filesystem::remove_all(folder_, error);
 }
 
-std::string Processes::write(const std::string& name, const std::string& settings) const {
+void Processes::write(const std::string& name, const std::string& settings) const {
     std::ofstream(folder_ + "/" + name + ".toml") << settings;
-    return name;
 }
 
 pid_t Processes::start(const std::string& name, const std::string& program) {
@@ -163,7 +174,7 @@
     const pid_t pid = ::fork();
     if (pid < 0) throw std::runtime_error("can't start " + name);
     if (pid == 0) {
-        ::prctl(PR_SET_PDEATHSIG, SIGKILL);  // a run that crashes leaves nobody behind
+        ::prctl(PR_SET_PDEATHSIG, SIGKILL);  // no child outlives a run that crashes
         const int to = ::open(log.c_str(), O_WRONLY | O_CREAT | O_APPEND, 0600);
         ::dup2(to, 1);
         ::dup2(to, 2);
@@ -182,8 +193,8 @@
     running_.erase(it);
 }
 
-Reply post(const std::string& ip, std::uint16_t port, const std::string& path, const std::string& body,
-           int timeout_s) {
+HttpReply http_post(const std::string& ip, std::uint16_t port, const std::string& path,
+                    const std::string& body, int timeout_s) {
     const Descriptor socket(::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0));
     const timeval limit{timeout_s, 0};
     ::setsockopt(socket.get(), SOL_SOCKET, SO_RCVTIMEO, &limit, sizeof limit);
@@ -206,11 +217,11 @@
     char buffer[4096];
     for (ssize_t size; (size = ::recv(socket.get(), buffer, sizeof buffer, 0)) > 0;)
         got.append(buffer, static_cast<std::size_t>(size));
-    Reply reply;
+    HttpReply reply;
     if (!got.starts_with("HTTP/1.1 ")) return reply;
     reply.status = std::atoi(got.c_str() + 9);
     constexpr std::string_view kField = "Location: http://";
-    if (const auto at = got.find(kField); at != got.npos) {
+    if (const auto at = got.find(kField); at != std::string::npos) {
         const auto from = at + kField.size();
         reply.location = got.substr(from, got.find_first_of(":/", from) - from);
     }
--- a/tools/scale_test/report.cpp
+++ b/tools/scale_test/report.cpp
@@ -29,8 +29,8 @@
 /// The first cells of each row of both tables.
 std::vector<std::string> size_cells(const StepSize& size) {
     std::vector<std::string> row;
-    for (const std::size_t number : {size.proxies, size.real, size.controllers, size.shape.services,
-                                     size.shape.routes, size.shape.tenants})
+    for (const std::size_t number : {size.proxies, size.real, size.controllers, size.config.services,
+                                     size.config.routes, size.config.tenants})
         row.push_back(std::to_string(number));
     return row;
 }
@@ -61,7 +61,7 @@
             row.push_back(cell(value));
         loads_.rows.push_back(std::move(row));
         if (phase.phase != kIdlePhase || role == kBusiestWorker) continue;
-        const SeriesKey key{size.shape.services, size.shape.routes, size.controllers, size.real > 0, role};
+        const SeriesKey key{size.config.services, size.config.routes, size.controllers, size.real > 0, role};
         idle_[key].push_back({static_cast<double>(size.proxies + size.real), load, s});
     }
 }
--- a/tools/scale_test/simulated_proxy.cpp
+++ b/tools/scale_test/simulated_proxy.cpp
@@ -9,8 +9,10 @@
 
 namespace {
 
+constexpr int kSlots = 4;  // of the endpoint, as the heartbeats of real endpoints in a run report
+
 std::uint64_t random_nonzero_id() {
-    // Not the system's source for each: thousands of proxies start in one process.
+    // One generator for all: hundreds of proxies start in one process, and random_device is a system call.
     static std::mt19937_64 random{std::random_device{}()};
     return random() | 1;
 }
@@ -28,10 +30,10 @@
       ticker_(loop) {
     registration_.node = options.node;
     registration_.incarnation = random_nonzero_id();
-    registration_.inbound_address = options.gate;
+    registration_.inbound_address = options.inbound_address;
     registration_.service = options.service;
     registration_.zone = options.zone;
-    registration_.slots = 4;
+    registration_.slots = kSlots;
     replace_endpoint();
     for (const Address& seed : options.controllers) controllers_.connect(text_of(seed));
     ticker_.set(loop_.now() + options.first_tick, [this] { tick(); });
@@ -86,8 +88,8 @@
     if (!routes) return;
     controllers_.set_config_version(version);
     routes_ = std::move(routes);
-    gauge_.served_at_ns.store(std::chrono::nanoseconds{loop_.now().time_since_epoch()}.count(),
-                              std::memory_order_relaxed);
+    gauge_.in_force_since_ns.store(std::chrono::nanoseconds{loop_.now().time_since_epoch()}.count(),
+                                   std::memory_order_relaxed);
     gauge_.version.store(version, std::memory_order_release);
     controllers_.register_with_new_demands();
 }
--- a/tools/scale_test/simulated_proxy.h
+++ b/tools/scale_test/simulated_proxy.h
@@ -1,7 +1,6 @@
-// A simulated node: the control side of a proxy without its requests. The objects are the proxy's own
-// (ControllerClient, registry view, upstream table, quotas, routes); its endpoint is a registration alone. A
-// run of simulated and real proxies side by side shows whether both cost a controller the same
-// (docs/CAPACITY.md).
+// A simulated proxy: the control plane side of a proxy, without requests. Its parts are those of the real
+// proxy (ControllerClient, registry view, upstream table, quotas, routes); its endpoint exists only as a
+// registration. docs/CAPACITY.md compares what simulated and real proxies cost a controller.
 #pragma once
 
 #include <atomic>
@@ -21,26 +20,29 @@
 
 namespace martenford::scale_test {
 
-/// What one proxy shows to the process that measures. Written by its own process alone.
+/// State of one proxy in memory shared with the measuring process; only the proxy's process writes it.
 struct Gauge {
-    std::atomic<std::uint32_t> version = 0;      ///< of the configuration in force
-    std::atomic<std::int64_t> served_at_ns = 0;  ///< since when, by the steady clock
-    std::atomic<std::uint32_t> live = 0;         ///< proxies that it knows and whose lease has not expired
-    std::atomic<std::uint32_t> in_touch = 0;     ///< controllers that say that they have quorum contact
+    std::atomic<std::uint32_t> version = 0;           ///< of the configuration in force
+    std::atomic<std::int64_t> in_force_since_ns = 0;  ///< since when: steady clock, ns
+    std::atomic<std::uint32_t> live = 0;      ///< proxies in its registry view whose lease has not expired
+    std::atomic<std::uint32_t> in_touch = 0;  ///< controllers that report quorum contact
 };
 
+/// Runs on the loop's thread.
 class SimulatedProxy : private proxy::ControllerObserver {
   public:
     struct Options {
-        std::string node, gate, service, zone;
-        std::vector<Address> controllers;  ///< the seeds' own addresses
-        Duration first_tick{};             ///< so that many in one process don't tick together
+        std::string node, inbound_address, service, zone;
+        std::vector<Address> controllers;  ///< the seeds' internal addresses
+        Duration first_tick{};  ///< delay; differs, so that the proxies of a process don't tick together
     };
     SimulatedProxy(Loop& loop, const Options& options, Gauge& gauge);
-    /// The endpoint beside it ends; another is there from replace_endpoint() on.
+    /// Registers that the endpoint has ended.
     void end_endpoint();
+    /// Registers a new endpoint as ready.
     void replace_endpoint();
-    std::uint32_t version() const { return controllers_.config_version(); }
+    /// The version of the configuration in force; 0: none.
+    [[nodiscard]] std::uint32_t version() const { return controllers_.config_version(); }
 
   private:
     [[nodiscard]] const registry::ProxyRegistration& registration() const override { return registration_; }
@@ -61,7 +63,7 @@
     std::shared_ptr<const mesh_config::RouteTable> routes_;
     std::set<std::string> expired_;  // nodes whose lease has expired
     registry::ProxyRegistration registration_;
-    std::uint32_t endpoints_ = 0;  // that there were
+    std::uint32_t endpoints_ = 0;  // started so far; numbers their instance ids
     proxy::ControllerClient controllers_;
     Timer ticker_;
 };
--- a/tools/scale_test/topology.h
+++ b/tools/scale_test/topology.h
@@ -20,7 +20,7 @@
     std::size_t proxies = 0;      ///< simulated ones
     std::size_t real = 0;         ///< real proxies beside them
     std::size_t controllers = 3;  ///< all of them vote
-    Shape shape;                  ///< of the configuration
+    ConfigSize config;            ///< of the configuration
 };
 
 /// Addresses below `net`, the first half of a loopback address ("127.77").
--- a/tools/scale_test/worker.cpp
+++ b/tools/scale_test/worker.cpp
@@ -31,8 +31,8 @@
 SimulatedProxy::Options proxy_options(const Options& options, const StepSize& size, std::size_t number) {
     SimulatedProxy::Options out;
     out.node = "proxy-" + std::to_string(number);
-    out.gate = simulated_proxy_ip(options.net, number) + ":" + std::to_string(kControlPort + 2);
-    out.service = service_name(number % size.shape.services);
+    out.inbound_address = simulated_proxy_ip(options.net, number) + ":" + std::to_string(kControlPort + 2);
+    out.service = service_name(number % size.config.services);
     out.zone = zone_name(number);
     for (std::size_t i = 0; i < std::min(kMaxSeeds, size.controllers); ++i)
         out.controllers.push_back(
