--- a/tests/mesh/previous_release_test.cpp
+++ b/tests/mesh/previous_release_test.cpp
@@ -143,7 +143,9 @@
 
 TEST_CASE("a controller serves from the data directory of the release before") {
     rig::Processes processes;
-    rig::Machine machine{"core-1", processes.ip(1)};
+    rig::Machine machine;
+    machine.name = "core-1";
+    machine.ip = processes.ip(1);
     machine.seeds = {rig::at(machine.ip, Port::Control)};
     machine.first_boot = false;
     std::filesystem::copy(std::string(GOLDEN_DIR) + "/store-alone", processes.folder() + "/core-1");
@@ -162,7 +164,9 @@
 
 TEST_CASE("a controller answers what a proxy of the release before sends") {
     rig::Processes processes;
-    rig::Machine machine{"core-1", processes.ip(1)};
+    rig::Machine machine;
+    machine.name = "core-1";
+    machine.ip = processes.ip(1);
     machine.seeds = {rig::at(machine.ip, Port::Control)};
     machine.first_boot = false;
     std::filesystem::copy(std::string(GOLDEN_DIR) + "/store-alone", processes.folder() + "/core-1");
@@ -197,7 +201,9 @@
     const std::string controller_ip = processes.ip(2);
     Socket listener;
     listener.listen(rig::at(controller_ip, Port::Mesh));
-    rig::Machine machine{"side-1", processes.ip(1)};
+    rig::Machine machine;
+    machine.name = "side-1";
+    machine.ip = processes.ip(1);
     machine.seeds = {rig::at(controller_ip, Port::Control)};
     machine.service = "web";
     processes.start(machine);
