--- a/tests/mesh/quota_test.cpp
+++ b/tests/mesh/quota_test.cpp
@@ -149,3 +149,20 @@
     CHECK(static_cast<double>(window.max()) <= kMaxInWindow);
     CHECK(by_partitioned >= 150);  // four of twelve for 14 s: an even share is 230
 }
+
+TEST_CASE("a quota lease counts from the send time of its request, not from when the reply is read") {
+    const quota::Quota quota{100, 10};
+    quota::QuotaLimiter late({}), prompt({});
+    const Time requested_at{10s}, read_at{12500ms};
+    prompt.apply_leases(requested_at, {{"t", 100, 10, 2600}}, requested_at);
+    late.apply_leases(read_at, {{"t", 100, 10, 2600}}, requested_at);
+    const auto remaining_ms = [&](quota::QuotaLimiter& limiter, Time now) {
+        limiter.admit(now, "t", quota, 10);
+        const auto demands = limiter.demands(now, {"t"});
+        return demands.front().lease_remaining_ms;
+    };
+    CHECK(remaining_ms(late, read_at) <= 100);
+    late.apply_leases(read_at + 1s, {{"t", 100, 10, 2600}}, requested_at);
+    CHECK(remaining_ms(late, read_at + 1s) == 0);
+    CHECK(remaining_ms(prompt, requested_at) == 2600);
+}
--- a/tests/mesh/raft_membership_test.cpp
+++ b/tests/mesh/raft_membership_test.cpp
@@ -1,4 +1,5 @@
-// Choice of voters, replicas of acknowledged entries, graceful shutdown, and leases of suspended processes.
+// Choice of voters, replicas of acknowledged entries, graceful shutdown, and leader leases of suspended
+// processes.
 #include <doctest/doctest.h>
 
 #include <algorithm>
@@ -6,7 +7,6 @@
 #include <memory>
 #include <set>
 
-#include "quota/quota.h"
 #include "raft/raft_node.h"
 
 using namespace martenford;
@@ -267,20 +267,3 @@
     raft.on_persisted(now);
     CHECK(raft.is_durable(*position));
 }
-
-TEST_CASE("a quota lease counts from the send time of its request, not from when the reply is read") {
-    const quota::Quota quota{100, 10};
-    quota::QuotaLimiter late({}), prompt({});
-    const Time requested_at{10s}, read_at{12500ms};
-    prompt.apply_leases(requested_at, {{"t", 100, 10, 2600}}, requested_at);
-    late.apply_leases(read_at, {{"t", 100, 10, 2600}}, requested_at);
-    const auto remaining_ms = [&](quota::QuotaLimiter& limiter, Time now) {
-        limiter.admit(now, "t", quota, 10);
-        const auto demands = limiter.demands(now, {"t"});
-        return demands.front().lease_remaining_ms;
-    };
-    CHECK(remaining_ms(late, read_at) <= 100);
-    late.apply_leases(read_at + 1s, {{"t", 100, 10, 2600}}, requested_at);
-    CHECK(remaining_ms(late, read_at + 1s) == 0);
-    CHECK(remaining_ms(prompt, requested_at) == 2600);
-}
