--- a/tests/mesh/config_version_gate_test.cpp
+++ b/tests/mesh/config_version_gate_test.cpp
@@ -13,6 +13,7 @@
 #include <filesystem>
 #include <fstream>
 
+#include "mesh/rig/processes.h"
 #include "rpc/channel.h"
 
 using namespace martenford;
@@ -22,17 +23,18 @@
 constexpr Duration kFirstConfigWait = 400ms;
 const Time kStart{1000s};
 
-constexpr int kPort = 21890;  // below the ports that the system gives away by itself
-std::string host(int i) {
-    return "127.0.95." + std::to_string(i);
+constexpr int kPort = 21890;  // below the ephemeral range, and apart from rig::kPorts
+/// A loopback address of this test process, so that several runs at once do not collide.
+std::string host(std::size_t machine) {
+    return rig::Processes::ip(machine);
 }
 
 /// Answers a proxy's polls as a controller does: at once if it has a newer version than the poll names, with
 /// the document if the poll asks for it.
 class ControllerDouble {
   public:
-    ControllerDouble(Loop& loop, int i)
-        : listener_(loop, *parse_address(host(i) + ":" + std::to_string(kPort)), [this](auto channel) {
+    ControllerDouble(Loop& loop, std::size_t machine)
+        : listener_(loop, *parse_address(host(machine) + ":" + std::to_string(kPort)), [this](auto channel) {
               channel_ = channel;
               channel->start([this](rpc::Message&& message) { receive(std::move(message)); }, [] {});
           }) {}
@@ -94,7 +96,7 @@
 class PartitionedControllers {
   public:
     PartitionedControllers() {
-        char path[] = "/tmp/mesh-intake-XXXXXX";
+        char path[] = "/tmp/mesh-version-gate-XXXXXX";
         folder_ = ::mkdtemp(path);
         const std::string config = folder_ + "/proxy.toml";
         const auto at = [](int offset) {
--- a/tests/mesh/rig/processes.cpp
+++ b/tests/mesh/rig/processes.cpp
@@ -34,7 +34,7 @@
     std::filesystem::remove_all(folder_, ignored);
 }
 
-std::string Processes::ip(std::size_t machine) const {
+std::string Processes::ip(std::size_t machine) {
     const auto own = static_cast<unsigned>(::getpid());
     return "127." + std::to_string(100 + (own >> 8) % 100) + "." + std::to_string(own & 0xff) + "." +
            std::to_string(machine);
--- a/tests/mesh/rig/processes.h
+++ b/tests/mesh/rig/processes.h
@@ -38,8 +38,9 @@
     Processes& operator=(const Processes&) = delete;
 
     const std::string& folder() const { return folder_; }
-    /// "127.x.y.z" for these processes alone: tests may go on beside each other.
-    std::string ip(std::size_t machine) const;
+    /// Returns "127.x.y.<machine>", where x and y derive from this test's process id: several tests, and
+    /// several runs of one, can listen at the same time.
+    static std::string ip(std::size_t machine);
     /// Writes the settings file and starts the program; a controller finds its disk of earlier lives.
     void start(const Machine& machine);
     bool runs(const std::string& name) const { return all_.contains(name); }
