--- a/tests/mesh/plays_test.cpp
+++ b/tests/mesh/plays_test.cpp
@@ -1,6 +1,6 @@
-// Real controllers and proxies under faults that a seed draws, with two operators and a checker of what they,
-// the clients and the endpoints saw. Three short plays; tests/long/mesh_schedules.sh asks for more and longer
-// ones.
+// Real controllers and proxies under random faults, with two operators and a checker of what these, the
+// clients and the endpoints observed. Three short plays; tests/long/mesh_schedules.sh runs more and longer
+// ones. MARTENFORD_SEED selects a single play, MARTENFORD_COURSE=1 prints its transcript.
 #include <doctest/doctest.h>
 
 #include <cstdlib>
@@ -13,48 +13,50 @@
 
 namespace {
 
-std::uint64_t from_environment(const char* name, std::uint64_t otherwise) {
+std::uint64_t from_environment(const char* name, std::uint64_t default_value) {
     const char* value = std::getenv(name);
-    return value ? std::strtoull(value, nullptr, 10) : otherwise;
+    return value ? std::strtoull(value, nullptr, 10) : default_value;
 }
 
 double seconds(Duration time) {
     return std::chrono::duration<double>(time).count();
 }
 
-void keeps_all_rules(const PlayOptions& options) {
-    const Outcome outcome = play(options);
-    std::cout << "seed " << options.seed << ", " << options.controllers << " controllers: " << outcome.served
-              << " of " << outcome.history.requests.size() << " requests served, " << outcome.acknowledged
-              << " of " << outcome.history.orders.size() << " orders acknowledged, the longest after "
-              << seconds(outcome.longest_order) << " s; all served " << seconds(outcome.settled)
-              << " s after the last fault (" << outcome.kinds << ")\n";
-    if (from_environment("MARTENFORD_COURSE", 0) != 0) std::cout << outcome.course;
-    std::string broken;
-    for (const auto& each : outcome.violations) broken += each + "\n";
-    CHECK_MESSAGE(outcome.violations.empty(), "seed " << options.seed << ", " << options.controllers
-                                                      << " controllers\n"
-                                                      << broken << outcome.course);
+/// Runs a play and prints its figures; every violation of a rule fails the test.
+void check_play(const PlayOptions& options) {
+    const PlayResult result = play(options);
+    std::cout << "seed " << options.seed << ", " << options.controllers << " controllers: " << result.served
+              << " of " << result.history.requests.size() << " requests served, " << result.acknowledged
+              << " of " << result.history.changes.size() << " orders acknowledged, the longest after "
+              << seconds(result.slowest_change) << " s; all served " << seconds(result.recovery_time)
+              << " s after the last fault (" << result.fault_names << ")\n";
+    if (from_environment("MARTENFORD_COURSE", 0) != 0) std::cout << result.transcript;
+    std::string violated;
+    for (const auto& each : result.violations) violated += each + "\n";
+    CHECK_MESSAGE(result.violations.empty(), "seed " << options.seed << ", " << options.controllers
+                                                     << " controllers\n"
+                                                     << violated << result.transcript);
 }
 
 }  // namespace
 
-TEST_CASE("plays under faults keep the rules") {
+TEST_CASE("random faults: no rule is violated") {
     PlayOptions options;
     options.seed = from_environment("MARTENFORD_SEED", 0);
     if (options.seed != 0) {
         options.controllers = from_environment("MARTENFORD_CONTROLLERS", 3 + options.seed % 3);
-        options.span = 1s * from_environment("MARTENFORD_SPAN", 25);
-        options.planned = from_environment("MARTENFORD_PLANNED", 0) != 0;
-        return keeps_all_rules(options);
+        options.fault_window = 1s * from_environment("MARTENFORD_SPAN", 25);
+        options.planned_only = from_environment("MARTENFORD_PLANNED", 0) != 0;
+        return check_play(options);
     }
-    options.span = 2500ms;
-    // Disks lost while the others are killed; planned work; a cut and a replacement at once, two being borne.
+    options.fault_window = 2500ms;
+    // Disks wiped while the other controllers are killed; planned maintenance; with two tolerated failures, a
+    // partition and a replacement at once.
     const std::pair<std::size_t, std::uint64_t> plays[] = {{3, 42}, {4, 13}, {5, 15}};
     for (const auto& [controllers, seed] : plays) {
         options.controllers = controllers;
         options.seed = seed;
-        options.planned = controllers == 4;
-        keeps_all_rules(options);
+        options.planned_only = controllers == 4;
+        check_play(options);
     }
 }
--- a/tests/mesh/previous_release_test.cpp
+++ b/tests/mesh/previous_release_test.cpp
@@ -146,7 +146,7 @@
     rig::Machine machine{"core-1", processes.ip(1)};
     machine.seeds = {rig::at(machine.ip, Port::Control)};
     machine.first_boot = false;
-    std::filesystem::copy(std::string(GOLDEN_DIR) + "/store-alone", processes.folder() + "/core-1");
+    std::filesystem::copy(std::string(GOLDEN_DIR) + "/store-alone", processes.directory() + "/core-1");
     processes.start(machine);
     // A leader that is not elected yet answers 503.
     std::string response;
@@ -165,7 +165,7 @@
     rig::Machine machine{"core-1", processes.ip(1)};
     machine.seeds = {rig::at(machine.ip, Port::Control)};
     machine.first_boot = false;
-    std::filesystem::copy(std::string(GOLDEN_DIR) + "/store-alone", processes.folder() + "/core-1");
+    std::filesystem::copy(std::string(GOLDEN_DIR) + "/store-alone", processes.directory() + "/core-1");
     processes.start(machine);
     const Socket proxy = connect_to(rig::at(machine.ip, Port::Mesh));
     MessageReader messages(proxy);
--- a/tests/mesh/rig/faults.cpp
+++ b/tests/mesh/rig/faults.cpp
@@ -7,27 +7,99 @@
 namespace martenford::rig {
 
 namespace {
-/// SIGTERM may take as long as `grace_s`, and a new process must come up.
-constexpr Duration kToEnd = 3500ms;
-constexpr Duration kTogether = 900ms;  // a kill of all: back in less than a second
 
+/// Of a SIGTERM: `grace_s`, and the start of a new process.
+constexpr Duration kMaxTerminationTime = 3500ms;
+/// After a kill of all controllers: they are back in less than a second.
+constexpr Duration kMaxTotalOutage = 900ms;
+
+/// Random numbers of a seed. Not std's distributions: those differ between
+/// libraries, and a seed must give the same play everywhere.
 class Draw {
   public:
     explicit Draw(std::uint64_t seed) : random_(seed) {}
-    /// Not std's distributions: those differ between libraries, and a seed must mean one play.
     std::uint64_t below(std::uint64_t end) { return random_() % end; }
-    Duration between(Duration least, Duration most) {
-        return least + Duration(static_cast<Duration::rep>(
-                           below(static_cast<std::uint64_t>((most - least).count()) + 1)));
+    Duration between(Duration min, Duration max) {
+        return min + Duration(static_cast<Duration::rep>(
+                         below(static_cast<std::uint64_t>((max - min).count()) + 1)));
     }
     template <class T>
-    T of(const std::vector<T>& all) {
-        return all[below(all.size())];
+    T one_of(const std::vector<T>& values) {
+        return values[below(values.size())];
     }
 
   private:
     std::mt19937_64 random_;
 };
+
+/// Draws the faults of the controllers. Never more than the tolerated number is
+/// lost at once, except by KillAll and WipeToleratedKillRest, which keep enough
+/// disks.
+class ControllerFaults {
+  public:
+    ControllerFaults(Draw& draw, const FaultOptions& options, std::vector<Fault>& faults)
+        : draw_(draw), options_(options), faults_(faults), lost_until_(options.controllers, Duration{}) {
+        using enum FaultKind;
+        kinds_ = {Kill, Freeze, Wipe, Replace, TermReturn, TermReplace};
+        if (options.partitions) kinds_.insert(kinds_.end(), {CutIn, CutOut, CutBoth, CutBoth});
+        if (options.planned_only) kinds_ = {TermReturn, TermReplace};
+    }
+    void add_at(Duration start) {
+        using enum FaultKind;
+        std::vector<std::size_t> available;
+        for (std::size_t i = 0; i < lost_until_.size(); ++i) {
+            if (lost_until_[i] <= start) available.push_back(i);
+        }
+        if (!options_.planned_only && draw_.below(40) == 0) return add_of_all(KillAll, start);
+        const bool all_available = available.size() == lost_until_.size();
+        if (!options_.planned_only && all_available && draw_.below(5) == 0)
+            return add_of_all(draw_.below(2) ? WipeTolerated : WipeToleratedKillRest, start);
+        if (lost_until_.size() - available.size() >= options_.tolerated_failures) return;
+        const std::size_t machine = draw_.one_of(available);
+        const FaultKind kind = draw_.one_of(kinds_);
+        const Duration lasts = draw_.between(100ms, std::min<Duration>(2500ms, options_.fault_window / 2));
+        faults_.push_back({kind, machine, start, lasts});
+        const bool terminated = kind == TermReturn || kind == TermReplace;
+        const Duration termination = terminated ? kMaxTerminationTime : Duration{};
+        lost_until_[machine] = start + lasts + termination + options_.catch_up;
+    }
+
+  private:
+    void add_of_all(FaultKind kind, Duration start) {
+        const Duration lasts = draw_.between(100ms, kMaxTotalOutage);
+        // Faults in progress continue, and are repaired at their own time.
+        faults_.push_back({kind, draw_.below(options_.controllers), start, lasts});
+        for (Duration& until : lost_until_) until = std::max(until, start + lasts + options_.catch_up);
+    }
+
+    Draw& draw_;
+    const FaultOptions& options_;
+    std::vector<Fault>& faults_;
+    std::vector<FaultKind> kinds_;
+    std::vector<Duration> lost_until_;  // by controller
+};
+
+/// Draws the faults of the proxies: of each service's proxies one at a time, so
+/// that it keeps two endpoints.
+void draw_proxy_faults(Draw& draw, const FaultOptions& options, std::vector<Fault>& faults) {
+    using enum FaultKind;
+    std::vector<FaultKind> kinds{ProxyKill, ProxyFreeze, ProxyTerm, EndpointDies};
+    if (options.partitions) kinds.push_back(ProxyCut);
+    if (options.planned_only) kinds = {ProxyTerm};
+    std::map<std::size_t, Duration> busy_until;  // by service
+    for (Duration start = draw.between(300ms, 800ms); start < options.fault_window;
+         start += draw.between(300ms, 1200ms)) {
+        const std::size_t machine = draw.below(options.proxies);
+        const std::size_t service = machine % 2;
+        if (busy_until[service] > start) continue;
+        const FaultKind kind = draw.one_of(kinds);
+        const Duration lasts = draw.between(100ms, 1500ms);
+        faults.push_back({kind, machine, start, lasts});
+        const Duration termination = kind == ProxyTerm ? kMaxTerminationTime : Duration{};
+        busy_until[service] = start + lasts + termination + 500ms;
+    }
+}
+
 }  // namespace
 
 const char* name_of(FaultKind kind) {
@@ -39,56 +111,15 @@
 }
 
 std::vector<Fault> draw_faults(std::uint64_t seed, const FaultOptions& options) {
-    using enum FaultKind;
     Draw draw(seed);
-    std::vector<FaultKind> of_core{Kill, Freeze, Wipe, Replace, TermReturn, TermReplace};
-    if (options.cuts) of_core.insert(of_core.end(), {CutIn, CutOut, CutBoth, CutBoth});
-    if (options.planned) of_core = {TermReturn, TermReplace};
-    std::vector<FaultKind> of_proxies{StallKill, StallFreeze, StallTerm, EndpointDies};
-    if (options.cuts) of_proxies.push_back(StallCut);
-    if (options.planned) of_proxies = {StallTerm};
     std::vector<Fault> faults;
-
-    std::vector<Duration> lost_until(options.controllers, Duration{});
-    for (Duration at = draw.between(100ms, 500ms); at < options.span; at += draw.between(100ms, 900ms)) {
-        std::vector<std::size_t> whole;
-        for (std::size_t i = 0; i < lost_until.size(); ++i)
-            if (lost_until[i] <= at) whole.push_back(i);
-        const auto strike_all = [&](FaultKind kind) {
-            const Duration lasts = draw.between(100ms, kTogether);
-            // What is away stays away; what was to be mended meanwhile is mended as planned.
-            faults.push_back({kind, draw.below(options.controllers), at, lasts});
-            for (Duration& until : lost_until) until = std::max(until, at + lasts + options.catch_up);
-        };
-        if (!options.planned && draw.below(40) == 0) {
-            strike_all(KillAll);
-            continue;
-        }
-        if (!options.planned && whole.size() == lost_until.size() && draw.below(5) == 0) {
-            strike_all(draw.below(2) ? WipeBorne : WipeBorneKillRest);
-            continue;
-        }
-        if (lost_until.size() - whole.size() >= options.borne) continue;
-        const std::size_t machine = draw.of(whole);
-        const FaultKind kind = draw.of(of_core);
-        const Duration lasts = draw.between(100ms, std::min<Duration>(2500ms, options.span / 2));
-        faults.push_back({kind, machine, at, lasts});
-        const bool term = kind == TermReturn || kind == TermReplace;
-        lost_until[machine] = at + lasts + (term ? kToEnd : Duration{}) + options.catch_up;
-    }
-    // Two proxies of one service at once would leave it with a single endpoint: of each, one at a time.
-    std::map<std::size_t, Duration> busy_until;
-    for (Duration at = draw.between(300ms, 800ms); at < options.span; at += draw.between(300ms, 1200ms)) {
-        const std::size_t machine = draw.below(options.proxies);
-        const std::size_t service = machine % 2;
-        if (busy_until[service] > at) continue;
-        const FaultKind kind = draw.of(of_proxies);
-        const Duration lasts = draw.between(100ms, 1500ms);
-        faults.push_back({kind, machine, at, lasts});
-        busy_until[service] = at + lasts + (kind == StallTerm ? kToEnd : Duration{}) + 500ms;
-    }
+    ControllerFaults controllers(draw, options, faults);
+    for (Duration start = draw.between(100ms, 500ms); start < options.fault_window;
+         start += draw.between(100ms, 900ms))
+        controllers.add_at(start);
+    draw_proxy_faults(draw, options, faults);
     std::stable_sort(faults.begin(), faults.end(),
-                     [](const Fault& a, const Fault& b) { return a.at < b.at; });
+                     [](const Fault& a, const Fault& b) { return a.starts < b.starts; });
     return faults;
 }
 
--- a/tests/mesh/rig/faults.h
+++ b/tests/mesh/rig/faults.h
@@ -1,4 +1,4 @@
-// The faults of one play, drawn from its seed before it begins.
+// The fault schedule of one play, drawn from its seed before it starts.
 #pragma once
 
 #include <cstdint>
@@ -10,50 +10,56 @@
 namespace martenford::rig {
 
 enum class FaultKind {
-    // of a controller's machine
+    // of one controller
     Kill,
-    Freeze,
-    CutIn,
+    Freeze,  // SIGSTOP, then SIGCONT
+    CutIn,   // a partition of one direction
     CutOut,
     CutBoth,
-    Wipe,               // killed, back with an empty disk
-    Replace,            // killed for good; another comes at a new address
-    TermReturn,         // SIGTERM, back with its disk
-    TermReplace,        // SIGTERM for good
-    KillAll,            // all of the core, back within a second
-    WipeBorne,          // as many disks as may be lost at once, beginning with `machine`'s
-    WipeBorneKillRest,  // and all others killed meanwhile
-    // of a proxy's machine
-    StallKill,
-    StallFreeze,
-    StallCut,
-    StallTerm,    // its endpoint drains and ends first; a new life of it comes
-    EndpointDies  // and a new life of it comes
+    Wipe,         // killed, restarted with an empty disk
+    Replace,      // killed and removed; another one starts at a new address
+    TermReturn,   // SIGTERM, restarted with its disk
+    TermReplace,  // SIGTERM and removed; another one starts at a new address
+    // of all controllers
+    KillAll,                // restarted within a second
+    WipeTolerated,          // the tolerated number of disks is wiped, from that of
+                            // `machine` on
+    WipeToleratedKillRest,  // and all others are killed at the same time
+    // of one proxy
+    ProxyKill,
+    ProxyFreeze,
+    ProxyCut,
+    ProxyTerm,    // its endpoint drains and stops first; then both are restarted
+    EndpointDies  // the endpoint alone stops, and is restarted as a new instance
 };
+/// Returns the kind's name in logs.
 const char* name_of(FaultKind kind);
-/// Of the core as a whole.
-inline bool strikes_all(FaultKind kind) {
-    return kind >= FaultKind::KillAll && kind <= FaultKind::WipeBorneKillRest;
+/// Returns true if the fault is one of all controllers.
+inline bool affects_all_controllers(FaultKind kind) {
+    return kind >= FaultKind::KillAll && kind <= FaultKind::WipeToleratedKillRest;
 }
-inline bool strikes_proxy(FaultKind kind) {
-    return kind >= FaultKind::StallKill;
+/// Returns true if the fault is one of a proxy or its endpoint.
+inline bool affects_proxy(FaultKind kind) {
+    return kind >= FaultKind::ProxyKill;
 }
 
 struct Fault {
     FaultKind kind{};
-    std::size_t machine = 0;
-    Duration at{};     // from the play's begin
-    Duration lasts{};  // until it is mended
+    std::size_t machine = 0;  // index of the controller or proxy
+    Duration starts{};        // from the start of the play
+    Duration lasts{};         // until it is repaired
 };
 
 struct FaultOptions {
     std::size_t controllers = 3, proxies = 6;
-    std::size_t borne = 1;  // controllers that may be lost at once
-    Duration span{4s};
-    Duration catch_up{2s};  // a machine that is back counts as lost for so long
-    bool cuts = true;
-    bool planned = false;  // nothing but SIGTERM, its machine coming back or another for it
+    std::size_t tolerated_failures = 1;  // controllers that may be lost at once
+    Duration fault_window{4s};           // in which faults start
+    Duration catch_up{2s};               // a restarted machine counts as lost for this long
+    bool partitions = true;              // whether links can be cut here
+    bool planned_only = false;           // only SIGTERM, followed by a restart or a replacement
 };
+/// Returns the faults by start time. The same seed and options give the same
+/// faults.
 std::vector<Fault> draw_faults(std::uint64_t seed, const FaultOptions& options);
 
 }  // namespace martenford::rig
--- a/tests/mesh/rig/history.h
+++ b/tests/mesh/rig/history.h
@@ -1,5 +1,6 @@
-// What operators, clients and endpoints saw in one play, and the rules that it must keep. Knows nothing of
-// the programs: only what went over its own sockets.
+// What operators, clients and endpoints observed in one play, and the checker
+// of the rules that it must keep. The checker knows nothing of the programs:
+// only what passed the test's own sockets.
 #pragma once
 
 #include <cstdint>
@@ -12,54 +13,56 @@
 
 namespace martenford::rig {
 
-/// One sending of an order. Status 0: no clear answer.
-struct Sending {
+/// One attempt to send a configuration change. Status 0: no response.
+struct ChangeAttempt {
     Time sent{}, answered{};
     int status = 0;
 };
-/// A change of the configuration. It leaves a mark in the document, a route of its own, and whoever builds on
-/// a document keeps the marks in it: so a document names its whole lineage.
-struct Order {
-    std::string mark;
+/// A configuration change of an operator. Each adds a marker to the document, a
+/// route of its own, and a change based on a document keeps the markers in it:
+/// so a document names all changes that led to it.
+struct ConfigChange {
+    std::string marker;
     std::uint32_t version = 0, base = 0;
-    std::vector<Sending> sendings{};
+    std::vector<ChangeAttempt> attempts{};
 };
-/// A configuration that was read. Status 404: none has been taken.
-struct Read {
+/// A read of the configuration. Status 404: none was accepted yet.
+struct ConfigRead {
     Time sent{}, answered{};
     int status = 0;
     std::uint32_t version = 0;
-    std::set<std::string> marks{};
+    std::set<std::string> markers{};
 };
-/// A client's request, one try.
+/// A client's request, sent once.
 struct Request {
-    bool repeatable = true;
-    int status = 0;  // 0: no whole answer
+    bool idempotent = true;
+    int status = 0;  // 0: no complete response
     std::string answered_id{}, seal{}, body{};
     Time sent{}, ended{};
-    std::string mark{};  // on the route that this change brought; empty: on one that is always there
-    std::string life{};  // of the process that it was sent to
+    std::string marker{};             // of the change that added its route; empty: a permanent route
+    std::string proxy_incarnation{};  // of the proxy process that it was sent to
 };
-struct Run {
+/// An execution of a request by an endpoint.
+struct Execution {
     std::string id, instance;
-    bool intact = true;  // path and body as they were sent
-    bool broke = false;  // the endpoint gave no answer of its own to it
+    bool intact = true;   // path and body were received as they were sent
+    bool failed = false;  // the endpoint sent no response of its own
 };
 
 struct History {
-    std::vector<Order> orders;
-    std::vector<Read> reads;
-    Read last;  // after all is quiet
+    std::vector<ConfigChange> changes;
+    std::vector<ConfigRead> reads;
+    ConfigRead last_read;  // after all faults, with no changes in progress
     std::map<std::string, Request> requests;
-    std::vector<Run> runs;
-    std::vector<std::string> ended_alone;  // processes that nobody ended
-    bool planned = false;                  // nothing but planned work was done: nothing may be lost
+    std::vector<Execution> executions;
+    std::vector<std::string> unexpected_exits;  // processes that ended by themselves
+    bool planned_only = false;                  // all faults were planned maintenance: no request may be lost
 };
 
-/// The body that an endpoint answers with.
+/// Returns the body that endpoint `instance` responds with to request `id`.
 std::string echo_of(const std::string& id, const std::string& instance);
 
-/// Each rule that was broken, in one line.
+/// Returns one line for each violation of a rule.
 std::vector<std::string> violations(const History& history);
 
 }  // namespace martenford::rig
--- a/tests/mesh/rig/link_cuts.cpp
+++ b/tests/mesh/rig/link_cuts.cpp
@@ -17,8 +17,8 @@
 
 namespace {
 
-/// A file descriptor that is closed again at once: held longer, it would keep the process's own close from
-/// being seen by its peer.
+/// A file descriptor that is closed again at once: held longer, it would keep
+/// the process's own close from being seen by its peer.
 class Descriptor {
   public:
     explicit Descriptor(long number) : number_(static_cast<int>(number)) {}
@@ -33,82 +33,89 @@
     int number_;
 };
 
-int taken_from(pid_t process, int descriptor) {
+/// Returns a duplicate of another process's descriptor, or -1.
+int duplicate_descriptor(pid_t process, int descriptor) {
     const Descriptor handle(::syscall(SYS_pidfd_open, process, 0));
     if (*handle < 0) return -1;
     return static_cast<int>(::syscall(SYS_pidfd_getfd, *handle, descriptor, 0));
 }
 
-/// Guards against a number that the process has given to another socket since it was listed.
+/// Guards against a number that the process has given to another socket since
+/// it was listed.
 bool is_socket(int descriptor, std::uint64_t inode) {
     struct stat found {};
     return descriptor >= 0 && ::fstat(descriptor, &found) == 0 && found.st_ino == inode;
 }
 
-bool drop_all(int socket, bool drop) {
+/// Attaches or detaches a filter that drops all packets. Returns false with errno set on failure.
+bool set_drop_filter(int socket, bool drop) {
     const int unused = 0;
     if (!drop) return ::setsockopt(socket, SOL_SOCKET, SO_DETACH_FILTER, &unused, sizeof unused) == 0;
-    sock_filter keep_nothing{BPF_RET | BPF_K, 0, 0, 0};
-    const sock_fprog program{1, &keep_nothing};
+    sock_filter drop_everything{BPF_RET | BPF_K, 0, 0, 0};
+    const sock_fprog program{1, &drop_everything};
     return ::setsockopt(socket, SOL_SOCKET, SO_ATTACH_FILTER, &program, sizeof program) == 0;
 }
 
 }  // namespace
 
-LinkCuts::LinkCuts(std::set<int> ports, std::set<int> shut)
-    : ports_(std::move(ports)), shut_(std::move(shut)) {}
+LinkCuts::LinkCuts(std::set<int> ports, std::set<int> blocked_listen_ports)
+    : ports_(std::move(ports)), blocked_listen_ports_(std::move(blocked_listen_ports)) {}
 
-std::string LinkCuts::unable() {
+std::string LinkCuts::unavailable_reason() {
     const Descriptor own(::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0));
-    const Descriptor taken(taken_from(::getpid(), *own));
-    if (*taken < 0 || !drop_all(*taken, true) || !drop_all(*taken, false)) return std::strerror(errno);
+    const Descriptor duplicate(duplicate_descriptor(::getpid(), *own));
+    if (*duplicate < 0 || !set_drop_filter(*duplicate, true) || !set_drop_filter(*duplicate, false))
+        return std::strerror(errno);
     return {};
 }
 
+/// Reads the addresses of a socket. Returns false if it is closed, unbound, not IPv4 or still connecting.
+bool LinkCuts::read_addresses(pid_t process, std::uint64_t inode, Socket& socket) {
+    const Descriptor own(duplicate_descriptor(process, socket.descriptor));
+    sockaddr_in local{}, remote{};
+    socklen_t length = sizeof local;
+    if (!is_socket(*own, inode) || ::getsockname(*own, reinterpret_cast<sockaddr*>(&local), &length) != 0 ||
+        local.sin_family != AF_INET || local.sin_port == 0)
+        return false;
+    length = sizeof remote;
+    int listens = 0;
+    socklen_t size_of = sizeof listens;
+    ::getsockopt(*own, SOL_SOCKET, SO_ACCEPTCONN, &listens, &size_of);
+    if (!listens && ::getpeername(*own, reinterpret_cast<sockaddr*>(&remote), &length) != 0) return false;
+    socket.inode = inode;
+    socket.local = {local.sin_addr.s_addr, ntohs(local.sin_port)};
+    socket.remote = {remote.sin_addr.s_addr, ntohs(remote.sin_port)};
+    return true;
+}
+
 std::vector<LinkCuts::Socket> LinkCuts::sockets(pid_t process) {
-    std::vector<Socket> all;
-    const std::string folder = "/proc/" + std::to_string(process) + "/fd";
-    DIR* listing = ::opendir(folder.c_str());
-    if (!listing) return all;
+    std::vector<Socket> found;
+    const std::string directory = "/proc/" + std::to_string(process) + "/fd";
+    DIR* listing = ::opendir(directory.c_str());
+    if (!listing) return found;
     while (const dirent* entry = ::readdir(listing)) {
         char target[64];
-        const auto size = ::readlink((folder + "/" + entry->d_name).c_str(), target, sizeof target - 1);
+        const auto size = ::readlink((directory + "/" + entry->d_name).c_str(), target, sizeof target - 1);
         if (size <= 0) continue;
         target[size] = 0;
         if (std::strncmp(target, "socket:[", 8) != 0) continue;
         const std::uint64_t inode = std::strtoull(target + 8, nullptr, 10);
         Socket& socket = known_[{process, inode}];
         socket.descriptor = std::atoi(entry->d_name);
-        if (socket.inode == 0) {
-            const Descriptor own(taken_from(process, socket.descriptor));
-            sockaddr_in local{}, remote{};
-            socklen_t length = sizeof local;
-            if (!is_socket(*own, inode) ||
-                ::getsockname(*own, reinterpret_cast<sockaddr*>(&local), &length) != 0 ||
-                local.sin_family != AF_INET || local.sin_port == 0)
-                continue;
-            length = sizeof remote;
-            int listens = 0;
-            socklen_t size_of = sizeof listens;
-            ::getsockopt(*own, SOL_SOCKET, SO_ACCEPTCONN, &listens, &size_of);
-            if (!listens && ::getpeername(*own, reinterpret_cast<sockaddr*>(&remote), &length) != 0)
-                continue;  // it is being dialled
-            socket.inode = inode;
-            socket.local = {local.sin_addr.s_addr, ntohs(local.sin_port)};
-            socket.remote = {remote.sin_addr.s_addr, ntohs(remote.sin_port)};
-        }
-        all.push_back(socket);
+        if (socket.inode == 0 && !read_addresses(process, inode, socket)) continue;
+        found.push_back(socket);
     }
     ::closedir(listing);
-    return all;
+    return found;
 }
 
 void LinkCuts::filter(pid_t process, const Socket& socket, bool drop) {
     const std::pair key{process, socket.inode};
     if (drop == filtered_.contains(key)) return;
-    const Descriptor own(taken_from(process, socket.descriptor));
-    if (!is_socket(*own, socket.inode)) return;  // it was closed meanwhile
-    if (!drop_all(*own, drop)) throw std::system_error(errno, std::generic_category(), "socket filter");
+    const Descriptor own(duplicate_descriptor(process, socket.descriptor));
+    if (!is_socket(*own, socket.inode)) return;  // closed since it was listed
+    if (!set_drop_filter(*own, drop))
+        throw std::system_error(errno, std::generic_category(), "socket filter");
     if (drop) {
         filtered_.insert(key);
     } else {
@@ -116,38 +123,45 @@
     }
 }
 
-void LinkCuts::cut(pid_t process, Way way, const std::vector<pid_t>& all) {
-    cut_[process] = way;
+void LinkCuts::cut(pid_t process, Direction direction, const std::vector<pid_t>& all) {
+    partitioned_[process] = direction;
     refresh(all);
 }
 
-void LinkCuts::heal(pid_t process, const std::vector<pid_t>& all) {
-    if (cut_.erase(process) == 0) return;
+void LinkCuts::restore(pid_t process, const std::vector<pid_t>& all) {
+    if (partitioned_.erase(process) == 0) return;
     for (const pid_t each : all)
         for (const Socket& socket : sockets(each)) filter(each, socket, false);
     filtered_.clear();
     known_.clear();
-    refresh(all);  // what others still want cut
+    refresh(all);  // the other partitions
 }
 
 void LinkCuts::refresh(const std::vector<pid_t>& all) {
-    if (cut_.empty()) return;
-    std::map<pid_t, std::vector<Socket>> held;
-    for (const pid_t each : all) held[each] = sockets(each);
-    for (const auto& [process, way] : cut_) {
-        std::set<std::pair<End, End>> peers;  // the other ends of its links
-        for (const Socket& socket : held[process]) {
+    if (partitioned_.empty()) return;
+    std::map<pid_t, std::vector<Socket>> sockets_by_process;
+    for (const pid_t each : all) sockets_by_process[each] = sockets(each);
+    for (const auto& [process, direction] : partitioned_) {
+        std::set<std::pair<SocketAddress, SocketAddress>> peers;  // the other ends of its links
+        for (const Socket& socket : sockets_by_process[process]) {
             if (!ports_.contains(socket.local.second) && !ports_.contains(socket.remote.second)) continue;
-            if (way != Way::Out) filter(process, socket, true);
+            if (direction != Direction::Out) filter(process, socket, true);
             if (socket.remote.second != 0) peers.insert({socket.remote, socket.local});
         }
-        if (way == Way::In) continue;
-        for (const auto& [each, sockets_of] : held) {
-            if (each == process) continue;
-            for (const Socket& socket : sockets_of) {
-                const bool listens_shut = socket.remote.second == 0 && shut_.contains(socket.local.second);
-                if (listens_shut || peers.contains({socket.local, socket.remote})) filter(each, socket, true);
-            }
+        if (direction != Direction::In) filter_peers(process, sockets_by_process, peers);
+    }
+}
+
+/// Filters the other ends of a process's links, and the listening sockets that must not accept its
+/// connections.
+void LinkCuts::filter_peers(pid_t process, const std::map<pid_t, std::vector<Socket>>& sockets_by_process,
+                            const std::set<std::pair<SocketAddress, SocketAddress>>& peers) {
+    for (const auto& [each, sockets_of] : sockets_by_process) {
+        if (each == process) continue;
+        for (const Socket& socket : sockets_of) {
+            const bool blocked_listener =
+                socket.remote.second == 0 && blocked_listen_ports_.contains(socket.local.second);
+            if (blocked_listener || peers.contains({socket.local, socket.remote})) filter(each, socket, true);
         }
     }
 }
--- a/tests/mesh/rig/link_cuts.h
+++ b/tests/mesh/rig/link_cuts.h
@@ -1,6 +1,6 @@
-// Cuts the links of a process on loopback, both ways or one, without privileges: a socket filter that drops
-// every packet is put on the sockets of the test's own children (pidfd_getfd(2), SO_ATTACH_FILTER). Nothing
-// is reset and nothing answered: the peers see silence, as behind a cut cable.
+// Partitions processes on loopback, in both directions or one, without privileges: a socket filter that drops
+// every packet is attached to sockets of the test's own child processes (pidfd_getfd(2), SO_ATTACH_FILTER).
+// No connection is reset and no packet answered: the peers see silence, as behind an unplugged cable.
 #pragma once
 
 #include <sys/types.h>
@@ -16,32 +16,39 @@
 
 class LinkCuts {
   public:
-    enum class Way { In, Out, Both };
-
-    /// `ports` of links between machines; what else a process listens on stays reached. While a link is cut
-    /// outwards, nobody dials anew to `shut` on any machine: whose packet a dial is can't be told there.
-    LinkCuts(std::set<int> ports, std::set<int> shut);
-    /// Why it can't be done here; empty: it can.
-    static std::string unable();
-    void cut(pid_t process, Way way, const std::vector<pid_t>& all);
-    void heal(pid_t process, const std::vector<pid_t>& all);
-    /// To be called every few milliseconds: connections that came since are cut too. Until then a new one of
-    /// a process that is cut outwards, to a port that is not shut, speaks.
+    /// Of the packets that are dropped, seen from the partitioned process.
+    enum class Direction { In, Out, Both };
+
+    /// `ports` are those of links between machines; other ports stay reachable. While a process is
+    /// partitioned outwards, no new connection to a port of `blocked_listen_ports` is accepted on any
+    /// machine: a listening socket's filter cannot tell whose packet it drops.
+    LinkCuts(std::set<int> ports, std::set<int> blocked_listen_ports);
+    /// Returns why partitions are not possible on this system; empty if they are.
+    [[nodiscard]] static std::string unavailable_reason();
+    /// Partitions a process. `all` are the processes of the test, its peers included.
+    void cut(pid_t process, Direction direction, const std::vector<pid_t>& all);
+    /// Ends the partition of a process.
+    void restore(pid_t process, const std::vector<pid_t>& all);
+    /// To be called every few milliseconds: filters connections that were opened since. Until then a new one
+    /// of a process that is partitioned outwards, to a port that is not blocked, passes packets.
     void refresh(const std::vector<pid_t>& all);
 
   private:
-    using End = std::pair<std::uint32_t, std::uint16_t>;  // address and port
+    using SocketAddress = std::pair<std::uint32_t, std::uint16_t>;  // IPv4 address, port
     struct Socket {
         int descriptor = 0;  // in its process
         std::uint64_t inode = 0;
-        End local, remote;  // port 0: it listens
+        SocketAddress local, remote;  // remote port 0: a listening socket
     };
     std::vector<Socket> sockets(pid_t process);
+    static bool read_addresses(pid_t process, std::uint64_t inode, Socket& socket);
     void filter(pid_t process, const Socket& socket, bool drop);
+    void filter_peers(pid_t process, const std::map<pid_t, std::vector<Socket>>& sockets_by_process,
+                      const std::set<std::pair<SocketAddress, SocketAddress>>& peers);
 
-    const std::set<int> ports_, shut_;
-    std::map<pid_t, Way> cut_;
-    std::map<std::pair<pid_t, std::uint64_t>, Socket> known_;
+    const std::set<int> ports_, blocked_listen_ports_;
+    std::map<pid_t, Direction> partitioned_;
+    std::map<std::pair<pid_t, std::uint64_t>, Socket> known_;  // by process and inode
     std::set<std::pair<pid_t, std::uint64_t>> filtered_;
 };
 
--- a/tests/mesh/rig/processes.cpp
+++ b/tests/mesh/rig/processes.cpp
@@ -10,6 +10,7 @@
 #include <filesystem>
 #include <fstream>
 #include <iterator>
+#include <sstream>
 
 namespace martenford::rig {
 
@@ -22,122 +23,136 @@
 
 Processes::Processes() {
     std::string path = (std::filesystem::temp_directory_path() / "mesh-rig-XXXXXX").string();
-    folder_ = ::mkdtemp(path.data());
+    directory_ = ::mkdtemp(path.data());
 }
 
 Processes::~Processes() {
-    for (const auto& [name, process] : all_) {
+    for (const auto& [name, process] : processes_) {
         ::kill(process.pid, SIGKILL);
         ::waitpid(process.pid, nullptr, 0);
     }
     std::error_code ignored;
-    std::filesystem::remove_all(folder_, ignored);
+    std::filesystem::remove_all(directory_, ignored);
 }
 
 std::string Processes::ip(std::size_t machine) {
-    const auto own = static_cast<unsigned>(::getpid());
-    return "127." + std::to_string(100 + (own >> 8) % 100) + "." + std::to_string(own & 0xff) + "." +
+    const auto pid = static_cast<unsigned>(::getpid());
+    return "127." + std::to_string(100 + (pid >> 8) % 100) + "." + std::to_string(pid & 0xff) + "." +
            std::to_string(machine);
 }
 
-void Processes::start(const Machine& machine) {
-    const bool proxy = !machine.service.empty();
-    const std::string config = folder_ + "/" + machine.name + ".toml",
-                      log = folder_ + "/" + machine.name + ".log", disk = folder_ + "/" + machine.name;
+namespace {
+
+/// Returns the text of a process's settings file.
+std::string settings_text(const Machine& machine, const std::string& data_directory) {
     std::string seeds;
     for (const auto& seed : machine.seeds) seeds += (seeds.empty() ? "\"" : ", \"") + seed + "\"";
-    std::ofstream file(config);
-    file << "node_name = \"" << machine.name << "\"\nrole = \"r\"\nip_address = \"" << machine.ip
+    std::ostringstream text;
+    text << "node_name = \"" << machine.name << "\"\nrole = \"r\"\nip_address = \"" << machine.ip
          << "\"\nzone = \"" << machine.zone << "\"\nregion = \"" << machine.region << "\"\ninternal_ports = ["
          << port(Port::Mesh) << ", " << port(Port::MeshLast) << "]\nseed_nodes = [" << seeds
          << "]\nfirst_boot = " << (machine.first_boot ? "true" : "false") << "\nfuture_field = [1, 2]\n"
          << machine.top;
-    if (proxy) {
-        file << "service = \"" << machine.service << "\"\napp_address = \"" << at(machine.ip, Port::App)
+    if (machine.service.empty()) {
+        text << "data_directory = \"" << data_directory << "\"\n[listen_addrs]\ncontrol = \""
+             << at(machine.ip, Port::Control) << "\"\n";
+    } else {
+        text << "service = \"" << machine.service << "\"\napp_address = \"" << at(machine.ip, Port::App)
              << "\"\n[listen_addrs]\ninbound = \"" << at(machine.ip, Port::Inbound) << "\"\noutbound = \""
              << at(machine.ip, Port::Outbound) << "\"\nreadiness = \"" << at(machine.ip, Port::Readiness)
              << "\"\ncontrol = \"" << at(machine.ip, Port::Control) << "\"\n";
-    } else {
-        std::filesystem::create_directories(disk);
-        file << "data_directory = \"" << disk << "\"\n[listen_addrs]\ncontrol = \""
-             << at(machine.ip, Port::Control) << "\"\n";
     }
-    file << machine.tables;
-    file.close();
-    const char* program = proxy ? PROXY : CONTROLLER;
+    text << machine.tables;
+    return text.str();
+}
+
+/// Starts a program with its settings file; its output is appended to the log file.
+pid_t spawn(const char* program, const std::string& settings, const std::string& log) {
     const pid_t pid = ::fork();
-    if (pid == 0) {
-        ::prctl(PR_SET_PDEATHSIG, SIGKILL);  // a test that crashes leaves nobody on these ports
-        const int to = ::open(log.c_str(), O_WRONLY | O_CREAT | O_APPEND, 0600);
-        ::dup2(to, 1);
-        ::dup2(to, 2);
-        for (int fd = 3; fd < 512; ++fd) ::close(fd);
-        ::setenv("MARTENFORD_CONFIG", config.c_str(), 1);
-        ::execl(program, program, static_cast<char*>(nullptr));
-        ::_exit(127);
-    }
-    told_.emplace(machine.name, 0);
-    all_[machine.name] = {pid, Ending::None, Time::max(), nullptr};
+    if (pid != 0) return pid;
+    ::prctl(PR_SET_PDEATHSIG, SIGKILL);  // a test that crashes leaves no process on these ports
+    const int output = ::open(log.c_str(), O_WRONLY | O_CREAT | O_APPEND, 0600);
+    ::dup2(output, 1);
+    ::dup2(output, 2);
+    for (int fd = 3; fd < 512; ++fd) ::close(fd);
+    ::setenv("MARTENFORD_CONFIG", settings.c_str(), 1);
+    ::execl(program, program, static_cast<char*>(nullptr));
+    ::_exit(127);
+}
+
+}  // namespace
+
+void Processes::start(const Machine& machine) {
+    const std::string base = directory_ + "/" + machine.name;
+    const bool is_proxy = !machine.service.empty();
+    if (!is_proxy) std::filesystem::create_directories(base);
+    const std::string settings = base + ".toml";
+    std::ofstream(settings) << settings_text(machine, base);
+    const pid_t pid = spawn(is_proxy ? PROXY : CONTROLLER, settings, base + ".log");
+    log_offsets_.emplace(machine.name, 0);
+    processes_[machine.name] = {pid, Termination::None, Time::max(), nullptr};
 }
 
 std::vector<pid_t> Processes::pids() const {
     std::vector<pid_t> all;
-    for (const auto& [name, process] : all_) all.push_back(process.pid);
+    for (const auto& [name, process] : processes_) all.push_back(process.pid);
     return all;
 }
 
 void Processes::signal(const std::string& name, int signal) {
-    if (const auto process = all_.find(name); process != all_.end()) ::kill(process->second.pid, signal);
+    if (const auto process = processes_.find(name); process != processes_.end())
+        ::kill(process->second.pid, signal);
 }
 
-void Processes::end(const std::string& name, Ending how, Time now, Duration grace,
-                    std::function<void(int)> ended) {
-    Process& process = all_.at(name);
-    process.ending = how;
-    process.kill_at = how == Ending::Term ? now + grace : Time::max();
+void Processes::terminate(const std::string& name, Termination how, Time now, Duration grace,
+                          std::function<void(int)> ended) {
+    Process& process = processes_.at(name);
+    process.termination = how;
+    process.kill_at = how == Termination::Graceful ? now + grace : Time::max();
     process.ended = std::move(ended);
-    ::kill(process.pid, how == Ending::Term ? SIGTERM : SIGKILL);
+    ::kill(process.pid, how == Termination::Graceful ? SIGTERM : SIGKILL);
 }
 
 void Processes::reap(Time now) {
-    std::vector<std::pair<std::function<void(int)>, int>> told;
-    for (auto it = all_.begin(); it != all_.end();) {
+    std::vector<std::pair<std::function<void(int)>, int>> exited;
+    for (auto it = processes_.begin(); it != processes_.end();) {
         Process& process = it->second;
         int status = 0;
         if (::waitpid(process.pid, &status, WNOHANG) != process.pid) {
             if (now >= process.kill_at) {
                 process.kill_at = Time::max();
-                process.ending = Ending::Kill;
+                process.termination = Termination::Kill;
                 ::kill(process.pid, SIGKILL);
             }
             ++it;
             continue;
         }
-        const bool in_order = WIFEXITED(status) && WEXITSTATUS(status) == 0;
-        const bool as_asked = process.ending == Ending::Kill || (process.ending == Ending::Term && in_order);
-        if (!as_asked) ended_alone.push_back(it->first + ", wait status " + std::to_string(status));
-        told.emplace_back(std::move(process.ended), status);
-        it = all_.erase(it);
+        const bool exited_normally = WIFEXITED(status) && WEXITSTATUS(status) == 0;
+        const bool expected = process.termination == Termination::Kill ||
+                              (process.termination == Termination::Graceful && exited_normally);
+        if (!expected) unexpected_exits_.push_back(it->first + ", wait status " + std::to_string(status));
+        exited.emplace_back(std::move(process.ended), status);
+        it = processes_.erase(it);
     }
-    for (const auto& [ended, status] : told)
+    for (const auto& [ended, status] : exited)
         if (ended) ended(status);
 }
 
 void Processes::wipe(const std::string& name) {
-    std::filesystem::remove_all(folder_ + "/" + name);
+    std::filesystem::remove_all(directory_ + "/" + name);
 }
 
 std::string Processes::log(const std::string& name) const {
-    std::ifstream file(folder_ + "/" + name + ".log");
+    std::ifstream file(directory_ + "/" + name + ".log");
     return {std::istreambuf_iterator<char>(file), {}};
 }
 
-std::vector<std::string> Processes::new_lines() {
+std::vector<std::string> Processes::take_new_log_lines() {
     std::vector<std::string> lines;
-    for (auto& [name, told] : told_) {
-        std::ifstream file(folder_ + "/" + name + ".log");
-        file.seekg(static_cast<std::streamoff>(told));
-        for (std::string line; std::getline(file, line) && !file.eof(); told += line.size() + 1)
+    for (auto& [name, offset] : log_offsets_) {
+        std::ifstream file(directory_ + "/" + name + ".log");
+        file.seekg(static_cast<std::streamoff>(offset));
+        for (std::string line; std::getline(file, line) && !file.eof(); offset += line.size() + 1)
             lines.push_back(name + ": " + line);
     }
     return lines;
--- a/tests/mesh/rig/processes.h
+++ b/tests/mesh/rig/processes.h
@@ -12,63 +12,74 @@
 
 namespace martenford::rig {
 
-constexpr int kPorts = 21800;  // below the ports that the system gives away by itself
-/// Alike on all machines of a test.
+/// The first port; below the ephemeral range, so that no outgoing connection holds one of them.
+constexpr int kPorts = 21800;
+/// Offsets from kPorts, the same on all machines of a test.
 enum class Port { Control, App, Inbound, Outbound, Readiness, Mesh = 8, MeshLast = 9 };
 std::string port(Port port);
+/// Returns "ip:port".
 std::string at(const std::string& ip, Port port);
 
-/// What a settings file says beside what is alike in all tests.
+/// The settings in which a process differs from the others of a test.
 struct Machine {
     std::string name, ip, zone = "z", region = "r";
-    std::vector<std::string> seeds;  // `control` addresses
+    std::vector<std::string> seeds{};  // `control` addresses
     bool first_boot = true;
-    std::string service;  // of a proxy; empty: a controller
-    std::string top;      // more lines of the file
-    std::string tables;   // and more tables
+    std::string service{};  // of a proxy; empty: a controller
+    std::string top{};      // further lines before the tables
+    std::string tables{};   // further tables
 };
 
+/// The processes of a test. Destruction kills them and removes their files.
 class Processes {
   public:
-    enum class Ending { None, Term, Kill };
+    enum class Termination {
+        None,
+        Graceful,  // SIGTERM, and SIGKILL after the grace period
+        Kill       // SIGKILL
+    };
 
     Processes();
     ~Processes();
     Processes(const Processes&) = delete;
     Processes& operator=(const Processes&) = delete;
 
-    const std::string& folder() const { return folder_; }
+    /// The directory of settings, logs and data directories.
+    [[nodiscard]] const std::string& directory() const { return directory_; }
     /// Returns "127.x.y.<machine>", where x and y derive from this test's process id: several tests, and
     /// several runs of one, can listen at the same time.
-    static std::string ip(std::size_t machine);
-    /// Writes the settings file and starts the program; a controller finds its disk of earlier lives.
+    [[nodiscard]] static std::string ip(std::size_t machine);
+    /// Writes the settings file and starts the program. A controller keeps its data directory over restarts.
     void start(const Machine& machine);
-    bool runs(const std::string& name) const { return all_.contains(name); }
-    pid_t pid(const std::string& name) const { return all_.at(name).pid; }
-    std::vector<pid_t> pids() const;
+    [[nodiscard]] bool is_running(const std::string& name) const { return processes_.contains(name); }
+    [[nodiscard]] pid_t pid(const std::string& name) const { return processes_.at(name).pid; }
+    [[nodiscard]] std::vector<pid_t> pids() const;
     void signal(const std::string& name, int signal);
-    /// SIGTERM, and SIGKILL where it takes longer than `grace`; or SIGKILL. `ended` is called by reap().
-    void end(const std::string& name, Ending how, Time now, Duration grace, std::function<void(int)> ended);
-    /// Notices ends; those that nobody asked for go to `ended_alone`.
+    /// Terminates a running process. reap() calls `ended` with its wait status.
+    void terminate(const std::string& name, Termination how, Time now, Duration grace,
+                   std::function<void(int wait_status)> ended);
+    /// Collects processes that have ended, and kills those whose grace period is over.
     void reap(Time now);
-    /// Of a controller that doesn't run.
+    /// Removes the data directory of a controller that is not running.
     void wipe(const std::string& name);
-    std::string log(const std::string& name) const;
-    /// The lines that were logged since the last call, each with its process's name.
-    std::vector<std::string> new_lines();
-
-    std::vector<std::string> ended_alone;
+    [[nodiscard]] std::string log(const std::string& name) const;
+    /// Returns the lines that were logged since the last call, each after its process's name.
+    std::vector<std::string> take_new_log_lines();
+    /// Returns name and wait status of each process that ended although nothing terminated it, or with an
+    /// error after SIGTERM.
+    [[nodiscard]] const std::vector<std::string>& unexpected_exits() const { return unexpected_exits_; }
 
   private:
     struct Process {
         pid_t pid = 0;
-        Ending ending = Ending::None;
+        Termination termination = Termination::None;
         Time kill_at = Time::max();
-        std::function<void(int)> ended;
+        std::function<void(int wait_status)> ended;
     };
-    std::string folder_;
-    std::map<std::string, Process> all_;
-    std::map<std::string, std::size_t> told_;  // of each log, in bytes
+    std::string directory_;
+    std::map<std::string, Process> processes_;
+    std::map<std::string, std::size_t> log_offsets_;  // of each log, in bytes: what was taken
+    std::vector<std::string> unexpected_exits_;
 };
 
 }  // namespace martenford::rig
--- a/tests/mesh/rig/standins.cpp
+++ b/tests/mesh/rig/standins.cpp
@@ -9,7 +9,7 @@
 
 namespace martenford::rig {
 
-std::string Said::field(const std::string& name) const {
+std::string Response::field(const std::string& name) const {
     const auto at = head.find("\r\n" + name + ": ");
     if (at == head.npos) return {};
     const auto from = at + name.size() + 4;
@@ -18,146 +18,153 @@
 
 // ---- callers
 
-struct Connection::Line {
-    explicit Line(Loop& loop) : socket(loop.io()) {}
+struct Connection::Stream {
+    Stream(Loop& loop, Connection& connection) : owner(&connection), socket(loop.io()) {}
+    Connection* owner;  // nullptr once the connection was closed: pending handlers
+                        // then do nothing
     asio::ip::tcp::socket socket;
     boost::beast::flat_buffer buffer;
     std::string request;
     http::response<http::string_body> response;
-    bool up = false;
+    bool connected = false;
 };
 
-Connection::Connection(Loop& loop, const std::string& to) : loop_(loop), to_(to), limit_(loop) {}
+Connection::Connection(Loop& loop, const std::string& to) : loop_(loop), to_(to), timeout_(loop) {}
 Connection::~Connection() {
     close();
 }
 
 void Connection::close() {
+    if (!stream_) return;
     error_code ignored;
-    if (line_) line_->socket.close(ignored);
-    line_.reset();
+    stream_->socket.close(ignored);
+    stream_->owner = nullptr;
+    stream_.reset();
 }
 
-void Connection::finish(Said&& said) {
-    limit_.cancel();
-    // It may end this object.
-    if (const auto done = std::exchange(done_, nullptr)) done(std::move(said));
+void Connection::finish(Response&& response) {
+    timeout_.cancel();
+    // The callback may destroy this object.
+    if (const auto done = std::exchange(done_, nullptr)) done(std::move(response));
 }
 
-void Connection::ask(const std::string& request, Duration limit, Done done) {
+void Connection::fail() {
+    close();
+    finish({});
+}
+
+void Connection::send(const std::string& request, Duration timeout, Done done) {
     done_ = std::move(done);
-    limit_.set(loop_.now() + limit, [this] {
-        close();
-        finish({});
-    });
-    if (!line_) line_ = std::make_shared<Line>(loop_);
-    const auto line = line_;
-    line->request = request;
-    line->response = {};
-    const auto failed = [this, line] {
-        if (line != line_) return true;  // given up before
-        close();
-        finish({});
-        return true;
-    };
-    const auto talk = [this, line, failed] {
-        asio::async_write(line->socket, asio::buffer(line->request),
-                          // What was answered before all of it went out is read all the same.
-                          [line](const error_code&, std::size_t) {});
-        http::async_read(line->socket, line->buffer, line->response,
-                         [this, line, failed](const error_code& error, std::size_t) {
-                             if (error || line != line_) {
-                                 failed();
-                                 return;
-                             }
-                             std::ostringstream head;
-                             head << line->response.base();
-                             Said said{static_cast<int>(line->response.result_int()), head.str(),
-                                       std::move(line->response.body())};
-                             if (!line->response.keep_alive()) close();
-                             finish(std::move(said));
-                         });
-    };
-    if (line->up) return talk();
-    line->socket.async_connect(*parse_address(to_), [line, failed, talk](const error_code& error) {
-        if (error) {
-            failed();
-            return;
-        }
-        line->up = true;
-        talk();
+    timeout_.set(loop_.now() + timeout, [this] { fail(); });
+    if (!stream_) stream_ = std::make_shared<Stream>(loop_, *this);
+    const auto stream = stream_;
+    stream->request = request;
+    stream->response = {};
+    if (stream->connected) return exchange(stream);
+    stream->socket.async_connect(*parse_address(to_), [stream](const error_code& error) {
+        if (!stream->owner) return;
+        if (error) return stream->owner->fail();
+        stream->connected = true;
+        exchange(stream);
     });
 }
 
-std::string request_of(const std::string& verb, const std::string& path, const std::string& host,
-                       const std::string& fields, const std::string& body, bool keep) {
-    return verb + " " + path + " HTTP/1.1\r\nHost: " + host + "\r\n" + (keep ? "" : "Connection: close\r\n") +
-           fields + (verb == "GET" ? "" : "Content-Length: " + std::to_string(body.size()) + "\r\n") +
-           "\r\n" + body;
+void Connection::exchange(const std::shared_ptr<Stream>& stream) {
+    // A write error is ignored: a response sent before the whole request was read
+    // is still read.
+    asio::async_write(stream->socket, asio::buffer(stream->request),
+                      [stream](const error_code&, std::size_t) {});
+    http::async_read(stream->socket, stream->buffer, stream->response,
+                     [stream](const error_code& error, std::size_t) {
+                         if (!stream->owner) return;
+                         if (error) return stream->owner->fail();
+                         stream->owner->complete();
+                     });
+}
+
+void Connection::complete() {
+    auto& received = stream_->response;
+    std::ostringstream head;
+    head << received.base();
+    Response response{static_cast<int>(received.result_int()), head.str(), std::move(received.body())};
+    if (!received.keep_alive()) close();
+    finish(std::move(response));
+}
+
+std::string request_text(const std::string& method, const std::string& path, const std::string& host,
+                         const std::string& fields, const std::string& body, bool keep_alive) {
+    std::string text = method + " " + path + " HTTP/1.1\r\nHost: " + host + "\r\n";
+    if (!keep_alive) text += "Connection: close\r\n";
+    text += fields;
+    if (method != "GET") text += "Content-Length: " + std::to_string(body.size()) + "\r\n";
+    return text + "\r\n" + body;
 }
 
 // ---- endpoints
 
-Endpoint::Endpoint(Loop& loop, const std::string& id, const std::string& at, Runs runs, Counters& counters)
+Endpoint::Endpoint(Loop& loop, const std::string& id, const std::string& address, Handler handler,
+                   Counters& counters)
     : loop_(loop),
       id_(id),
-      at_(at),
-      runs_(std::move(runs)),
+      address_(address),
+      handler_(std::move(handler)),
       front_(
           loop, *this, *this, 64, [] { return true; }, counters) {
-    front_.listen(*parse_address(at));
+    front_.listen(*parse_address(address));
 }
 
-std::string Endpoint::beat(const std::string& service, const std::string& state) {
-    return R"({"address":")" + at_ + R"(","node_info":{"service":")" + service +
+std::string Endpoint::heartbeat_body(const std::string& service, const std::string& state) {
+    return R"({"address":")" + address_ + R"(","node_info":{"service":")" + service +
            R"(","version":"v1","zone":"z","slots":4},"status":{"state":")" + state + R"(","call_seq":)" +
-           std::to_string(++seq_) + R"(,"cold_left_ms":0}})";
+           std::to_string(++call_seq_) + R"(,"cold_left_ms":0}})";
 }
 
 std::variant<decision::Request, TurnAway> Endpoint::read(Fields& head, Time arrived) {
     if (head["Expected-Instance"] != id_) return TurnAway{http::status::misdirected_request};
     decision::Request request;
-    request.id = std::to_string(++last_);  // an attempt's id may come again
+    request.id = std::to_string(++last_request_);  // not the Attempt-Id, which may come more than once
     request.deadline = arrived + 5s;
-    Asked& asked = asked_[request.id];
-    asked.id = std::string(head["Attempt-Id"]);
-    asked.path = std::string(head.target());
-    asked.caller = std::string(head["Caller-Service"]);
-    asked.tenant = std::string(head["Tenant-Name"]);
-    asked.key = std::string(head["Api-Key"]);
+    ReceivedRequest& received = received_[request.id];
+    received.id = std::string(head["Attempt-Id"]);
+    received.path = std::string(head.target());
+    received.caller_service = std::string(head["Caller-Service"]);
+    received.tenant = std::string(head["Tenant-Name"]);
+    received.api_key = std::string(head["Api-Key"]);
     return request;
 }
 
 bool Endpoint::take(decision::Request request, std::shared_ptr<const Message> message, Reply reply) {
-    Asked asked = std::move(asked_.extract(request.id).mapped());
-    asked.body = std::string(message->held_body());
-    Work work = runs_(asked);
-    Open& open = open_[request.id];
-    open.reply = std::move(reply);
-    if (work.lasts == Duration{}) {
-        answer(request.id, asked.id, std::move(work));
+    ReceivedRequest received = std::move(received_.extract(request.id).mapped());
+    received.body = std::string(message->held_body());
+    Handling handling = handler_(received);
+    PendingResponse& pending = pending_[request.id];
+    pending.reply = std::move(reply);
+    if (handling.delay == Duration{}) {
+        respond(request.id, received.id, std::move(handling));
         return true;
     }
-    open.timer = std::make_unique<Timer>(loop_);
-    open.timer->set(loop_.now() + work.lasts,
-                    [this, id = request.id, attempt = asked.id, work] { answer(id, attempt, Work(work)); });
+    pending.timer = std::make_unique<Timer>(loop_);
+    pending.timer->set(loop_.now() + handling.delay,
+                       [this, id = request.id, attempt_id = received.id, handling] {
+                           respond(id, attempt_id, Handling(handling));
+                       });
     return true;
 }
 
-void Endpoint::answer(const decision::RequestId& id, const std::string& attempt, Work&& work) {
-    const auto open = open_.extract(id);
-    if (open.empty()) return;
+void Endpoint::respond(const decision::RequestId& id, const std::string& attempt_id, Handling&& handling) {
+    const auto pending = pending_.extract(id);
+    if (pending.empty()) return;
     Answer answer;
-    if (!work.breaks) {
+    if (!handling.fails) {
         answer.kind = Answer::Kind::Served;
         auto head = std::make_shared<HttpAnswerHead>();
         head->status = 200;
-        head->fields.set("Attempt-Id", attempt);
+        head->fields.set("Attempt-Id", attempt_id);
         head->fields.set("Server-Seal", id_);
         answer.head = std::move(head);
-        answer.body = std::move(work.body);
+        answer.body = std::move(handling.body);
     }
-    open.mapped().reply(std::move(answer));
+    pending.mapped().reply(std::move(answer));
 }
 
 void Endpoint::write(const Answer& answer, const decision::RequestId&, http::response_header<>& head) {
--- a/tests/mesh/rig/standins.h
+++ b/tests/mesh/rig/standins.h
@@ -1,4 +1,5 @@
-// What stands around the processes in a test: callers and endpoints, in the test's own loop.
+// HTTP test doubles around the processes under test: callers and application
+// endpoints. All of them run in the loop of the test.
 #pragma once
 
 #include <boost/asio/ip/tcp.hpp>
@@ -15,62 +16,77 @@
 
 namespace martenford::rig {
 
-/// An answer. Status 0: none, or none that is whole.
-struct Said {
+/// A response as a caller received it. Status 0: no response, or an incomplete
+/// one.
+struct Response {
     int status = 0;
     std::string head, body;
-    std::string field(const std::string& name) const;
+    /// Returns the value of a header field; empty if there is none of this name.
+    [[nodiscard]] std::string field(const std::string& name) const;
 };
 
-/// One connection of a caller, dialled at the first request; one request at a time. A kept one is dialled
-/// anew after its end.
+/// A caller's connection, opened by the first request; one request at a time. A
+/// persistent one is opened again after it was closed.
 class Connection {
   public:
-    using Done = std::function<void(Said&&)>;
+    using Done = std::function<void(Response&&)>;
     Connection(Loop& loop, const std::string& to);
     ~Connection();
-    /// `done` is called once, after `limit` at the latest: the connection is then closed.
-    void ask(const std::string& request, Duration limit, Done done);
+    Connection(const Connection&) = delete;
+    Connection& operator=(const Connection&) = delete;
+    /// Sends a request. `done` is called once, after `timeout` at the latest; the
+    /// connection is closed on a time-out. `done` may destroy this object.
+    void send(const std::string& request, Duration timeout, Done done);
 
   private:
-    struct Line;
-    void finish(Said&& said);
+    struct Stream;
+    static void exchange(const std::shared_ptr<Stream>& stream);
+    void complete();
+    void fail();
+    void finish(Response&& response);
     void close();
 
     Loop& loop_;
     const std::string to_;
-    std::shared_ptr<Line> line_;
-    Timer limit_;
+    std::shared_ptr<Stream> stream_;
+    Timer timeout_;
     Done done_;
 };
 
-/// The bytes of a request.
-std::string request_of(const std::string& verb, const std::string& path, const std::string& host,
-                       const std::string& fields = {}, const std::string& body = {}, bool keep = false);
+/// Returns the bytes of a request. `fields` are further header lines, each with
+/// its CRLF.
+std::string request_text(const std::string& method, const std::string& path, const std::string& host,
+                         const std::string& fields = {}, const std::string& body = {},
+                         bool keep_alive = false);
 
-/// An endpoint: answers each request once, with its seal.
+/// An application endpoint: answers each request once, with its instance id in
+/// Server-Seal.
 class Endpoint : private ServerProtocol, private Desk {
   public:
-    struct Asked {
-        std::string id, path, body, caller, tenant, key;
+    struct ReceivedRequest {
+        std::string id, path, body, caller_service, tenant,
+            api_key;  // `id` is the Attempt-Id
     };
-    /// How one request is answered.
-    struct Work {
+    /// How a request is answered.
+    struct Handling {
         std::string body;
-        Duration lasts{};
-        bool breaks = false;  // ends in an answer that doesn't say whose it is
+        Duration delay{};
+        bool fails = false;  // the response has no Attempt-Id and no Server-Seal
     };
-    using Runs = std::function<Work(const Asked&)>;
+    using Handler = std::function<Handling(const ReceivedRequest&)>;
 
-    Endpoint(Loop& loop, const std::string& id, const std::string& at, Runs runs, Counters& counters);
-    const std::string& id() const { return id_; }
-    const std::string& address() const { return at_; }
-    /// Listens no more; it stays until the loop has run all that it had begun.
-    void end() {
+    /// Listens at `address`, "ip:port".
+    Endpoint(Loop& loop, const std::string& id, const std::string& address, Handler handler,
+             Counters& counters);
+    [[nodiscard]] const std::string& id() const { return id_; }
+    [[nodiscard]] const std::string& address() const { return address_; }
+    /// Stops listening. The object must stay until the loop has finished the
+    /// requests in progress.
+    void stop() {
         front_.drain([] {}, true);
     }
-    /// The body of its next beat.
-    std::string beat(const std::string& service, const std::string& state);
+    /// Returns the body of the next heartbeat. Each call raises its call_seq.
+    std::string heartbeat_body(const std::string& service, const std::string& state);
 
   private:
     const FrontLimits& limits() const override { return limits_; }
@@ -78,22 +94,23 @@
     std::variant<decision::Request, TurnAway> read(Fields& head, Time arrived) override;
     bool take(decision::Request request, std::shared_ptr<const Message> message, Reply reply) override;
     void received(const decision::RequestId&, Time) override {}
-    void leave(const decision::RequestId& id) override { open_.erase(id); }
+    void leave(const decision::RequestId& id) override { pending_.erase(id); }
     void write(const Answer& answer, const decision::RequestId&, http::response_header<>& head) override;
-    void answer(const decision::RequestId& id, const std::string& attempt, Work&& work);
+    void respond(const decision::RequestId& id, const std::string& attempt_id, Handling&& handling);
 
-    Loop& loop_;
-    const std::string id_, at_;
-    Runs runs_;
-    FrontLimits limits_;
-    int seq_ = 0;
-    std::uint64_t last_ = 0;
-    std::map<decision::RequestId, Asked> asked_;
-    struct Open {
+    struct PendingResponse {
         Reply reply;
         std::unique_ptr<Timer> timer;
     };
-    std::map<decision::RequestId, Open> open_;
+
+    Loop& loop_;
+    const std::string id_, address_;
+    Handler handler_;
+    FrontLimits limits_;
+    int call_seq_ = 0;
+    std::uint64_t last_request_ = 0;
+    std::map<decision::RequestId, ReceivedRequest> received_;
+    std::map<decision::RequestId, PendingResponse> pending_;
     Http1Front front_;
 };
 
