--- a/tests/mesh/approved.h
+++ b/tests/mesh/approved.h
@@ -1,5 +1,5 @@
-// Transcripts that were read and approved: a test plays an exchange and its words must be those of the file.
-// With MARTENFORD_APPROVE set the files are written anew, to be read before they are committed.
+// Approval tests: the transcript of a test must equal the approved file of its name. With MARTENFORD_APPROVE
+// set the files are rewritten instead; review the difference before committing it.
 #pragma once
 
 #include <doctest/doctest.h>
@@ -9,6 +9,7 @@
 #include <sstream>
 #include <string>
 
+/// Checks `text` against approved/<name>.txt.
 inline void approve(const std::string& name, const std::string& text) {
     const std::string path = std::string(APPROVED_DIR) + "/" + name + ".txt";
     if (std::getenv("MARTENFORD_APPROVE")) {
@@ -16,7 +17,7 @@
         return;
     }
     std::ifstream file(path);
-    std::stringstream held;
-    held << file.rdbuf();
-    CHECK(held.str() == text);
+    std::stringstream approved;
+    approved << file.rdbuf();
+    CHECK(approved.str() == text);
 }
--- a/tests/mesh/config_service_repeated_calls_test.cpp
+++ b/tests/mesh/config_service_repeated_calls_test.cpp
@@ -368,8 +368,8 @@
 
 TEST_CASE(
     "two operators through partitions, kills and lost answers: one change per version, none lost or undone") {
-    const char* asked = std::getenv("MARTENFORD_ORDER_DAYS");
-    const std::uint64_t days = asked ? std::stoul(asked) : 100;
+    const char* days_text = std::getenv("MARTENFORD_ORDER_DAYS");
+    const std::uint64_t days = days_text ? std::stoul(days_text) : 100;
     std::size_t accepted = 0, rejected = 0, sent = 0;
     for (std::uint64_t seed = 1; seed <= days; ++seed) {
         World world(std::array{1u, 3u, 5u, 3u}[seed % 4], seed);
--- a/tests/mesh/front_test.cpp
+++ b/tests/mesh/front_test.cpp
@@ -1,4 +1,4 @@
-// A front that is drained tells its end once, and not before what it took is answered.
+// Draining of Http1Front: it calls back once, and not before all accepted requests are answered.
 #include "http1/front.h"
 
 #include <doctest/doctest.h>
@@ -24,31 +24,31 @@
         head.result(200);
     }
     bool take(decision::Request, std::shared_ptr<const Message>, Reply reply) override {
-        held = std::move(reply);
+        pending_reply = std::move(reply);
         return true;
     }
     void received(const decision::RequestId&, Time) override {}
     void leave(const decision::RequestId&) override {}
 
-    template <class Is>
-    void until(Is is) {
-        for (int i = 0; i < 4000 && !is(); ++i) {
+    template <class Condition>
+    void wait_for(Condition condition) {
+        for (int i = 0; i < 4000 && !condition(); ++i) {
             loop.add(loop.now() + 1ms, [this] { loop.stop(); });
             loop.resume();
             loop.run();
         }
-        REQUIRE(is());
+        REQUIRE(condition());
     }
 
     Loop loop;
     Counters counters;
     FrontLimits limits_;
-    Reply held;
+    Reply pending_reply;
 };
 
 }  // namespace
 
-TEST_CASE("a drained front calls back once, when its last answer is out") {
+TEST_CASE("a drained front calls back once, after its last response was sent") {
     Fixture fixture;
     Http1Front front(
         fixture.loop, fixture, fixture, 16, [] { return true; }, fixture.counters);
@@ -57,22 +57,22 @@
     idle.connect(front.listens_at());
     busy.connect(front.listens_at());
     asio::write(busy, asio::buffer(std::string("GET / HTTP/1.1\r\nHost: h\r\n\r\n")));
-    fixture.until([&] { return static_cast<bool>(fixture.held); });
+    fixture.wait_for([&] { return static_cast<bool>(fixture.pending_reply); });
     int ended = 0;
     front.drain([&] { ++ended; }, false);
-    fixture.until([&] { return !front.listening(); });
+    fixture.wait_for([&] { return !front.listening(); });
     CHECK(ended == 0);
-    fixture.held(Answer{Answer::Kind::Served, "x", "", {}});
-    // The client reads its last answer and closes, as does the idle one.
+    fixture.pending_reply(Answer{Answer::Kind::Served, "x", "", {}});
+    // Both clients close; the busy one after its last response.
     error_code error;
     idle.close(error);
     busy.close(error);
-    fixture.until([&] { return ended > 0; });
-    for (int i = 0; i < 20; ++i) fixture.until([] { return true; });
+    fixture.wait_for([&] { return ended > 0; });
+    for (int i = 0; i < 20; ++i) fixture.wait_for([] { return true; });
     CHECK(ended == 1);
 }
 
-TEST_CASE("where only idle connections are left, the end is told once as well") {
+TEST_CASE("a drained front with only idle connections calls back once") {
     Fixture fixture;
     Http1Front front(
         fixture.loop, fixture, fixture, 16, [] { return true; }, fixture.counters);
@@ -81,7 +81,7 @@
     idle.connect(front.listens_at());
     int ended = 0;
     front.drain([&] { ++ended; }, false);
-    fixture.until([&] { return ended > 0; });
-    for (int i = 0; i < 20; ++i) fixture.until([] { return true; });
+    fixture.wait_for([&] { return ended > 0; });
+    for (int i = 0; i < 20; ++i) fixture.wait_for([] { return true; });
     CHECK(ended == 1);
 }
--- a/tests/mesh/golden_test.cpp
+++ b/tests/mesh/golden_test.cpp
@@ -407,12 +407,12 @@
 }
 
 TEST_CASE("golden rpc: each flag of a watch response by itself, and the endpoint state Absent") {
-    rpc::WatchResponse whole, in_touch;
-    whole.registry.is_snapshot = true;
-    whole.registry.registrations = {kReady};
-    whole.registry.registrations.front().state = registry::EndpointState::Absent;
+    rpc::WatchResponse snapshot, in_touch;
+    snapshot.registry.is_snapshot = true;
+    snapshot.registry.registrations = {kReady};
+    snapshot.registry.registrations.front().state = registry::EndpointState::Absent;
     in_touch.has_quorum_contact = true;
-    const auto first = read_rpc("rpc-news-flag-1.bin", whole);
+    const auto first = read_rpc("rpc-news-flag-1.bin", snapshot);
     CHECK(first.registry.is_snapshot);
     CHECK_FALSE(first.has_quorum_contact);
     REQUIRE(first.registry.registrations.size() == 1);
--- a/tests/mesh/hop_test.cpp
+++ b/tests/mesh/hop_test.cpp
@@ -1,6 +1,6 @@
-// The three connections of a request, with the programs' own fronts, backs, engines and policies on loopback
-// sockets: client - caller's proxy - gate - endpoint. Endpoints misbehave and the hop breaks by seed; a
-// checker reads the history.
+// The three connections of a request on loopback sockets, with the proxies' own HTTP servers, clients,
+// engines and policies: client - caller's proxy - inbound proxy - endpoint. Endpoints misbehave and
+// connections break at random, by seed; a checker reads the history.
 #include <doctest/doctest.h>
 
 #include <map>
@@ -14,119 +14,125 @@
 
 namespace {
 
-/// What no schedule may bring about, one line each.
-std::vector<std::string> broken_rules(const History& history) {
-    std::vector<std::string> broken;
-    for (const auto& [id, asked] : history.asked) {
-        const auto ran = history.ran.find(id);
-        const int runs = ran == history.ran.end() ? 0 : ran->second;
-        if (!asked.repeatable && runs > 1) broken.push_back("TWICE " + id);
-        if (!asked.answer) continue;
-        const Heard& heard = *asked.answer;
-        const bool promise =
-            heard.status == 429 || heard.status == 503 || heard.status == 408 || heard.status == 421;
-        if (promise && !asked.repeatable && runs > 0) broken.push_back("REFUSED, but it ran: " + id);
-        if (!heard.id.empty() && heard.id != id)
-            broken.push_back("MIXED " + id + " got the answer to " + heard.id);
-        if (heard.status / 100 == 2 && heard.body != body_of(id))
-            broken.push_back("MIXED " + id + " got another body");
-        if (heard.status / 100 == 2 && !history.served.contains(id))
-            broken.push_back("MIXED " + id + ": its endpoint never served it");
+/// Returns one line for each violation of a rule that holds under all faults.
+std::vector<std::string> violations(const History& history) {
+    std::vector<std::string> violated;
+    for (const auto& [id, request] : history.requests) {
+        const auto found = history.executions.find(id);
+        const int runs = found == history.executions.end() ? 0 : found->second;
+        if (!request.idempotent && runs > 1) violated.push_back("TWICE " + id);
+        if (!request.response) continue;
+        const ClientResponse& response = *request.response;
+        const bool promise = response.status == 429 || response.status == 503 || response.status == 408 ||
+                             response.status == 421;
+        if (promise && !request.idempotent && runs > 0) violated.push_back("REFUSED, but it ran: " + id);
+        if (!response.id.empty() && response.id != id)
+            violated.push_back("MIXED " + id + " got the answer to " + response.id);
+        if (response.status / 100 == 2 && response.body != body_of(id))
+            violated.push_back("MIXED " + id + " got another body");
+        if (response.status / 100 == 2 && !history.served.contains(id))
+            violated.push_back("MIXED " + id + ": its endpoint never served it");
     }
-    for (const auto& [id, runs] : history.ran)
-        if (!history.asked.contains(id)) broken.push_back("UNASKED " + id);
-    return broken;
+    for (const auto& [id, runs] : history.executions)
+        if (!history.requests.contains(id)) violated.push_back("UNASKED " + id);
+    return violated;
 }
 
 }  // namespace
 
-TEST_CASE("each answer goes to its question and what must not run twice runs once at most, by seed") {
+TEST_CASE(
+    "random faults: each response reaches its request, and a non-idempotent request is executed at most "
+    "once") {
     std::map<int, int> statuses;
-    int asked = 0;
+    int requests = 0;
     for (std::uint64_t seed = 1; seed <= 10; ++seed) {
         CAPTURE(seed);
         World world(seed);
-        world.trouble = true;
-        REQUIRE(world.clients(16, 3));
-        for (const auto& line : broken_rules(world.history)) FAIL_CHECK(line);
-        for (const auto& [id, one] : world.history.asked) {
-            ++asked;
-            if (one.answer) ++statuses[one.answer->status];
+        world.faults_enabled = true;
+        REQUIRE(world.run_clients(16, 3));
+        for (const auto& line : violations(world.history)) FAIL_CHECK(line);
+        for (const auto& [id, request] : world.history.requests) {
+            ++requests;
+            if (request.response) ++statuses[request.response->status];
         }
     }
-    // It must have been more than a row of failures.
-    CHECK(asked == 480);
-    CHECK(statuses[200] > asked / 4);
+    // Not all requests may have failed.
+    CHECK(requests == 480);
+    CHECK(statuses[200] > requests / 4);
     CHECK(statuses[502] > 0);
     CHECK(statuses[503] > 0);
 }
 
-TEST_CASE("after a broken hop a gate that never got the request frees it, one that handed it on does not") {
-    constexpr int kHalf = 0, kWhole = 2;  // of the request reaches the gate, then the hop is reset
+TEST_CASE(
+    "after a broken hop a request is retried if the inbound proxy never received it, not if it delivered "
+    "it") {
+    using Fault = FaultyRelay::Fault;
     World world(1, 2);
-    const auto ask = [&](const std::string& id, std::optional<int> first, std::optional<int> second) {
-        world.gates[0]->relay->once = first;
-        world.gates[1]->relay->once = second;
-        const auto heard = world.ask_once(World::request_text(id, false));
-        return heard ? heard->status : 0;
+    const auto send = [&](const std::string& id, std::optional<Fault> first, std::optional<Fault> second) {
+        world.inbound_proxies[0]->relay->next_request_fault = first;
+        world.inbound_proxies[1]->relay->next_request_fault = second;
+        const auto response = world.send_once(World::request_text(id, false));
+        return response ? response->status : 0;
     };
-    for (int i = 0; i < 6; ++i) CHECK(ask("half" + std::to_string(i), kHalf, std::nullopt) == 200);
-    CHECK(ask("both", kHalf, kHalf) == 503);
-    CHECK(world.history.ran["both"] == 0);
-    // Both gates have a connection to their endpoint: none waits for one and is withdrawn.
-    for (int i = 0; i < 8; ++i) CHECK(ask("warm" + std::to_string(i), std::nullopt, std::nullopt) == 200);
-    CHECK(ask("whole", kWhole, kWhole) == 502);
-    CHECK(world.until([&] { return world.history.ran["whole"] == 1; }, 5s));
+    for (int i = 0; i < 6; ++i) CHECK(send("half" + std::to_string(i), Fault::Truncate, std::nullopt) == 200);
+    CHECK(send("both", Fault::Truncate, Fault::Truncate) == 503);
+    CHECK(world.history.executions["both"] == 0);
+    // Both inbound proxies have a connection to their endpoint: no request waits for one and is withdrawn.
+    for (int i = 0; i < 8; ++i) CHECK(send("warm" + std::to_string(i), std::nullopt, std::nullopt) == 200);
+    CHECK(send("whole", Fault::Reset, Fault::Reset) == 502);
+    CHECK(world.wait_for([&] { return world.history.executions["whole"] == 1; }, 5s));
 }
 
-TEST_CASE("a gate with a newer version in which the answer differs refuses; its caller decides anew by it") {
+TEST_CASE(
+    "an inbound proxy whose newer configuration routes otherwise rejects; the caller routes again once it "
+    "has it") {
     World world(1, 2, "t");
-    for (const auto& gate : world.gates) gate->in_force = World::version(2, "t");
+    for (const auto& proxy : world.inbound_proxies) proxy->routes = World::version(2, "t");
     const auto status = [&](const std::string& id) {
-        const auto heard = world.ask_once(World::request_text(id, false));
-        return heard ? heard->status : 0;
+        const auto response = world.send_once(World::request_text(id, false));
+        return response ? response->status : 0;
     };
-    // The newer version doesn't come: refused with proof.
+    // The caller does not receive the newer version: rejected with proof of non-execution.
     CHECK(status("waits") == 503);
-    CHECK(world.history.ran["waits"] == 0);
-    // It comes while the request waits, which then goes to its new service.
-    world.loop().add(world.loop().now() + 30ms, [&] { world.serve(World::version(2, "t")); });
+    CHECK(world.history.executions["waits"] == 0);
+    // It receives it while the request waits, which then goes to its new service.
+    world.loop().add(world.loop().now() + 30ms, [&] { world.set_routes(World::version(2, "t")); });
     CHECK(status("moves") == 200);
-    CHECK(world.history.ran["moves"] == 1);
-    // A gate that is behind has no say.
-    world.gates[1]->in_force = World::version(1);
+    CHECK(world.history.executions["moves"] == 1);
+    // An inbound proxy with an older version does not reject.
+    world.inbound_proxies[1]->routes = World::version(1);
     CHECK(status("later") == 200);
 }
 
-TEST_CASE(
-    "what doesn't say which request it answers, or promises without proof, is no answer and no promise") {
-    using Act = Endpoint::Act;
-    for (const Act act : {Act::Untied, Act::Anonymous, Act::Unproven, Act::TooMany}) {
-        CAPTURE(static_cast<int>(act));
+TEST_CASE("a response without the request's id, or a rejection without proof of non-execution, gives 502") {
+    using Behavior = Endpoint::Behavior;
+    for (const Behavior behavior : {Behavior::AnonymousReject, Behavior::NoAttemptId, Behavior::RejectNoProof,
+                                    Behavior::TooManyRequests}) {
+        CAPTURE(static_cast<int>(behavior));
         World world(1, 2);
-        for (const auto& gate : world.gates) gate->endpoint.always = act;
-        const auto heard = world.ask_once(World::request_text("a", false));
-        REQUIRE(heard);
-        CHECK(heard->status == 502);
-        CHECK(world.history.ran["a"] == 1);
+        for (const auto& proxy : world.inbound_proxies) proxy->endpoint.fixed_behavior = behavior;
+        const auto response = world.send_once(World::request_text("a", false));
+        REQUIRE(response);
+        CHECK(response->status == 502);
+        CHECK(world.history.executions["a"] == 1);
     }
 }
 
-TEST_CASE("trailers of a chunked body are no fields of its message, in neither direction") {
+TEST_CASE("trailer fields of a chunked body do not become header fields, in either direction") {
     World world(1, 1);
-    world.gates[0]->endpoint.always = Endpoint::Act::Trailers;
+    world.inbound_proxies[0]->endpoint.fixed_behavior = Endpoint::Behavior::Trailers;
     for (int i = 0; i < 8; ++i) {  // bodies of both sizes
         const std::string id = "t" + std::to_string(i);
-        const auto heard = world.ask_once(World::request_text(
+        const auto response = world.send_once(World::request_text(
             id, false,
             "Transfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n0\r\nX-Trailer: 1\r\nAttempt-Id: other\r\n"
             "Mesh-Hop: x\r\n\r\n"));
-        REQUIRE(heard);
-        CHECK(heard->status == 200);
-        CHECK(heard->id == id);
-        CHECK(heard->body == body_of(id));
-        CHECK_FALSE(heard->marked);
-        const auto& seen = world.gates[0]->endpoint.last;
+        REQUIRE(response);
+        CHECK(response->status == 200);
+        CHECK(response->id == id);
+        CHECK(response->body == body_of(id));
+        CHECK_FALSE(response->has_trailer_field);
+        const auto& seen = world.inbound_proxies[0]->endpoint.last_request;
         CHECK(seen.body() == "hi");
         CHECK(seen.count("X-Trailer") == 0);
         CHECK(seen.count("Attempt-Id") == 1);
@@ -134,42 +140,45 @@
 }
 
 TEST_CASE(
-    "SIGTERM while bodies stream, up and down, at the caller's proxy and at the gate: all of them come "
-    "whole") {
-    for (const bool at_gate : {false, true}) {
-        CAPTURE(at_gate);
+    "graceful shutdown while bodies stream in both directions, at the caller's proxy and at the inbound "
+    "proxy: "
+    "both arrive complete") {
+    for (const bool at_inbound_proxy : {false, true}) {
+        CAPTURE(at_inbound_proxy);
         World world(1, 1);
-        world.gates[0]->endpoint.always = Endpoint::Act::Slow;
+        world.inbound_proxies[0]->endpoint.fixed_behavior = Endpoint::Behavior::SlowResponse;
         int ended = 0;
         const std::string up(100'000, 'u');
         const auto drain = [&] {
-            (at_gate ? world.gates[0]->front : world.front).drain([&] { ++ended; }, false);
+            (at_inbound_proxy ? world.inbound_proxies[0]->front : world.front).drain([&] { ++ended; }, false);
         };
-        std::string id = "a";  // one whose answer is long
+        std::string id = "a";  // one with a long response
         while (body_of(id).size() < 1000) id += "a";
-        const auto heard = world.ask_once(
+        const auto response = world.send_once(
             World::request_text(id, false, "Content-Length: 100000\r\n\r\n" + up.substr(0, 70'000)),
             up.substr(70'000), drain);
-        REQUIRE(heard);
-        CHECK(heard->status == 200);
-        CHECK(heard->body == body_of(id));
-        CHECK(world.gates[0]->endpoint.last.body() == up);
+        REQUIRE(response);
+        CHECK(response->status == 200);
+        CHECK(response->body == body_of(id));
+        CHECK(world.inbound_proxies[0]->endpoint.last_request.body() == up);
         CHECK(ended == 0);
     }
 }
 
-TEST_CASE("a gate's refusal without the request's id is no proof for it") {
+TEST_CASE("a rejection by an inbound proxy without the request's id is no proof of non-execution") {
     World world(1, 1);
-    http::request<PieceBody> asked{http::verb::post, "/o/x", 11};
-    asked.set("Attempt-Id", "a");
-    const HttpMessage message(std::move(asked));
-    http::response_header<> word;
-    word.result(http::status::service_unavailable);
-    word.set("Mesh-Refused", "5");
-    const auto classify = [&] { return world.hop_back().classify(word, &message, decision::EndpointId{1}); };
+    http::request<PieceBody> request{http::verb::post, "/o/x", 11};
+    request.set("Attempt-Id", "a");
+    const HttpMessage message(std::move(request));
+    http::response_header<> refusal;
+    refusal.result(http::status::service_unavailable);
+    refusal.set("Mesh-Refused", "5");
+    const auto classify = [&] {
+        return world.hop_protocol().classify(refusal, &message, decision::EndpointId{1});
+    };
     CHECK_FALSE(classify());
-    word.set("Attempt-Id", "b");
+    refusal.set("Attempt-Id", "b");
     CHECK_FALSE(classify());
-    word.set("Attempt-Id", "a");
+    refusal.set("Attempt-Id", "a");
     CHECK(classify() == decision::Status::Full);
 }
--- a/tests/mesh/local_endpoint_test.cpp
+++ b/tests/mesh/local_endpoint_test.cpp
@@ -277,14 +277,14 @@
     }
     CHECK(beside.back.probes.size() == 4);
 
-    Beside heard(parse_address("127.0.0.1:9000"));
-    heard.endpoint.probe_if_unknown();
-    heard.heartbeat("b", 1);
-    heard.back.answer_last("a");  // late: the heartbeat is newer
-    CHECK(heard.registration().instance_id == "b");
-    CHECK(heard.placement.placed.size() == 1);
-    heard.endpoint.probe_if_unknown();
-    CHECK(heard.back.probes.size() == 1);
+    Beside informed(parse_address("127.0.0.1:9000"));
+    informed.endpoint.probe_if_unknown();
+    informed.heartbeat("b", 1);
+    informed.back.answer_last("a");  // late: the heartbeat is newer
+    CHECK(informed.registration().instance_id == "b");
+    CHECK(informed.placement.placed.size() == 1);
+    informed.endpoint.probe_if_unknown();
+    CHECK(informed.back.probes.size() == 1);
 
     Beside without_address;
     without_address.endpoint.probe_if_unknown();
--- a/tests/mesh/quota_test.cpp
+++ b/tests/mesh/quota_test.cpp
@@ -1,4 +1,4 @@
-// QuotaAllocator and QuotaLimiter together: whatever is lost, restarted or cut off, a tenant gets no more
+// QuotaAllocator and QuotaLimiter together: whatever is lost, restarted or partitioned, a tenant gets no more
 // than its rule allows, and most of what it allows.
 #include "quota/quota.h"
 
@@ -45,7 +45,7 @@
 }
 
 /// Twelve proxies, a tenant far over its quota, reports and responses that get lost, and two controllers that
-/// lead in turn.
+/// lead one after another.
 struct LossyMesh {
     explicit LossyMesh(std::uint64_t seed) : random(seed) {}
     decision::Random random;
@@ -121,7 +121,7 @@
     CHECK(limiter.admit(now, "unlimited", {0, 0}, 12));
 }
 
-TEST_CASE("quota: proxies cut off from the leader go on by their reserved share, within the rule") {
+TEST_CASE("quota: proxies partitioned from the leader admit their reserved share, within the rule") {
     std::vector<QuotaLimiter> proxies(kProxies, QuotaLimiter({}));
     std::vector<std::uint64_t> acknowledged(kProxies);
     QuotaAllocator leader({});
--- a/tests/mesh/scale_test_test.cpp
+++ b/tests/mesh/scale_test_test.cpp
@@ -26,7 +26,7 @@
     CHECK(table.tsv(false) == "100\t1\n2\t-\n");
 }
 
-TEST_CASE("the configurations that are put have the size that was asked for, and differ") {
+TEST_CASE("scale test: configurations have the requested size, and differ") {
     const Shape shape{71, 100, 12};
     const auto read = mesh_config::read_config(mesh_config::Json::parse(configuration(shape, 2, 1)));
     const auto* config = std::get_if<mesh_config::Config>(&read);
@@ -45,37 +45,36 @@
 }
 
 TEST_CASE(
-    "a simulated proxy announces itself, polls, fetches a newer configuration and shows that it serves by "
-    "it") {
+    "a simulated proxy registers, polls, fetches a newer configuration and registers with its version") {
     Loop loop;
     const Address at = *parse_address("127.0.93.1:21790");  // no other test listens here
     std::vector<std::shared_ptr<rpc::Channel>> channels;
     std::vector<rpc::WatchRequest> polls;
-    std::set<std::uint32_t> told;  // versions, by its announcements
+    std::set<std::uint32_t> registered;  // versions, by its registrations
     rpc::Listener listener(loop, at, [&](std::shared_ptr<rpc::Channel> channel) {
         channels.push_back(channel);
         channel->start(
             [&, channel = channel.get()](rpc::Message&& message) {
-                if (const auto* announce = std::get_if<rpc::RegisterRequest>(&message)) {
-                    CHECK(announce->registration.service == "web");
-                    CHECK(announce->registration.state == registry::EndpointState::Ready);
-                    if (announce->config_version == 7) CHECK(announce->demands.size() == 2);
-                    told.insert(announce->config_version);
+                if (const auto* registration = std::get_if<rpc::RegisterRequest>(&message)) {
+                    CHECK(registration->registration.service == "web");
+                    CHECK(registration->registration.state == registry::EndpointState::Ready);
+                    if (registration->config_version == 7) CHECK(registration->demands.size() == 2);
+                    registered.insert(registration->config_version);
                     channel->send(rpc::RegisterResponse{1, {}, true, 1});
                 } else if (const auto* poll = std::get_if<rpc::WatchRequest>(&message)) {
                     polls.push_back(*poll);
-                    rpc::WatchResponse news;
-                    news.registry = {5, polls.size(), polls.size() == 1, {}, {}};
-                    registry::ProxyRegistration place;
-                    place.node = "other";
-                    place.incarnation = 1;
-                    if (polls.size() == 1) news.registry.registrations.push_back(place);
-                    news.config_version = 7;
-                    news.has_quorum_contact = true;
-                    if (poll->wants_config) news.config = configuration({3, 3, 2}, 7, 0);
-                    if (poll->config_version < 7) channel->send(news);
+                    rpc::WatchResponse response;
+                    response.registry = {5, polls.size(), polls.size() == 1, {}, {}};
+                    registry::ProxyRegistration other;
+                    other.node = "other";
+                    other.incarnation = 1;
+                    if (polls.size() == 1) response.registry.registrations.push_back(other);
+                    response.config_version = 7;
+                    response.has_quorum_contact = true;
+                    if (poll->wants_config) response.config = configuration({3, 3, 2}, 7, 0);
+                    if (poll->config_version < 7) channel->send(response);
                 }
-                if (told.contains(7)) loop.stop();
+                if (registered.contains(7)) loop.stop();
             },
             [] {});
     });
@@ -83,7 +82,7 @@
     SimulatedProxy proxy(loop, {"proxy-1", "127.0.94.1:1", "web", "zone-1", {at}, {}}, gauge);
     loop.add(loop.now() + 5s, [&] { loop.stop(); });
     loop.run();
-    REQUIRE(polls.size() >= 3);  // it has nothing; it is told of a version and wants it; it has it
+    REQUIRE(polls.size() >= 3);  // without a version; asking for the announced document; with it
     CHECK(polls[0].config_version == 0);
     CHECK_FALSE(polls[0].wants_config);
     CHECK(polls[1].wants_config);
--- a/tests/mesh/store_test.cpp
+++ b/tests/mesh/store_test.cpp
@@ -76,7 +76,8 @@
 }
 
 TEST_CASE(
-    "durable store: a file truncated at any length is damaged or read in full, and the process lives on") {
+    "durable store: a file truncated at any length is damaged or read in full, and the process does not "
+    "crash") {
     TemporaryDirectory directory;
     const durable_store::Records records{{"state", "s"}, {"value", std::string(30'000, 'v')}};
     {
