--- a/tests/mesh/rig/link_cuts.cpp
+++ b/tests/mesh/rig/link_cuts.cpp
@@ -17,8 +17,8 @@
 
 namespace {
 
-/// A file descriptor that is closed again at once: held longer, it would keep
-/// the process's own close from being seen by its peer.
+/// Closes a file descriptor at the end of its scope. A duplicate that stays open longer would keep the
+/// connection open after its process has closed it.
 class Descriptor {
   public:
     explicit Descriptor(long number) : number_(static_cast<int>(number)) {}
--- a/tests/mesh/rig/play.cpp
+++ b/tests/mesh/rig/play.cpp
@@ -178,7 +178,7 @@
 
 // ---- time
 
-void Play::when(std::function<bool()> condition, Action action) {
+void Play::when(const std::function<bool()>& condition, const Action& action) {
     if (condition()) return action();
     loop_.add(loop_.now() + kPollInterval, [this, condition, action] { when(condition, action); });
 }
--- a/tests/mesh/rig/play_faults.cpp
+++ b/tests/mesh/rig/play_faults.cpp
@@ -1,7 +1,6 @@
 // Faults of a play, and their repair.
-#include <signal.h>
-
 #include <algorithm>
+#include <csignal>
 
 #include "mesh/rig/play_run.h"
 
@@ -181,7 +180,7 @@
     });
 }
 
-void Play::drain_endpoint(std::size_t i, Time give_up_at, Action stopped) {
+void Play::drain_endpoint(std::size_t i, Time give_up_at, const Action& stopped) {
     proxies_[i].draining = true;
     send_heartbeat(i, [this, i, give_up_at, stopped](bool accepted) {
         if (!accepted && loop_.now() < give_up_at) {
@@ -193,7 +192,7 @@
     });
 }
 
-void Play::deregister_endpoint(std::size_t i, Action stopped) {
+void Play::deregister_endpoint(std::size_t i, const Action& stopped) {
     call(
         at(proxy_ip(i), Port::Control), "POST", "/v1/instances/" + proxies_[i].endpoint->id() + "/deregister",
         "", kCallTimeout,
--- a/tests/mesh/rig/play_run.h
+++ b/tests/mesh/rig/play_run.h
@@ -77,7 +77,7 @@
     /// Waits for `condition`; a time-out is a violation.
     void wait_for(const std::string& what, const std::function<bool()>& condition);
     /// Calls `action` once `condition` holds, without blocking.
-    void when(std::function<bool()> condition, Action action);
+    void when(const std::function<bool()>& condition, const Action& action);
     void run_for(Duration duration);
     /// Reaps processes, filters new sockets and reads logs, every kPollInterval.
     void poll_processes();
@@ -129,8 +129,8 @@
     bool none_runs(const std::vector<std::size_t>& controllers) const;
     /// Shuts an endpoint down gracefully: reports draining until that is accepted, serves on for `drain_ms`,
     /// deregisters and stops.
-    void drain_endpoint(std::size_t i, Time give_up_at, Action stopped);
-    void deregister_endpoint(std::size_t i, Action stopped);
+    void drain_endpoint(std::size_t i, Time give_up_at, const Action& stopped);
+    void deregister_endpoint(std::size_t i, const Action& stopped);
 
     const PlayOptions options_;
     std::mt19937_64 random_;
--- a/tests/mesh/rig/processes.cpp
+++ b/tests/mesh/rig/processes.cpp
@@ -1,11 +1,11 @@
 #include "mesh/rig/processes.h"
 
 #include <fcntl.h>
-#include <signal.h>
 #include <sys/prctl.h>
 #include <sys/wait.h>
 #include <unistd.h>
 
+#include <csignal>
 #include <cstdlib>
 #include <filesystem>
 #include <fstream>
--- a/tests/mesh/rig/processes.h
+++ b/tests/mesh/rig/processes.h
@@ -18,7 +18,7 @@
 enum class Port { Control, App, Inbound, Outbound, Readiness, Mesh = 8, MeshLast = 9 };
 std::string port(Port port);
 /// Returns "ip:port".
-std::string at(const std::string& ip, Port port);
+std::string at(const std::string& ip, Port which);
 
 /// The settings in which a process differs from the others of a test.
 struct Machine {
