--- a/src/outbound/outbound_policy.cpp
+++ b/src/outbound/outbound_policy.cpp
@@ -1,93 +1,37 @@
 #include "outbound/outbound_policy.h"
 
 #include <algorithm>
+#include <utility>
 
 namespace martenford::outbound {
 
 using namespace martenford::decision;
 
 namespace {
-constexpr Duration kShunUnreached = 500ms;                           // a gate that could not be reached
-constexpr Duration kShunFailed = 300ms;                              // one whose endpoint broke off
-constexpr Duration kHintHolds = 300ms;                               // what a gate said of its queue
-constexpr Duration kComeBackLeast = 400ms, kComeBackSpread = 400ms;  // Retry-After of a refusal
-constexpr std::size_t kMostPrepared = 4096;
-constexpr Duration kReplanTime = 500ms;  // for the newer configuration to come: polls for it hang everywhere
-constexpr Duration kAskTime = 300ms;  // for a gate to say whether it ever handed on what a broken hop carried
-}  // namespace
-
-void OutboundPolicy::prepare(const RequestId& id, RequestPlan plan) {
-    if (prepared_plans_.size() >= kMostPrepared)
-        prepared_plans_.clear();  // left behind by ids that were under way already
-    prepared_plans_[id] = std::move(plan);
-}
-
-void OutboundPolicy::set_upstream(EndpointId id, const Upstream& upstream) {
-    const auto [it, fresh] = upstreams_.try_emplace(id);
-    it->second.upstream = upstream;
-    if (fresh) by_service_[upstream.service].push_back(id);
-}
-
-void OutboundPolicy::remove_upstream(EndpointId id) {
-    const auto it = upstreams_.find(id);
-    if (it == upstreams_.end()) return;
-    std::erase(by_service_[it->second.upstream.service], id);
-    upstreams_.erase(it);
-}
-
-void OutboundPolicy::queue_hint(EndpointId id, Time now, Duration wait) {
-    const auto it = upstreams_.find(id);
-    if (it == upstreams_.end()) return;
-    it->second.hinted_at = now;
-    it->second.queue_wait = wait;
-}
-
-AdmissionMode OutboundPolicy::admission_mode(const RequestId& id) const {
-    const auto it = calls_.find(id);
-    return it == calls_.end() ? AdmissionMode::Queue : it->second.mode;
-}
-
-void OutboundPolicy::outdated(const RequestId& id) {
-    const auto it = calls_.find(id);
-    if (it == calls_.end()) return;
-    it->second.outdated = true;
-    it->second.plan_renewed = false;
-}
-
-void OutboundPolicy::replan(const RequestId& id, std::optional<RequestPlan> plan) {
-    const auto it = calls_.find(id);
-    if (it == calls_.end() || !it->second.outdated) return;
-    Call& call = it->second;
-    call.plan_renewed = true;
-    if (!plan) return;
-    plan->latency_target_at = call.plan.latency_target_at;
-    call.plan = *plan;
-    call.outdated = false;
-}
 
-/// By the new plan, or given up where there is none.
-void OutboundPolicy::continue_with_new_plan(Call& call) {
-    call.plan_renewed = false;
-    if (std::exchange(call.outdated, false)) return give_up(call);
-    // What was sent while it might be repeated is not sent again once it may not.
-    if (!call.plan.idempotent && (call.runs > 0 || has_attempt_in_flight(call))) return give_up(call);
-    call.rejected_by.clear();
-    call.offers = 0;
-    call.mode = AdmissionMode::IfSlotFree;
-    try_send(call);
+// Retry-After of a rejection: drawn evenly from [min, min + spread), so that rejected clients do not return
+// all at once.
+constexpr Duration kMinRetryAfter = 400ms;
+constexpr Duration kRetryAfterSpread = 400ms;
+// Plans whose request has not come. Bounds the memory: the engine passes over a request whose id is in
+// progress, so that its plan is left behind.
+constexpr std::size_t kMaxPreparedPlans = 4096;
+// How long a request waits for a newer configuration. Every proxy has a long poll for it open, so that it
+// comes within a round trip if a controller can be reached.
+constexpr Duration kNewPlanTimeout = 500ms;
+// How long an inbound proxy has to say whether it passed an attempt on.
+constexpr Duration kDeliveryQueryTimeout = 300ms;
+
+/// Outcomes that prove that the endpoint did not get the request.
+bool proves_not_run(Status status) {
+    return status == Status::Full || status == Status::ConnectFailed || status == Status::NotSent;
 }
 
-std::optional<Duration> OutboundPolicy::delivery_query(const RequestId& id) const {
-    const auto it = calls_.find(id);
-    if (it == calls_.end() || it->second.attempts.empty()) return std::nullopt;
-    const auto asked = it->second.attempts.back().queries_attempt;
-    if (!asked) return std::nullopt;
-    return now_ - it->second.attempts[*asked].sent_at;
-}
+}  // namespace
 
-void OutboundPolicy::delivered(const RequestId& id) {
-    const auto it = calls_.find(id);
-    if (it != calls_.end() && !it->second.attempts.empty()) it->second.attempts.back().delivered = true;
+void OutboundPolicy::prepare(const RequestId& id, RequestPlan plan) {
+    if (prepared_plans_.size() >= kMaxPreparedPlans) prepared_plans_.clear();
+    prepared_plans_[id] = std::move(plan);
 }
 
 const RequestPlan* OutboundPolicy::plan(const RequestId& id) const {
@@ -95,38 +39,12 @@
     return it == calls_.end() ? nullptr : &it->second.plan;
 }
 
-bool OutboundPolicy::any_ready() const {
-    return std::any_of(upstreams_.begin(), upstreams_.end(),
-                       [](const auto& b) { return b.second.upstream.ready; });
-}
-
-/// A second attempt beside one that is doubted. Guards against breaking off work that its endpoint is at: a
-/// proxy that is silent to the core, or told as another life, may be busy all the same.
-void OutboundPolicy::on(const decision::Discovered&) {
-    std::vector<RequestId> lonely, anew;
-    for (const auto& [request, call] : calls_) {
-        if (call.open && call.held_until && call.plan_renewed) anew.push_back(request);
-    }
-    for (const RequestId& id : anew) continue_with_new_plan(calls_.at(id));
-    for (const EndpointId id : std::exchange(withdrawn_upstreams_, {})) {
-        for (auto& [request, call] : calls_) {
-            if (!call.open || !call.plan.idempotent) continue;
-            bool fresh = false;
-            for (Attempt& attempt : call.attempts) {
-                if (attempt.in_flight && attempt.to == id && !std::exchange(attempt.upstream_lost, true))
-                    fresh = true;
-            }
-            const bool others = std::any_of(call.attempts.begin(), call.attempts.end(),
-                                            [](const Attempt& a) { return a.in_flight && !a.upstream_lost; });
-            if (fresh && !others && !call.held_until) lonely.push_back(request);
-        }
-    }
-    for (const RequestId& id : lonely) {
-        if (const auto it = calls_.find(id); it != calls_.end()) retry(it->second);
-    }
+AdmissionMode OutboundPolicy::admission_mode(const RequestId& id) const {
+    const auto it = calls_.find(id);
+    return it == calls_.end() ? AdmissionMode::Queue : it->second.mode;
 }
 
-void OutboundPolicy::handle(Time now, const decision::Event& event, std::vector<Action>& out) {
+void OutboundPolicy::handle(Time now, const Event& event, std::vector<Action>& out) {
     now_ = now;
     actions_ = &out;
     std::visit([this](const auto& e) { on(e); }, event);
@@ -143,204 +61,307 @@
     try_send(call);
 }
 
-bool OutboundPolicy::was_tried(const Call& call, EndpointId id) const {
-    return std::find(call.rejected_by.begin(), call.rejected_by.end(), id) != call.rejected_by.end();
+// --- Sending ---------------------------------------------------------------------------------------------
+
+/// Upstreams that rejected the call earlier may have a free slot by now.
+void OutboundPolicy::start_round(Call& call) {
+    call.rejected_by.clear();
+    call.offers = 0;
+    call.mode = AdmissionMode::IfSlotFree;
 }
 
-/// The less loaded of two random ready gates, by own calls out; a retry goes elsewhere where it can. Those
-/// that refused this request are passed over; those that were not reached lately, and silent ones, come last.
-std::optional<EndpointId> OutboundPolicy::pick(const Call& call) {
-    const auto known = by_service_.find(call.plan.service);
-    if (known == by_service_.end()) return std::nullopt;
-    std::vector<EndpointId> best, rest;
-    for (const EndpointId id : known->second) {
-        const UpstreamState& held = upstreams_.at(id);
-        if (!held.upstream.ready || was_tried(call, id)) continue;
-        const bool been = std::any_of(call.attempts.begin(), call.attempts.end(),
-                                      [&](const Attempt& a) { return a.may_have_run && a.to == id; });
-        (held.upstream.lease_expired || held.avoid_until > now_ || been ? rest : best).push_back(id);
-    }
-    const auto& from = best.empty() ? rest : best;
-    if (from.empty()) return std::nullopt;
-    const EndpointId a = from[random_.below(from.size())];
-    if (from.size() == 1) return a;
-    EndpointId b = a;
-    while (b == a) b = from[random_.below(from.size())];
-    const UpstreamState &first = upstreams_.at(a), &second = upstreams_.at(b);
-    if (first.in_flight != second.in_flight) return first.in_flight < second.in_flight ? a : b;
-    // Alike: the one in the own zone, which costs nothing to reach.
-    const bool first_near = first.upstream.zone == options_.zone,
-               second_near = second.upstream.zone == options_.zone;
-    return first_near != second_near && second_near ? b : a;
-}
-
-/// Of the gates that had no free place, the one whose queue is the shortest by what they said.
-std::optional<EndpointId> OutboundPolicy::least_wait(const Call& call) {
-    std::optional<EndpointId> best;
-    Duration least = Duration::max();
-    for (const EndpointId id : call.rejected_by) {
-        const auto it = upstreams_.find(id);
-        if (it == upstreams_.end() || !it->second.upstream.ready || now_ - it->second.hinted_at > kHintHolds)
-            continue;
-        // It has barred the id.
-        if (std::any_of(call.attempts.begin(), call.attempts.end(),
-                        [&](const Attempt& a) { return a.queries_attempt && a.to == id; }))
-            continue;
-        if (it->second.queue_wait < least) {
-            least = it->second.queue_wait;
-            best = id;
+/// First the free slots of a few upstreams, by two random choices; then the shortest queue among those that
+/// had none; then any queue. Switches the call's mode accordingly.
+std::optional<EndpointId> OutboundPolicy::choose_upstream(Call& call) {
+    const auto pick = [&] { return upstreams_.pick_of_two(now_, call.plan.service, history(call), random_); };
+    if (call.mode == AdmissionMode::IfSlotFree) {
+        if (call.offers < options_.slot_offers) {
+            if (const auto to = pick()) return to;
         }
+        call.mode = AdmissionMode::Queue;
+        if (const auto to = upstreams_.shortest_queue(now_, history(call))) return to;
     }
-    return best;
+    return pick();
 }
 
 void OutboundPolicy::try_send(Call& call) {
-    call.held_until.reset();
+    call.resume_at.reset();
     if (call.attempts.size() >= options_.max_hops) return give_up(call);
-    std::optional<EndpointId> to;
-    if (call.mode == AdmissionMode::IfSlotFree && call.offers < options_.slot_offers) to = pick(call);
-    if (!to) {
-        // Nobody of those asked has a free place: into the shortest queue.
-        if (call.mode == AdmissionMode::IfSlotFree) {
-            call.mode = AdmissionMode::Queue;
-            to = least_wait(call);
-        }
-        if (!to) to = pick(call);
-    }
+    const std::optional<EndpointId> to = choose_upstream(call);
     if (!to) return give_up(call);
     ++call.offers;
-    ++upstreams_.at(*to).in_flight;
-    call.attempts.push_back({*to, true});
-    call.attempts.back().sent_at = now_;
+    upstreams_.attempt_started(*to);
+    Attempt attempt;
+    attempt.to = *to;
+    attempt.in_flight = true;
+    attempt.sent_at = now_;
+    call.attempts.push_back(attempt);
     actions_->push_back(Send{call.request.id, *to, Duration{}});
 }
 
+// --- Retries, by "Retries Done Right"
+// -----------------------------------------------------------------------
+
+/// Section "Mistake #6: retrying non-idempotent operations". Counts attempts that may have run or may still
+/// run; rejected ones are free.
+bool OutboundPolicy::may_run_again(const Call& call) {
+    const auto may_run = [](const Attempt& attempt) { return attempt.in_flight || attempt.may_have_run; };
+    const auto runs = std::count_if(call.attempts.begin(), call.attempts.end(), may_run);
+    return call.plan.idempotent && runs < call.plan.max_attempts;
+}
+
+/// Section "Mistake #4: no retry budget": a served call adds a token to its service's bucket.
+void OutboundPolicy::earn_retry_token(const Call& call) {
+    retry_budgets_.try_emplace(call.plan.service, options_.retry_tokens).first->second.earn();
+}
+
+/// Section "Mistake #4: no retry budget": a retry costs 1 / retryRatio tokens (kRetryCost), so that retries
+/// add at most a tenth to the load. The bucket starts full, with `retry_tokens`. Returns false if it has too
+/// few.
+bool OutboundPolicy::spend_retry_tokens(const Call& call) {
+    return retry_budgets_.try_emplace(call.plan.service, options_.retry_tokens).first->second.spend();
+}
+
+/// Section "Mistake #3: backoff without jitter", decorrelated jitter: each wait is drawn by the wait before.
+Duration OutboundPolicy::jittered_wait(Call& call) {
+    return call.backoff.next(random_);
+}
+
+/// Section "Mistake #5: ignoring the request deadline": the time left, less a buffer (kDeadlineBuffer)
+/// without which the last attempt could not end in time. 0 or less: no retry.
+Duration OutboundPolicy::time_left_for_retry(const Call& call) const {
+    return left_for_retry(call.request.deadline, now_);
+}
+
+/// Schedules another attempt if all four allow it; otherwise gives up.
+void OutboundPolicy::retry(Call& call) {
+    const Duration left = time_left_for_retry(call);
+    if (!may_run_again(call) || left <= Duration{}) return give_up(call);
+    if (!spend_retry_tokens(call)) return give_up(call);
+    start_round(call);
+    call.resume_at = now_ + std::min(jittered_wait(call), left);
+    actions_->push_back(SetTimer{*call.resume_at, call.number});
+}
+
+void OutboundPolicy::on(const TimerFired& timer) {
+    const auto number = ids_by_number_.find(timer.token);
+    if (number == ids_by_number_.end()) return;
+    const auto known = calls_.find(number->second);
+    if (known == calls_.end()) return;
+    Call& call = known->second;
+    if (!call.resume_at || now_ < *call.resume_at) return;  // an earlier timer, not needed any more
+    if (!call.open) return;
+    if (call.outdated || call.plan_renewed) return continue_with_new_plan(call);
+    try_send(call);
+}
+
+// --- Outcomes ----------------------------------------------------------------------------------------------
+
 void OutboundPolicy::on(const Outcome& outcome) {
     const auto known = calls_.find(outcome.id);
     if (known == calls_.end()) return;
     Call& call = known->second;
     if (outcome.attempt >= call.attempts.size() || !call.attempts[outcome.attempt].in_flight) return;
+    const bool never_ran = proves_not_run(outcome.status);
+    record_outcome(call, outcome, never_ran);
+    if (!call.open) return forget_if_finished(outcome.id);
+
+    const Attempt attempt = call.attempts[outcome.attempt];
+    if (attempt.queries_attempt) return on_delivery_answer(call, attempt, outcome.status);
+    if (outcome.status == Status::Reset && query_delivery(call, outcome.attempt)) return;
+    if (never_ran) call.rejected_by.push_back(attempt.to);
+    go_on(call, never_ran);
+}
+
+void OutboundPolicy::record_outcome(Call& call, const Outcome& outcome, bool never_ran) {
     Attempt& attempt = call.attempts[outcome.attempt];
     attempt.in_flight = false;
-    const auto upstream = upstreams_.find(attempt.to);
-    if (upstream != upstreams_.end()) --upstream->second.in_flight;
-    const bool never_ran = outcome.status == Status::Full || outcome.status == Status::ConnectFailed ||
-                           outcome.status == Status::NotSent;
-    const auto asked = attempt.queries_attempt;
-    attempt.may_have_run = !never_ran && !asked;
+    upstreams_.attempt_ended(attempt.to, outcome.status, now_);
+    attempt.may_have_run = !never_ran && !attempt.queries_attempt;
     if (attempt.may_have_run) ++call.runs;
-    if (upstream != upstreams_.end()) {
-        if (outcome.status == Status::ConnectFailed) upstream->second.avoid_until = now_ + kShunUnreached;
-        if (outcome.status == Status::Reset) upstream->second.avoid_until = now_ + kShunFailed;
-    }
-    if (outcome.status == Status::Ok)
-        retry_budgets_.try_emplace(call.plan.service, options_.retry_tokens).first->second.earn();
+    if (outcome.status == Status::Ok) earn_retry_token(call);
     if (outcome.last) call.open = false;
-    if (!call.open) return forget_if_over(outcome.id);
-    if (asked) {
-        // Only the gate's own word frees it: one that can't be reached may have handed it on before.
-        if (outcome.status != Status::Full) return give_up(call);
-        call.attempts[*asked].may_have_run = false;
-        --call.runs;
-        call.rejected_by.push_back(attempt.to);
-        return try_send(call);
-    }
-    if (outcome.status == Status::Reset && query_delivery(call, outcome.attempt)) return;
-    if (never_ran) call.rejected_by.push_back(attempt.to);
-    // Beside one that was doubted: another is out, or about to go.
-    if (call.held_until || std::any_of(call.attempts.begin(), call.attempts.end(),
-                                       [](const Attempt& a) { return a.in_flight && !a.upstream_lost; }))
-        return;
+}
+
+/// What follows an attempt that did not bring the final answer.
+void OutboundPolicy::go_on(Call& call, bool never_ran) {
+    // Another attempt is in flight, or about to be sent.
+    if (call.resume_at || has_reliable_attempt(call)) return;
     if (call.plan_renewed) return continue_with_new_plan(call);
-    if (call.outdated) {
-        call.held_until = now_ + std::min(kReplanTime, left_for_retry(call.request.deadline, now_));
-        actions_->push_back(SetTimer{*call.held_until, call.number});
-        return;
-    }
+    if (call.outdated) return wait_for_new_plan(call);
     if (never_ran) return try_send(call);
     retry(call);
 }
 
-/// After a broken hop: whether what must not run twice was ever handed on. The gate that says no has barred
-/// it.
+/// After a broken connection nobody but the inbound proxy knows whether it passed the request on. Asks it, if
+/// the request must not run twice and there is time. The query makes the inbound proxy fence the attempt's
+/// id, so that a copy that is still on its way is rejected. Returns false if there is nothing to ask.
 bool OutboundPolicy::query_delivery(Call& call, std::size_t attempt) {
     const Attempt broken = call.attempts[attempt];
-    const auto upstream = upstreams_.find(broken.to);  // of the same life, or it is not there
-    if (call.plan.idempotent || broken.delivered || upstream == upstreams_.end() ||
-        left_for_retry(call.request.deadline, now_) <= Duration{})
-        return false;
-    ++upstream->second.in_flight;
-    call.attempts.push_back({broken.to, true});
-    call.attempts.back().queries_attempt = attempt;
-    actions_->push_back(Send{call.request.id, broken.to, kAskTime});
+    // A restarted inbound proxy is another upstream: then the pool does not have this one any more.
+    const bool can_ask = !call.plan.idempotent && !broken.delivered && upstreams_.contains(broken.to);
+    if (!can_ask || time_left_for_retry(call) <= Duration{}) return false;
+    upstreams_.attempt_started(broken.to);
+    Attempt query;
+    query.to = broken.to;
+    query.in_flight = true;
+    query.queries_attempt = attempt;
+    call.attempts.push_back(query);
+    actions_->push_back(Send{call.request.id, broken.to, kDeliveryQueryTimeout});
     return true;
 }
 
-void OutboundPolicy::retry(Call& call) {
-    const Duration left = left_for_retry(call.request.deadline, now_);
-    const auto may_have_run = std::count_if(call.attempts.begin(), call.attempts.end(),
-                                            [](const Attempt& a) { return a.in_flight || a.may_have_run; });
-    const bool allowed = call.plan.idempotent && may_have_run < call.plan.max_attempts;
-    if (!allowed || left <= Duration{}) return give_up(call);
-    if (!retry_budgets_.try_emplace(call.plan.service, options_.retry_tokens).first->second.spend())
-        return give_up(call);
-    call.rejected_by.clear();
-    call.offers = 0;
-    call.mode = AdmissionMode::IfSlotFree;
-    call.held_until = now_ + std::min(call.backoff.next(random_), left);
-    actions_->push_back(SetTimer{*call.held_until, call.number});
+/// Only the inbound proxy's own rejection proves that the attempt was not passed on. One that cannot be
+/// reached may have done so before.
+void OutboundPolicy::on_delivery_answer(Call& call, const Attempt& query, Status status) {
+    if (status != Status::Full) return give_up(call);
+    call.attempts[*query.queries_attempt].may_have_run = false;
+    --call.runs;
+    call.rejected_by.push_back(query.to);
+    try_send(call);
 }
 
-void OutboundPolicy::on(const TimerFired& timer) {
-    const auto number = ids_by_number_.find(timer.token);
-    if (number == ids_by_number_.end()) return;
-    const auto call = calls_.find(number->second);
-    if (call == calls_.end() || !call->second.held_until || now_ < *call->second.held_until) return;
-    if (!call->second.open) return;
-    call->second.outdated || call->second.plan_renewed ? continue_with_new_plan(call->second)
-                                                       : try_send(call->second);
+std::optional<Duration> OutboundPolicy::delivery_query(const RequestId& id) const {
+    const auto it = calls_.find(id);
+    if (it == calls_.end() || it->second.attempts.empty()) return std::nullopt;
+    const auto queried = it->second.attempts.back().queries_attempt;
+    if (!queried) return std::nullopt;
+    return now_ - it->second.attempts[*queried].sent_at;
+}
+
+void OutboundPolicy::delivered(const RequestId& id) {
+    const auto it = calls_.find(id);
+    if (it != calls_.end() && !it->second.attempts.empty()) it->second.attempts.back().delivered = true;
 }
 
-/// The final answer, at once: a promise where nothing can have run, with a time to come back.
+// --- Newer configurations
+// ------------------------------------------------------------------------------------
+
+void OutboundPolicy::outdated(const RequestId& id) {
+    const auto it = calls_.find(id);
+    if (it == calls_.end()) return;
+    it->second.outdated = true;
+    it->second.plan_renewed = false;
+}
+
+void OutboundPolicy::replan(const RequestId& id, std::optional<RequestPlan> plan) {
+    const auto it = calls_.find(id);
+    if (it == calls_.end() || !it->second.outdated) return;
+    Call& call = it->second;
+    call.plan_renewed = true;
+    if (!plan) return;
+    plan->latency_target_at = call.plan.latency_target_at;
+    call.plan = *plan;
+    call.outdated = false;
+}
+
+void OutboundPolicy::wait_for_new_plan(Call& call) {
+    call.resume_at = now_ + std::min(kNewPlanTimeout, time_left_for_retry(call));
+    actions_->push_back(SetTimer{*call.resume_at, call.number});
+}
+
+/// Goes on by the new plan, or gives up if none came in time or it has no route.
+void OutboundPolicy::continue_with_new_plan(Call& call) {
+    call.plan_renewed = false;
+    if (std::exchange(call.outdated, false)) return give_up(call);
+    // It was sent as idempotent and may have run; by the new plan it must not run twice.
+    if (!call.plan.idempotent && (call.runs > 0 || has_attempt_in_flight(call))) return give_up(call);
+    start_round(call);
+    try_send(call);
+}
+
+// --- Withdrawn upstreams
+// -------------------------------------------------------------------------------------
+
+void OutboundPolicy::on(const Discovered&) {
+    resume_replanned_calls();
+    for (const RequestId& id : withdraw_attempts()) {
+        if (const auto it = calls_.find(id); it != calls_.end()) retry(it->second);
+    }
+}
+
+void OutboundPolicy::resume_replanned_calls() {
+    std::vector<RequestId> replanned;
+    for (const auto& [id, call] : calls_) {
+        if (call.open && call.resume_at && call.plan_renewed) replanned.push_back(id);
+    }
+    for (const RequestId& id : replanned) continue_with_new_plan(calls_.at(id));
+}
+
+/// Returns the idempotent requests that have no attempt in flight any more but at withdrawn upstreams.
+std::vector<RequestId> OutboundPolicy::withdraw_attempts() {
+    std::vector<RequestId> affected;
+    for (const EndpointId upstream : std::exchange(withdrawn_upstreams_, {})) {
+        for (auto& [id, call] : calls_) {
+            if (!call.open || !call.plan.idempotent) continue;
+            const bool newly_lost = mark_upstream_lost(call, upstream);
+            if (newly_lost && !has_reliable_attempt(call) && !call.resume_at) affected.push_back(id);
+        }
+    }
+    return affected;
+}
+
+/// Returns true if an attempt in flight there was not marked before.
+bool OutboundPolicy::mark_upstream_lost(Call& call, EndpointId id) {
+    bool newly_lost = false;
+    for (Attempt& attempt : call.attempts) {
+        if (!attempt.in_flight || attempt.to != id) continue;
+        if (!std::exchange(attempt.upstream_lost, true)) newly_lost = true;
+    }
+    return newly_lost;
+}
+
+// --- The end
+// -------------------------------------------------------------------------------------------------
+
+void OutboundPolicy::cancel_attempts(const Call& call) {
+    for (std::size_t i = 0; i < call.attempts.size(); ++i) {
+        if (!call.attempts[i].in_flight) continue;
+        actions_->push_back(Cancel{call.request.id, static_cast<AttemptNumber>(i)});
+    }
+}
+
+/// The final answer, without waiting for the deadline. Refuse, with a time to come back, promises that the
+/// request did not run; Fail promises nothing.
 void OutboundPolicy::give_up(Call& call) {
     const RequestId id = call.request.id;
-    call.held_until.reset();
-    const bool out = has_attempt_in_flight(call);
-    if (out && draining_) return;  // the last to end, or the deadline, brings the answer
-    for (std::size_t i = 0; out && i < call.attempts.size(); ++i) {
-        if (call.attempts[i].in_flight) actions_->push_back(Cancel{id, static_cast<AttemptNumber>(i)});
-    }
-    if (call.runs == 0 && !out) {
-        actions_->push_back(Refuse{id, kComeBackLeast + scaled(kComeBackSpread, random_.unit())});
+    call.resume_at.reset();
+    const bool in_flight = has_attempt_in_flight(call);
+    // The attempt that ends last, or the deadline, brings the answer.
+    if (in_flight && draining_) return;
+    cancel_attempts(call);
+    if (call.runs == 0 && !in_flight) {
+        actions_->push_back(Refuse{id, kMinRetryAfter + scaled(kRetryAfterSpread, random_.unit())});
     } else {
         actions_->push_back(Fail{id});
     }
     call.open = false;
-    forget_if_over(id);
+    forget_if_finished(id);
 }
 
-void OutboundPolicy::on(const DeadlineExpired& lapsed) {
-    const auto known = calls_.find(lapsed.id);
+void OutboundPolicy::on(const DeadlineExpired& expired) {
+    const auto known = calls_.find(expired.id);
     if (known == calls_.end()) return;
     Call& call = known->second;
     call.open = false;
-    call.held_until.reset();
-    // Nobody waits any more: what may be repeated needn't run on.
-    if (call.plan.idempotent) {
-        for (std::size_t i = 0; i < call.attempts.size(); ++i) {
-            if (call.attempts[i].in_flight)
-                actions_->push_back(Cancel{lapsed.id, static_cast<AttemptNumber>(i)});
-        }
-    }
-    forget_if_over(lapsed.id);
+    call.resume_at.reset();
+    // Nobody waits for the answer any more. A request that must not run twice runs to its end all the same.
+    if (call.plan.idempotent) cancel_attempts(call);
+    forget_if_finished(expired.id);
 }
 
 bool OutboundPolicy::has_attempt_in_flight(const Call& call) {
     return std::any_of(call.attempts.begin(), call.attempts.end(),
-                       [](const Attempt& a) { return a.in_flight; });
+                       [](const Attempt& attempt) { return attempt.in_flight; });
+}
+
+/// Whether an attempt is in flight at an upstream that was not withdrawn.
+bool OutboundPolicy::has_reliable_attempt(const Call& call) {
+    return std::any_of(call.attempts.begin(), call.attempts.end(),
+                       [](const Attempt& attempt) { return attempt.in_flight && !attempt.upstream_lost; });
 }
 
-void OutboundPolicy::forget_if_over(const RequestId& id) {
+void OutboundPolicy::forget_if_finished(const RequestId& id) {
     const auto it = calls_.find(id);
     if (it == calls_.end() || it->second.open) return;
     if (has_attempt_in_flight(it->second)) return;
--- a/src/outbound/outbound_policy.h
+++ b/src/outbound/outbound_policy.h
@@ -1,12 +1,27 @@
-// The caller's side: which endpoint a request goes to, when one that failed is tried again, and when it is
-// given up on. The design ("Retries Done Right") decides here, on its ordinary path: served calls earn tokens
-// that retries spend, retries wait by decorrelated jitter and end at the deadline, a pick takes the less
-// loaded of two random ready endpoints by own calls out, and a retry goes elsewhere. A gate's refusal proves
-// that nothing ran and costs nothing: the request goes on at once. Pure.
+// The caller's side of the mesh: to which upstream a request goes, when a failed attempt is retried, and when
+// the request is given up.
+//
+// The retry design is that of "Retries Done Right" (docs/PAPER-retries-done-right-jitter-fe57.md). It decides
+// here on the ordinary path, in four functions:
+//   - retry budget        earn_retry_token(), spend_retry_tokens()   section "Mistake #4: no retry budget"
+//   - decorrelated jitter jittered_wait()                            section "Mistake #3: backoff without
+//   jitter"
+//   - deadline bound      time_left_for_retry()                      section "Mistake #5: ignoring the
+//   request
+//                                                                    deadline"
+//   - two random choices  UpstreamPool::pick_of_two()                our addition; the paper leaves it open
+// That only idempotent requests are retried follows section "Mistake #6: retrying non-idempotent operations".
+//
+// What the mesh adds: a rejection by an inbound proxy proves that the request did not run. It is no failure
+// and costs no budget; the request is offered to the next upstream at once. If a connection breaks under a
+// request that must not run twice, the inbound proxy is asked whether it passed the request on; only its "no"
+// frees the request for another upstream.
+//
+// Driven by core::Engine through Policy: events in, actions out. Pure: no I/O and no clock; all randomness
+// comes from the seed. Not thread safe; one event loop owns it.
 #pragma once
 
 #include <cstdint>
-#include <map>
 #include <optional>
 #include <string>
 #include <unordered_map>
@@ -14,144 +29,157 @@
 
 #include "core/policy.h"
 #include "core/scheduler.h"
+#include "outbound/upstream_pool.h"
 #include "policy/budget.h"
 #include "policy/mechanics.h"
 #include "policy/waits.h"
 
 namespace martenford::outbound {
 
-using decision::Duration;
-using decision::EndpointId;
 using decision::RequestId;
-using decision::Status;
-using decision::Time;
 
-/// What a request's route says, told before the engine takes it.
+/// What the route table says of a request. Given to prepare() before the engine takes the request.
 struct RequestPlan {
     std::string service;
-    std::uint32_t kind = 0;  ///< of request, by its route
-    bool idempotent = false;
-    std::int64_t max_attempts = 1;
-    Time latency_target_at{};  ///< an answer by then earns its whole worth
-    std::int64_t priority = 0;
-    std::uint32_t config_version = 0;  ///< of the configuration by which it was made
+    std::uint32_t kind = 0;   ///< kind of request, by its route; the inbound proxy keeps statistics by it
+    bool idempotent = false;  ///< may run more than once
+    std::int64_t max_attempts = 1;     ///< attempts that may have run at an endpoint, the first included
+    Time latency_target_at{};          ///< an answer by then is worth its full value
+    std::int64_t priority = 0;         ///< lower goes first
+    std::uint32_t config_version = 0;  ///< of the configuration that the plan was made by
 };
 
-/// The gate of one endpoint.
-struct Upstream {
-    std::string service, zone;
-    bool ready = false;
-    bool lease_expired =
-        false;  ///< the proxy there is not heard by the core: only where nothing else is left
-};
-
-/// How a request is offered to a gate.
+/// How a request is offered to an inbound proxy.
 enum class AdmissionMode : std::uint8_t {
-    IfSlotFree,  ///< refused where it would have to wait
-    Queue,       ///< it waits there if that is worth it
+    IfSlotFree,  ///< rejected if it would have to wait
+    Queue,       ///< queued there if it can still be served in time
 };
 
 class OutboundPolicy : public Policy {
   public:
     struct Options {
-        std::string zone;
-        double retry_tokens = 30;     ///< tokens a service; this proxy's share
-        std::size_t slot_offers = 3;  ///< gates that are asked for a free place before one's queue is taken
-        std::size_t max_hops = 12;    ///< gates that one request is offered to at most
+        std::string zone;  ///< this proxy's own
+        /// Capacity of the retry budget of one service, in tokens; a retry costs 10. Less than the paper's
+        /// 100: each of many proxies has a budget of its own.
+        double retry_tokens = 30;
+        /// Upstreams that are asked for a free slot before the shortest of their queues is taken. Each costs
+        /// a round trip.
+        std::size_t slot_offers = 3;
+        /// Messages to inbound proxies for one request, rejected ones and queries included.
+        std::size_t max_hops = 12;
     };
-    OutboundPolicy(const Options& options, std::uint64_t seed) : options_(options), random_(seed) {}
+    OutboundPolicy(const Options& options, std::uint64_t seed)
+        : options_(options), random_(seed), upstreams_(options.zone) {}
 
+    /// Gives the plan of a request; the Request event with this id follows.
     void prepare(const RequestId& id, RequestPlan plan);
-    void set_upstream(EndpointId id, const Upstream& upstream);
-    void remove_upstream(EndpointId id);
-    /// What a gate said of its queue when it refused or answered.
-    void queue_hint(EndpointId id, Time now, Duration wait);
-    /// How the attempt of a request that goes out now is offered.
-    AdmissionMode admission_mode(const RequestId& id) const;
-    /// A gate refuses the attempt that is out since a newer configuration than the plan's wants another: it
-    /// is held until it is planned anew, or refused.
+    /// The plan of a request in progress, or nullptr.
+    [[nodiscard]] const RequestPlan* plan(const RequestId& id) const;
+
+    void set_upstream(EndpointId id, const Upstream& upstream) { upstreams_.set(id, upstream); }
+    /// No new attempt goes there; attempts in flight end by themselves.
+    void remove_upstream(EndpointId id) { upstreams_.remove(id); }
+    /// The upstream's proxy is gone or its lease has expired: idempotent requests in flight there get a
+    /// second attempt elsewhere at the next Discovered event. The first is not cancelled: its endpoint may be
+    /// working on it, and where no other upstream serves the request, its answer is still wanted.
+    void withdraw(EndpointId id) { withdrawn_upstreams_.push_back(id); }
+    [[nodiscard]] bool any_ready() const { return upstreams_.any_ready(); }
+    /// An inbound proxy reported the wait in its queue, with an answer or a rejection.
+    void queue_hint(EndpointId id, Time now, Duration wait) { upstreams_.set_queue_wait(id, now, wait); }
+
+    /// How the attempt that is being sent now is offered.
+    [[nodiscard]] AdmissionMode admission_mode(const RequestId& id) const;
+
+    /// The inbound proxy rejects the attempt in flight because it has a newer configuration, by which the
+    /// plan differs. The request waits for replan(), up to a time-out.
     void outdated(const RequestId& id);
-    /// The plan by the newer one; nothing: there is no such route any more. Goes on at the next Discovered.
+    /// The plan by the newer configuration; nullopt if it has no route for the request, which is then given
+    /// up. Takes effect at the next Discovered event.
     void replan(const RequestId& id, std::optional<RequestPlan> plan);
-    /// Where what goes out now only asks whether an earlier hop to that gate was ever handed on: how long ago
-    /// that hop went.
-    std::optional<Duration> delivery_query(const RequestId& id) const;
-    /// The gate says that it has handed on the attempt that is out.
+
+    /// If what is being sent now is a query whether an earlier attempt was passed on to the endpoint: how
+    /// long ago that attempt was sent. Otherwise nullopt.
+    [[nodiscard]] std::optional<Duration> delivery_query(const RequestId& id) const;
+    /// The inbound proxy confirmed that it passed the attempt in flight on to its endpoint.
     void delivered(const RequestId& id);
-    const RequestPlan* plan(const RequestId& id) const;
-    bool any_ready() const;
+
+    /// This proxy shuts down: from now on a request is not given up while an endpoint may be working on it.
+    void drain() { draining_ = true; }
 
     void start(Time, std::vector<decision::Action>&) override {}
     void handle(Time now, const decision::Event& event, std::vector<decision::Action>& out) override;
-    /// A gate is gone or silent: what is out there and may be repeated is to go elsewhere as well, at the
-    /// next Discovered. It is not broken off: it may be at work, and where nothing else serves it, it is
-    /// waited for.
-    void withdraw(EndpointId id) { withdrawn_upstreams_.push_back(id); }
-    /// From here on nothing is given up while an endpoint may be at work on it.
-    void drain() { draining_ = true; }
 
   private:
-    struct UpstreamState {
-        Upstream upstream;
-        int in_flight = 0;
-        Time avoid_until{};  // until when it is only taken where nothing else is left
-        Time hinted_at{};
-        Duration queue_wait{};
-    };
-    struct Attempt {
-        EndpointId to{};
-        bool in_flight = false, may_have_run = false;
-        bool upstream_lost = false;  // its gate is gone or silent
-        bool delivered = false;      // its gate said so
-        Time sent_at{};
-        std::optional<std::size_t> queries_attempt{};  // another: whether that one was ever handed on
-    };
     struct Call {
         decision::Request request;
         RequestPlan plan;
         std::vector<Attempt> attempts;
-        std::vector<EndpointId> rejected_by;  // by whom since the last attempt that ran
-        std::int64_t runs = 0;                // attempts that may have run
-        std::size_t offers = 0;               // in this round
+        std::vector<EndpointId> rejected_by;  // in this round
+        std::int64_t runs = 0;                // ended attempts that may have run
+        std::size_t offers = 0;               // in this round; a round ends when an attempt may have run
         AdmissionMode mode = AdmissionMode::IfSlotFree;
         decision::Backoff backoff;
-        bool open = true;
-        bool outdated = false, plan_renewed = false;
-        std::optional<Time> held_until;
-        std::uint64_t number = 0;
+        bool open = true;               // no final answer yet
+        bool outdated = false;          // waits for a newer plan
+        bool plan_renewed = false;      // replan() was called; not continued yet
+        std::optional<Time> resume_at;  // waits until then: backoff, or for a newer plan
+        std::uint64_t number = 0;       // token of its timers
     };
 
     void on(const decision::Request& request);
     void on(const decision::Outcome& outcome);
-    void on(const decision::DeadlineExpired& lapsed);
+    void on(const decision::DeadlineExpired& expired);
     void on(const decision::TimerFired& timer);
-    void on(const decision::Discovered& news);
+    void on(const decision::Discovered& discovered);
     template <class T>
     void on(const T&) {}
+
+    // Sending.
+    static void start_round(Call& call);
     void try_send(Call& call);
-    std::optional<EndpointId> pick(const Call& call);
-    std::optional<EndpointId> least_wait(const Call& call);
+    std::optional<EndpointId> choose_upstream(Call& call);
+    static CallHistory history(const Call& call) { return {call.attempts, call.rejected_by}; }
+
+    // Retries, by the paper.
     void retry(Call& call);
+    static bool may_run_again(const Call& call);
+    void earn_retry_token(const Call& call);
+    bool spend_retry_tokens(const Call& call);
+    Duration jittered_wait(Call& call);
+    [[nodiscard]] Duration time_left_for_retry(const Call& call) const;
+
+    // Outcomes.
+    void record_outcome(Call& call, const decision::Outcome& outcome, bool never_ran);
+    void on_delivery_answer(Call& call, const Attempt& query, Status status);
     bool query_delivery(Call& call, std::size_t attempt);
-    static bool has_attempt_in_flight(const Call& call);
+    void go_on(Call& call, bool never_ran);
+    void wait_for_new_plan(Call& call);
     void continue_with_new_plan(Call& call);
+
+    // Withdrawn upstreams.
+    void resume_replanned_calls();
+    [[nodiscard]] std::vector<RequestId> withdraw_attempts();
+    static bool mark_upstream_lost(Call& call, EndpointId id);
+
+    // The end.
+    void cancel_attempts(const Call& call);
     void give_up(Call& call);
-    void forget_if_over(const RequestId& id);
-    bool was_tried(const Call& call, EndpointId id) const;
+    void forget_if_finished(const RequestId& id);
+    static bool has_attempt_in_flight(const Call& call);
+    static bool has_reliable_attempt(const Call& call);
 
     Options options_;
     decision::Random random_;
-    std::map<EndpointId, UpstreamState> upstreams_;
-    std::unordered_map<std::string, std::vector<EndpointId>> by_service_;
-    std::unordered_map<std::string, decision::RetryBudget> retry_budgets_;
+    UpstreamPool upstreams_;
+    std::unordered_map<std::string, decision::RetryBudget> retry_budgets_;  // by service
     std::unordered_map<RequestId, RequestPlan> prepared_plans_;
     std::unordered_map<RequestId, Call> calls_;
     std::unordered_map<std::uint64_t, RequestId> ids_by_number_;
     std::uint64_t last_call_number_ = 0;
     std::vector<EndpointId> withdrawn_upstreams_;
     bool draining_ = false;
-    Time now_{};
-    std::vector<decision::Action>* actions_ = nullptr;
+    Time now_{};                                        // of the event being handled
+    std::vector<decision::Action>* actions_ = nullptr;  // its output
 };
 
 }  // namespace martenford::outbound
