--- a/src/admission/admission_controller.cpp
+++ b/src/admission/admission_controller.cpp
@@ -58,8 +58,7 @@
     std::visit([this](const auto& e) { on(e); }, event);
 }
 
-// --- Wait estimate
-// -------------------------------------------------------------------------------------------
+// --- Wait estimate ---------------------------------------------------------------------------------------
 
 /// By the requests that are ahead of it in the queue now.
 Duration AdmissionController::expected_wait(const Call& call) const {
@@ -97,8 +96,7 @@
     estimator_.record_wait(call.inbound.kind, now_ - call.queued_at, call.expected_wait);
 }
 
-// --- Admission
-// -----------------------------------------------------------------------------------------------
+// --- Admission -------------------------------------------------------------------------------------------
 
 /// Whether nothing may be passed on any more.
 bool AdmissionController::is_closed() const {
@@ -216,8 +214,7 @@
     reject(call);
 }
 
-// --- The end
-// -------------------------------------------------------------------------------------------------
+// --- The end ---------------------------------------------------------------------------------------------
 
 void AdmissionController::leave_queue(Call& call) {
     if (call.queued) queue_.erase(queue_key(call));
--- a/src/admission/admission_controller.h
+++ b/src/admission/admission_controller.h
@@ -1,11 +1,10 @@
-// Admission control on the endpoint's side. The inbound proxy alone reaches its endpoint, so this is the one
-// place that knows its load at first hand.
+// Admission control on the endpoint's side. The inbound proxy alone reaches its endpoint, so it knows its
+// load exactly.
 //
 // Concurrency limit: as many requests are in flight at the endpoint as it has slots, and one more, so that it
 //     does not idle for the time between an answer and the next request.
 // Queue: what is beyond waits here, not at the endpoint. Order: priority (lower first), then the latency
-// target
-//     that ends first, then arrival.
+//     target that ends first, then arrival.
 // Load shedding: a request is rejected at once if by the wait estimate it would miss its latency target, and
 //     out of the queue if it is about to. A rejection proves that the request did not run; the caller tries
 //     elsewhere or tells its client to come back. Without it, under overload all would wait so long that none
--- a/src/control_api/control_api.h
+++ b/src/control_api/control_api.h
@@ -86,7 +86,7 @@
     [[nodiscard]] DrainTimes drain_times() const override { return {100ms, 0ms, 500ms, 0ms}; }
     std::variant<decision::Request, TurnAway> read(Fields& head, Time arrived) override;
     void write(const Answer& answer, const decision::RequestId& id, http::response_header<>& head) override;
-    // Desk
+    // Desk (core/engine.h): takes the requests that the front has read
     bool take(decision::Request request, std::shared_ptr<const Message> message, Reply reply) override;
     void received(const decision::RequestId&, Time) override {}
     void leave(const decision::RequestId& id) override { pending_replies_.erase(id); }
--- a/src/mesh_config/config_error.h
+++ b/src/mesh_config/config_error.h
@@ -6,8 +6,8 @@
 namespace martenford::mesh_config {
 
 struct ConfigError {
-    std::string
-        path;  ///< of the field: "listeners[2].rule_set[0].route_action.timeout_ms"; empty: the document
+    /// Of the field: "listeners[2].rule_set[0].route_action.timeout_ms"; empty: the document.
+    std::string path;
     std::string message;
 
     /// "path: message", as operators are answered.
--- a/src/outbound/outbound_policy.cpp
+++ b/src/outbound/outbound_policy.cpp
@@ -99,8 +99,7 @@
     actions_->push_back(Send{call.request.id, *to, Duration{}});
 }
 
-// --- Retries, by "Retries Done Right"
-// -----------------------------------------------------------------------
+// --- Retries, by "Retries Done Right" --------------------------------------------------------------------
 
 /// Section "Mistake #6: retrying non-idempotent operations". Counts attempts that may have run or may still
 /// run; rejected ones are free.
@@ -155,7 +154,7 @@
     try_send(call);
 }
 
-// --- Outcomes ----------------------------------------------------------------------------------------------
+// --- Outcomes --------------------------------------------------------------------------------------------
 
 void OutboundPolicy::on(const Outcome& outcome) {
     const auto known = calls_.find(outcome.id);
@@ -234,8 +233,7 @@
     if (it != calls_.end() && !it->second.attempts.empty()) it->second.attempts.back().delivered = true;
 }
 
-// --- Newer configurations
-// ------------------------------------------------------------------------------------
+// --- Newer configurations --------------------------------------------------------------------------------
 
 void OutboundPolicy::outdated(const RequestId& id) {
     const auto it = calls_.find(id);
@@ -270,8 +268,7 @@
     try_send(call);
 }
 
-// --- Withdrawn upstreams
-// -------------------------------------------------------------------------------------
+// --- Withdrawn upstreams ---------------------------------------------------------------------------------
 
 void OutboundPolicy::on(const Discovered&) {
     resume_replanned_calls();
@@ -311,8 +308,7 @@
     return newly_lost;
 }
 
-// --- The end
-// -------------------------------------------------------------------------------------------------
+// --- The end ---------------------------------------------------------------------------------------------
 
 void OutboundPolicy::cancel_attempts(const Call& call) {
     for (std::size_t i = 0; i < call.attempts.size(); ++i) {
--- a/src/outbound/outbound_policy.h
+++ b/src/outbound/outbound_policy.h
@@ -1,15 +1,12 @@
 // The caller's side of the mesh: to which upstream a request goes, when a failed attempt is retried, and when
 // the request is given up.
 //
-// The retry design is that of "Retries Done Right" (docs/PAPER-retries-done-right-jitter-fe57.md). It decides
-// here on the ordinary path, in four functions:
-//   - retry budget        earn_retry_token(), spend_retry_tokens()   section "Mistake #4: no retry budget"
-//   - decorrelated jitter jittered_wait()                            section "Mistake #3: backoff without
-//   jitter"
-//   - deadline bound      time_left_for_retry()                      section "Mistake #5: ignoring the
-//   request
-//                                                                    deadline"
-//   - two random choices  UpstreamPool::pick_of_two()                our addition; the paper leaves it open
+// The retry design is that of "Retries Done Right" (a paper, not part of this repository).
+// It decides here on the ordinary path, in these functions:
+//   - retry budget         earn_retry_token(), spend_retry_tokens(); "Mistake #4: no retry budget"
+//   - decorrelated jitter  jittered_wait(); "Mistake #3: backoff without jitter"
+//   - deadline bound       time_left_for_retry(); "Mistake #5: ignoring the request deadline"
+//   - two random choices   UpstreamPool::pick_of_two(); our addition, the paper leaves it open
 // That only idempotent requests are retried follows section "Mistake #6: retrying non-idempotent operations".
 //
 // What the mesh adds: a rejection by an inbound proxy proves that the request did not run. It is no failure
--- a/src/proxy/controller_client.h
+++ b/src/proxy/controller_client.h
@@ -73,8 +73,8 @@
         std::unique_ptr<rpc::ReconnectingClient> client;
         std::uint64_t registry_epoch = 0;  // of its registry, as last received
         std::uint64_t registry_seq = 0;    // within the epoch
-        std::uint64_t applied_response =
-            0;  // number of its last RegisterResponse; 0: none on this connection
+        // Number of its last RegisterResponse; 0: none on this connection.
+        std::uint64_t applied_response = 0;
         bool has_quorum_contact = false;
         bool wants_config = false;                 // the next poll asks for the document
         std::uint32_t postponed_version = 0;       // it offered this one, which is not accepted yet
--- a/src/proxy/traffic.cpp
+++ b/src/proxy/traffic.cpp
@@ -11,7 +11,6 @@
 /// the policy goes elsewhere sooner.
 constexpr Duration kConnectTimeout = 300ms;
 /// The accepting proxy closes after 30 s (inbound_protocol.cpp): the side that sends closes first.
-/// first.
 constexpr Duration kHopIdleTimeout = 12s;
 /// Shorter than for hops: when endpoints close idle connections is not known here.
 constexpr Duration kEndpointIdleTimeout = 6s;
--- a/src/raft/raft_node.h
+++ b/src/raft/raft_node.h
@@ -90,8 +90,8 @@
     Term term = 0;
     /// RequestVote and its reply: asks whether the receiver would vote, without starting a term.
     bool pre_vote = false;
-    bool granted =
-        false;  ///< RequestVoteReply: the vote is given. AppendEntriesReply: the leader is accepted
+    /// RequestVoteReply: the vote is given. AppendEntriesReply: the leader is accepted.
+    bool granted = false;
     /// RequestVote: the leader asked for this election, so receivers vote although they still hear the
     /// leader.
     bool leadership_transfer = false;
@@ -99,8 +99,8 @@
     /// AppendEntries: a majority has answered the leader within its lease, and its term has a committed
     /// entry.
     bool has_quorum = false;
-    LogPosition
-        last_position;  ///< of the sender's last entry; of an AppendEntriesReply: what it acknowledges
+    /// Of the sender's last entry; of an AppendEntriesReply: what it acknowledges.
+    LogPosition last_position;
     LogPosition commit_position;  ///< AppendEntries: of the leader's committed entry
     /// AppendEntries: number of the leader's heartbeat round; its reply returns it.
     std::uint64_t round = 0;
--- a/src/raft/read_index.cpp
+++ b/src/raft/read_index.cpp
@@ -31,8 +31,8 @@
 }
 
 std::optional<Time> RaftNode::contact_request_sent_at(std::uint64_t sequence) const {
-    const std::uint64_t age =
-        contact_sequence_ - sequence;  // in requests; huge for a later one, by wrap-around
+    // In requests; huge for a later one, by wrap-around.
+    const std::uint64_t age = contact_sequence_ - sequence;
     if (age >= contact_sent_at_.size()) return std::nullopt;
     return contact_sent_at_[contact_sent_at_.size() - 1 - static_cast<std::size_t>(age)];
 }
--- a/src/rpc/messages.h
+++ b/src/rpc/messages.h
@@ -28,8 +28,8 @@
 struct RegisterRequest {
     registry::ProxyRegistration registration;
     std::vector<quota::QuotaDemand> demands;
-    std::uint64_t applied_response =
-        0;                             ///< RegisterResponse::response_number last applied of this controller
+    /// RegisterResponse::response_number last applied of this controller.
+    std::uint64_t applied_response = 0;
     std::uint32_t config_version = 0;  ///< of the configuration that the proxy serves by
     std::uint64_t sent_at = 0;         ///< by the proxy's steady clock; the response returns it
 };
--- a/src/rpc/wire.capnp
+++ b/src/rpc/wire.capnp
@@ -1,6 +1,6 @@
 # Cap'n Proto schema of the messages between proxies and controllers, and of the controllers' records on disk.
 # The C++ structs of the same names are in rpc/messages.h, rpc/config_record.h, raft/raft_node.h,
-# registry/registry.h and quota/quota.h; their comments give units and meaning of the fields.
+# registry/registration.h and quota/quota_types.h; their comments give units and meaning of the fields.
 #
 # Compatibility: processes of two releases talk to each other, and a controller reads the data directory of any
 # release before it. Names may change; ordinals, types, defaults, union members and the file id may not. A field
