--- a/src/fleet/fleet.h
+++ b/src/fleet/fleet.h
@@ -19,7 +19,7 @@
 
 #include "core/scheduler.h"
 #include "fleet/options.h"
-#include "fleet/rumours.h"
+#include "fleet/gossip_queue.h"
 #include "fleet/suspicion.h"
 #include "fleet/wire.h"
 
