--- a/emulator/fleet_model.cpp
+++ b/emulator/fleet_model.cpp
@@ -46,7 +46,8 @@
     std::vector<std::string> seeds;
     for (std::size_t i = 0; i < std::min(options_.seeds, members_.size()); ++i)
         seeds.push_back(address_of(i));
-    const fleet::Self self{{name_of_member(index), random_() | 1}, address_of(index), "", "0.2.0", false};
+    const fleet::LocalMember self{
+        {name_of_member(index), random_() | 1}, address_of(index), "", "0.2.0", false};
     member.fleet = std::make_unique<Fleet>(options_.pace, std::move(seeds), self, random_());
     member.fleet->start(now_);
     pump(index);
@@ -85,16 +86,16 @@
 
 void FleetModel::pump(std::size_t index) {
     Member& member = *members_[index];
-    for (Fleet::Send& send : member.fleet->take_sends()) carry(index, std::move(send));
-    for (const fleet::Turn& turn : member.fleet->take_turns()) {
+    for (Fleet::Outgoing& send : member.fleet->take_outgoing()) carry(index, std::move(send));
+    for (const fleet::StateChange& turn : member.fleet->take_state_changes()) {
         const auto subject = by_name_.find(turn.id.name);
         if (subject != by_name_.end())
             seen_.push_back({now_, index, subject->second, turn.id.boot, turn.state});
     }
-    for (fleet::Change& change : member.fleet->take_changes())
+    for (fleet::FleetEvent& change : member.fleet->take_events())
         changes_.emplace_back(index, std::move(change));
     const std::uint64_t serial = ++member.tick_serial;
-    add(std::max(member.fleet->next(), now_ + 1us), index, [this, index, serial] {
+    add(std::max(member.fleet->next_tick(), now_ + 1us), index, [this, index, serial] {
         Member& member = *members_[index];
         if (!member.up || serial != member.tick_serial) return;
         member.fleet->tick(now_);
@@ -108,13 +109,13 @@
     if (it != links.end()) links.erase(it);
     links.push_back(b);
     fleet::Fleet& fleet = *members_[a]->fleet;
-    if (members_[b]->up) fleet.linked(members_[b]->fleet->self().id, true);
+    if (members_[b]->up) fleet.set_connected(members_[b]->fleet->self().id, true);
     if (links.size() <= options_.links) return;
-    fleet.linked(members_[links.front()]->fleet->self().id, false);
+    fleet.set_connected(members_[links.front()]->fleet->self().id, false);
     links.pop_front();
 }
 
-void FleetModel::carry(std::size_t from, Fleet::Send&& send) {
+void FleetModel::carry(std::size_t from, Fleet::Outgoing&& send) {
     ++figures_.messages;
     if (options_.count_bytes) figures_.bytes += fleet::frame_of(send.message).size();
     const auto found = by_address_.find(send.address);
@@ -123,7 +124,7 @@
     const auto fails = [&](Evidence evidence, Duration after) {
         add(now_ + after, from, [this, from, address = send.address, evidence] {
             if (!members_[from]->up) return;
-            members_[from]->fleet->no_link(now_, address, evidence);
+            members_[from]->fleet->connect_failed(now_, address, evidence);
             pump(from);
         });
     };
@@ -139,7 +140,7 @@
     if (send.to != there && !cuts_.contains({to, from})) {
         add(now_ + delay() * 2, from, [this, from, address = send.address, there] {
             if (!members_[from]->up) return;
-            members_[from]->fleet->found_at(now_, address, there);
+            members_[from]->fleet->peer_identified(now_, address, there);
             pump(from);
         });
     }
@@ -168,8 +169,8 @@
         if (cuts_.contains({index, i})) continue;
         add(now_ + delay(), i, [this, i, index, id = members_[index]->fleet->self().id] {
             if (!members_[i]->up) return;
-            members_[i]->fleet->linked(id, false);
-            members_[i]->fleet->link_ended(now_, address_of(index));
+            members_[i]->fleet->set_connected(id, false);
+            members_[i]->fleet->link_lost(now_, address_of(index));
             pump(i);
         });
     }
@@ -211,10 +212,11 @@
     }
     for (const auto& member : members_) {
         if (!member->up) continue;
-        if (member->fleet->live() != up.size()) return false;
-        for (const fleet::View& view : member->fleet->members()) {
-            const bool alive = view.sight == fleet::Sight::Alive;
-            const bool gone = view.sight == fleet::Sight::Dead || view.sight == fleet::Sight::Left;
+        if (member->fleet->live_count() != up.size()) return false;
+        for (const fleet::MemberView& view : member->fleet->members()) {
+            const bool alive = view.state == fleet::ObservedState::Alive;
+            const bool gone =
+                view.state == fleet::ObservedState::Dead || view.state == fleet::ObservedState::Left;
             if (up.contains(view.id) ? !alive : !gone) return false;
         }
     }
--- a/emulator/fleet_model.h
+++ b/emulator/fleet_model.h
@@ -23,7 +23,7 @@
         std::size_t members = 30;
         std::size_t seeds = 3;  ///< members that all know from the start
         std::uint64_t seed = 1;
-        fleet::Pace pace;
+        fleet::ProtocolOptions pace;
         Duration delay_least = 200us, delay_most = 2ms;  ///< one way
         double drop = 0.0;                               ///< share of messages that vanish
         std::size_t links = 32;                          ///< that a member holds: how many see its end
@@ -68,7 +68,7 @@
     bool all_agree() const;
     const std::vector<Seen>& seen() const { return seen_; }
     const Figures& figures() const { return figures_; }
-    const std::vector<std::pair<std::size_t, fleet::Change>>& changes() const { return changes_; }
+    const std::vector<std::pair<std::size_t, fleet::FleetEvent>>& changes() const { return changes_; }
     static std::string address_of(std::size_t member) { return "10.0.0." + std::to_string(member) + ":7400"; }
 
   private:
@@ -91,7 +91,7 @@
     };
     void add(Time when, std::size_t member, std::function<void()> what);
     void pump(std::size_t member);
-    void carry(std::size_t from, fleet::Fleet::Send&& send);
+    void carry(std::size_t from, fleet::Fleet::Outgoing&& send);
     void linked(std::size_t a, std::size_t b);
     Duration delay();
     double chance() { return static_cast<double>(random_() >> 11) * 0x1p-53; }
@@ -106,7 +106,7 @@
     std::set<std::pair<std::size_t, std::size_t>> cuts_;
     std::priority_queue<Event> events_;
     std::vector<Seen> seen_;
-    std::vector<std::pair<std::size_t, fleet::Change>> changes_;
+    std::vector<std::pair<std::size_t, fleet::FleetEvent>> changes_;
     Figures figures_;
 };
 
--- a/src/fleet/suspicion.h
+++ b/src/fleet/suspicion.h
@@ -17,40 +17,42 @@
 class Suspicion {
   public:
     /// `accusers`: that shorten it to `least`; none: it is that short at once.
-    Suspicion(Time since, Duration least, Duration most, std::size_t accusers)
-        : since_(since), least_(least), most_(std::max(least, most)), enough_(accusers) {}
+    Suspicion(Time since, Duration min, Duration max, std::size_t confirmations_needed)
+        : since_(since), min_(min), max_(std::max(min, max)), confirmations_needed_(confirmations_needed) {}
 
     /// False: its word is known, or enough of them are.
-    bool accused_by(const std::string& name) {
-        if (by_.size() > enough_) return false;
-        return by_.insert(name).second;
+    bool confirm(const std::string& name) {
+        if (confirmed_by_.size() > confirmations_needed_) return false;
+        return confirmed_by_.insert(name).second;
     }
     /// Nobody listens there: what it has to wait for is shorter.
-    void bound(Duration least, Duration most) {
-        least_ = std::min(least_, least);
-        most_ = std::max(least_, std::min(most_, most));
+    void tighten(Duration min, Duration max) {
+        min_ = std::min(min_, min);
+        max_ = std::max(min_, std::min(max_, max));
     }
     /// This process stood still, in which the suspect could not be heard.
     void postpone(Duration by) { since_ += by; }
 
     Time since() const { return since_; }
     /// Before it nobody's word makes it dead.
-    Time earliest() const { return since_ + least_; }
-    std::size_t accusers() const { return by_.size(); }
+    Time earliest_deadline() const { return since_ + min_; }
+    std::size_t confirmations() const { return confirmed_by_.size(); }
     Time deadline() const {
-        if (enough_ == 0) return since_ + least_;
-        const double confirmed = by_.empty() ? 0.0 : static_cast<double>(by_.size() - 1);
-        const double part =
-            std::min(1.0, std::log(confirmed + 1.0) / std::log(static_cast<double>(enough_) + 1.0));
-        const auto off = static_cast<Duration::rep>(static_cast<double>((most_ - least_).count()) * part);
-        return since_ + std::max(least_, most_ - Duration{off});
+        if (confirmations_needed_ == 0) return since_ + min_;
+        const double independent =
+            confirmed_by_.empty() ? 0.0 : static_cast<double>(confirmed_by_.size() - 1);
+        const double fraction = std::min(
+            1.0, std::log(independent + 1.0) / std::log(static_cast<double>(confirmations_needed_) + 1.0));
+        const auto reduction =
+            static_cast<Duration::rep>(static_cast<double>((max_ - min_).count()) * fraction);
+        return since_ + std::max(min_, max_ - Duration{reduction});
     }
 
   private:
     Time since_;
-    Duration least_, most_;
-    std::size_t enough_;
-    std::set<std::string> by_;
+    Duration min_, max_;
+    std::size_t confirmations_needed_;
+    std::set<std::string> confirmed_by_;
 };
 
 }  // namespace martenford::fleet
--- a/src/fleet/wire.cpp
+++ b/src/fleet/wire.cpp
@@ -12,12 +12,13 @@
 using framing::FrameError;
 
 /// Names go into logs and answers to operators: printable, and of bounded length.
-const std::string& checked(const std::string& text, bool needed = false) {
-    if (!may_be_said(text) || (needed && text.empty())) throw FrameError("a name of a member can't be used");
+const std::string& checked_name(const std::string& text, bool required = false) {
+    if (!is_valid_name(text) || (required && text.empty()))
+        throw FrameError("a name of a member can't be used");
     return text;
 }
 
-void fill(wire::Claim& to, const Claim& from) {
+void fill(wire::Claim& to, const MemberUpdate& from) {
     to.set_name(from.id.name);
     to.set_boot(from.id.boot);
     to.set_address(from.address);
@@ -25,22 +26,22 @@
     to.set_incarnation(from.incarnation);
     to.set_state(static_cast<std::uint32_t>(from.state));
     to.set_evidence(static_cast<std::uint32_t>(from.evidence));
-    to.set_by(from.by);
-    to.set_heir(from.heir);
+    to.set_by(from.reported_by);
+    to.set_heir(from.successor);
     to.set_version(from.version);
 }
 
-Claim read_claim(const wire::Claim& from) {
-    if (from.state() >= kStates || from.evidence() >= kEvidences || from.boot() == 0)
+MemberUpdate read_update(const wire::Claim& from) {
+    if (from.state() >= kStateCount || from.evidence() >= kEvidenceCount || from.boot() == 0)
         throw FrameError("a claim can't be used");
-    return {{checked(from.name(), true), from.boot()},
-            checked(from.address(), from.state() == static_cast<std::uint32_t>(State::Alive)),
-            checked(from.zone()),
-            checked(from.version()),
-            std::min(from.incarnation(), kMostIncarnation),
+    return {{checked_name(from.name(), true), from.boot()},
+            checked_name(from.address(), from.state() == static_cast<std::uint32_t>(State::Alive)),
+            checked_name(from.zone()),
+            checked_name(from.version()),
+            std::min(from.incarnation(), kMaxIncarnation),
             static_cast<State>(from.state()),
             static_cast<Evidence>(from.evidence()),
-            checked(from.by()),
+            checked_name(from.by()),
             from.heir()};
 }
 
@@ -68,52 +69,52 @@
     to.set_to_boot(message.to.boot);
     to.set_to_address(message.address);
     to.set_digest(message.digest);
-    to.set_want(message.want);
+    to.set_want(message.want_list);
     to.set_stalled_ms(message.stalled_ms);
-    for (const Claim& claim : message.claims) fill(*to.add_claims(), claim);
+    for (const MemberUpdate& update : message.updates) fill(*to.add_claims(), update);
     return framing::framed(out);
 }
 
-std::string frame_of(const Carried& carried) {
+std::string frame_of(const Payload& payload) {
     wire::Frame out;
-    out.set_state(carried.bytes);
+    out.set_state(payload.bytes);
     return framing::framed(out);
 }
 
-Said read_said(std::string_view bytes) {
+FrameBody parse_frame_body(std::string_view bytes) {
     const auto in = framing::parsed<wire::Frame>(bytes);
     if (in.has_hello()) {
         const auto& from = in.hello();
         if (from.boot() == 0) throw FrameError("a hello can't be used");
-        return Hello{checked(from.fleet(), true),
-                     {checked(from.name(), true), from.boot()},
-                     checked(from.address(), true),
-                     checked(from.version()),
+        return Hello{checked_name(from.fleet(), true),
+                     {checked_name(from.name(), true), from.boot()},
+                     checked_name(from.address(), true),
+                     checked_name(from.version()),
                      from.oldest(),
                      from.newest()};
     }
-    if (in.has_state()) return Carried{in.state()};
+    if (in.has_state()) return Payload{in.state()};
     if (!in.has_message()) throw FrameError("a message says nothing");
     const auto& from = in.message();
-    if (from.kind() >= kKinds) throw FrameError("a message is of no known kind");
-    if (static_cast<std::size_t>(from.claims_size()) > kMostClaims)
+    if (from.kind() >= kMessageKindCount) throw FrameError("a message is of no known kind");
+    if (static_cast<std::size_t>(from.claims_size()) > kMaxUpdates)
         throw FrameError("a message has too many claims");
     Message message{static_cast<Message::Kind>(from.kind()),
                     from.seq(),
-                    {checked(from.to_name()), from.to_boot()},
-                    checked(from.to_address()),
+                    {checked_name(from.to_name()), from.to_boot()},
+                    checked_name(from.to_address()),
                     from.digest(),
                     from.want(),
                     from.stalled_ms(),
                     {}};
-    message.claims.reserve(static_cast<std::size_t>(from.claims_size()));
-    for (const auto& claim : from.claims()) message.claims.push_back(read_claim(claim));
+    message.updates.reserve(static_cast<std::size_t>(from.claims_size()));
+    for (const auto& claim : from.claims()) message.updates.push_back(read_update(claim));
     return message;
 }
 
-bool may_be_said(std::string_view text) {
+bool is_valid_name(std::string_view text) {
     const auto printable = [](char c) { return c > ' ' && c <= '~'; };
-    return text.size() <= kMostName && std::all_of(text.begin(), text.end(), printable);
+    return text.size() <= kMaxNameBytes && std::all_of(text.begin(), text.end(), printable);
 }
 
 const char* name_of(State state) {
--- a/src/fleet/wire.h
+++ b/src/fleet/wire.h
@@ -12,11 +12,11 @@
 namespace martenford::fleet {
 
 /// Wire versions spoken. A link speaks the newest that both ends know.
-constexpr std::uint32_t kOldestWire = 1, kNewestWire = 1;
-constexpr std::size_t kMostName = 64;     ///< bytes of a name, an address, a zone or a version
-constexpr std::size_t kMostClaims = 150;  ///< in one message: within a frame though all names are longest
+constexpr std::uint32_t kOldestWireVersion = 1, kNewestWireVersion = 1;
+constexpr std::size_t kMaxNameBytes = 64;  ///< bytes of a name, an address, a zone or a version
+constexpr std::size_t kMaxUpdates = 150;   ///< in one message: within a frame though all names are longest
 /// Refutations are counted from 0, one at most for each suspicion: what is above this was made up.
-constexpr std::uint64_t kMostIncarnation = std::uint64_t{1} << 48;
+constexpr std::uint64_t kMaxIncarnation = std::uint64_t{1} << 48;
 
 /// A process of the fleet. A name that returns has another boot id: it is another member.
 struct Id {
@@ -32,63 +32,63 @@
     Stalled,  ///< a connection came up or stood, and nobody spoke on it
     Gone,     ///< nobody listens there, or a connection was reset before a word
 };
-constexpr std::uint32_t kStates = 4, kEvidences = 3;
+constexpr std::uint32_t kStateCount = 4, kEvidenceCount = 3;
 
-struct Claim {
+struct MemberUpdate {
     Id id;
     std::string address, zone, version;  ///< empty where it is not said to be alive, but in lists
     std::uint64_t incarnation = 0;
     State state = State::Alive;
     Evidence evidence = Evidence::Silent;
-    std::string by;
-    bool heir = false;
+    std::string reported_by;
+    bool successor = false;
 };
 
 struct Message {
     enum class Kind : std::uint8_t {
-        Ping,  ///< answered by an Ack
-        Ask,   ///< ping `to` at `address` for me; answered by its Ack or by a Nack
+        Ping,         ///< answered by an Ack
+        PingRequest,  ///< ping `to` at `address` for me; answered by its Ack or by a Nack
         Ack,
-        Nack,     ///< a helper heard nothing from the one it was asked about
-        News,     ///< claims only
-        Compare,  ///< a digest of who is here
-        Entries,  ///< all that is known, in pieces; none: the digests agree
-        Bye,      ///< this link ends, to make room for another: its end says nothing
+        Nack,         ///< a helper heard nothing from the one it was asked about
+        Gossip,       ///< claims only
+        SyncRequest,  ///< a digest of who is here
+        MemberList,   ///< all that is known, in pieces; none: the digests agree
+        LinkClosing,  ///< this link ends, to make room for another: its end says nothing
     };
-    Kind kind = Kind::News;
+    Kind kind = Kind::Gossip;
     std::uint64_t seq = 0;
     Id to;
     std::string address;
     std::uint64_t digest = 0;
-    bool want = false;
+    bool want_list = false;
     std::uint32_t stalled_ms = 0;
-    std::vector<Claim> claims;
+    std::vector<MemberUpdate> updates;
 };
-constexpr std::uint32_t kKinds = 8;
+constexpr std::uint32_t kMessageKindCount = 8;
 
 struct Hello {
     std::string fleet;
     Id id;
     std::string address, version;
-    std::uint32_t oldest = kOldestWire, newest = kNewestWire;
+    std::uint32_t oldest = kOldestWireVersion, newest = kNewestWireVersion;
 };
 
 /// What another package says on the same link; not looked into here.
-struct Carried {
+struct Payload {
     std::string bytes;
 };
 
-using Said = std::variant<Hello, Message, Carried>;
+using FrameBody = std::variant<Hello, Message, Payload>;
 
 /// A whole frame.
 std::string frame_of(const Hello& hello);
 std::string frame_of(const Message& message);
-std::string frame_of(const Carried& carried);
+std::string frame_of(const Payload& payload);
 /// Of a frame's message. Throws framing::FrameError where it is none, or is over a bound above.
-Said read_said(std::string_view bytes);
+FrameBody parse_frame_body(std::string_view bytes);
 
 /// Whether it may stand in a message: printable, without blanks, within kMostName.
-bool may_be_said(std::string_view text);
+bool is_valid_name(std::string_view text);
 const char* name_of(State state);
 const char* name_of(Evidence evidence);
 
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -200,10 +200,10 @@
     /// Descriptors that neither clients nor endpoints get; those of the fleet's links among them.
     static std::size_t set_aside(const Features& features, const Config& config) {
         std::size_t spare = kSpareSockets;
-        if (features.fleet && (config.name.empty() || !fleet::may_be_said(config.name)))
+        if (features.fleet && (config.name.empty() || !fleet::is_valid_name(config.name)))
             throw ConfigError(config.name +
                               ": field 'name' can't be a member's of [fleet]: 1 to 64 bytes, no blanks");
-        if (features.fleet) spare += features.fleet->most_links + peers::Peers::kOtherSockets;
+        if (features.fleet) spare += features.fleet->max_links + peers::Peers::kOtherSockets;
         if (spare + kLeastForRequests > config.sockets)
             throw ConfigError(config.name + ": field 'limits.sockets' leaves no room beside [fleet]'s links");
         return spare;
@@ -211,7 +211,7 @@
     static std::string zone_of(const Config& config) {
         const auto& zones = config.names.zones;
         const bool named =
-            config.settings.zone < zones.size() && fleet::may_be_said(zones[config.settings.zone]);
+            config.settings.zone < zones.size() && fleet::is_valid_name(zones[config.settings.zone]);
         return named ? zones[config.settings.zone] : std::string();
     }
     Placement& placement() { return journal_ ? static_cast<Placement&>(journal_->recorder) : back_; }
--- a/src/peers/queue.h
+++ b/src/peers/queue.h
@@ -12,43 +12,43 @@
 
 namespace martenford::peers {
 
-class Queue {
+class SendQueue {
   public:
-    explicit Queue(std::size_t most_bytes) : most_(most_bytes) {}
+    explicit SendQueue(std::size_t max_bytes) : max_bytes_(max_bytes) {}
 
     /// What can't be held is dropped: of what waits, the least urgent and oldest first.
     void put(const fleet::Message& message) {
         using Kind = fleet::Message::Kind;
-        const std::size_t rank = rank_of(message.kind);
-        auto& line = lines_[rank];
+        const std::size_t priority = priority_of(message.kind);
+        auto& queue = queues_[priority];
         // A link that is pushed back: the later of these says all that the earlier did.
-        if (message.kind == Kind::Ping || message.kind == Kind::Compare) {
-            for (auto it = line.begin(); it != line.end(); ++it) {
+        if (message.kind == Kind::Ping || message.kind == Kind::SyncRequest) {
+            for (auto it = queue.begin(); it != queue.end(); ++it) {
                 if (it->kind != message.kind) continue;
                 bytes_ -= it->frame.size();
-                line.erase(it);
+                queue.erase(it);
                 ++replaced_;
                 break;
             }
         }
-        line.push_back({message.kind, fleet::frame_of(message)});
-        bound(line.back().frame.size());
+        queue.push_back({message.kind, fleet::frame_of(message)});
+        enforce_limit(queue.back().frame.size());
     }
     /// Behind all that is said of who is alive.
-    void put(const fleet::Carried& carried) {
-        lines_[kRanks - 1].push_back({fleet::Message::Kind::News, fleet::frame_of(carried)});
-        bound(lines_[kRanks - 1].back().frame.size());
+    void put(const fleet::Payload& payload) {
+        queues_[kPriorities - 1].push_back({fleet::Message::Kind::Gossip, fleet::frame_of(payload)});
+        enforce_limit(queues_[kPriorities - 1].back().frame.size());
     }
     /// Up to about `most` bytes, whole frames, at least one where any waits.
-    std::string take(std::size_t most) {
+    std::string take(std::size_t max) {
         std::string result;
-        for (auto& line : lines_) {
-            while (!line.empty() && (result.empty() || result.size() + line.front().frame.size() <= most)) {
-                result += line.front().frame;
-                bytes_ -= line.front().frame.size();
-                line.pop_front();
+        for (auto& queue : queues_) {
+            while (!queue.empty() && (result.empty() || result.size() + queue.front().frame.size() <= max)) {
+                result += queue.front().frame;
+                bytes_ -= queue.front().frame.size();
+                queue.pop_front();
             }
-            if (!line.empty()) break;  // nothing less urgent slips past it
+            if (!queue.empty()) break;  // nothing less urgent slips past it
         }
         return result;
     }
@@ -58,30 +58,30 @@
     std::uint64_t replaced() const { return replaced_; }
 
   private:
-    static constexpr std::size_t kRanks = 4;
-    void bound(std::size_t more) {
-        bytes_ += more;
-        for (std::size_t i = kRanks; bytes_ > most_ && i-- > 0;) {
-            while (bytes_ > most_ && !lines_[i].empty()) {
-                bytes_ -= lines_[i].front().frame.size();
-                lines_[i].pop_front();
+    static constexpr std::size_t kPriorities = 4;
+    void enforce_limit(std::size_t added) {
+        bytes_ += added;
+        for (std::size_t i = kPriorities; bytes_ > max_bytes_ && i-- > 0;) {
+            while (bytes_ > max_bytes_ && !queues_[i].empty()) {
+                bytes_ -= queues_[i].front().frame.size();
+                queues_[i].pop_front();
                 ++dropped_;
             }
         }
     }
-    static std::size_t rank_of(fleet::Message::Kind kind) {
+    static std::size_t priority_of(fleet::Message::Kind kind) {
         using Kind = fleet::Message::Kind;
         switch (kind) {
             case Kind::Ping:
-            case Kind::Ask:
+            case Kind::PingRequest:
             case Kind::Ack:
             case Kind::Nack:
                 return 0;  // whose lateness is held against somebody
-            case Kind::News:
-            case Kind::Bye:
+            case Kind::Gossip:
+            case Kind::LinkClosing:
                 return 1;
-            case Kind::Compare:
-            case Kind::Entries:
+            case Kind::SyncRequest:
+            case Kind::MemberList:
                 break;
         }
         return 2;
@@ -90,8 +90,8 @@
         fleet::Message::Kind kind;
         std::string frame;
     };
-    std::size_t most_, bytes_ = 0;
-    std::array<std::deque<Item>, kRanks> lines_;
+    std::size_t max_bytes_, bytes_ = 0;
+    std::array<std::deque<Item>, kPriorities> queues_;
     std::uint64_t dropped_ = 0, replaced_ = 0;
 };
 
--- a/src/replica/keeper.cpp
+++ b/src/replica/keeper.cpp
@@ -72,7 +72,7 @@
     enter("state.skipped", "messages that had to wait for bytes", [](Copy c) { return c.figures().skipped; });
     counters.gauge("state.kept", "1 while what is written here is made durable",
                    [this] { return shelf_ && shelf_->works() ? 1.0 : 0.0; });
-    peers_.on_carried([this](const fleet::Id& from, const std::string& address, const std::string& bytes) {
+    peers_.on_payload([this](const fleet::Id& from, const std::string& address, const std::string& bytes) {
         arrived(from, address, bytes);
     });
     if (!options_.directory.empty()) {
@@ -89,17 +89,18 @@
 }
 
 Keeper::~Keeper() {
-    peers_.on_carried({});
+    peers_.on_payload({});
 }
 
 std::vector<Other> Keeper::some(std::size_t count) {
     std::vector<Other> result;
-    for (auto& place : peers_.near(count)) result.push_back({std::move(place.id), std::move(place.address)});
+    for (auto& place : peers_.sample_peers(count))
+        result.push_back({std::move(place.id), std::move(place.address)});
     return result;
 }
 
 std::size_t Keeper::live() const {
-    return peers_.fleet() ? peers_.fleet()->live() : 1;
+    return peers_.fleet() ? peers_.fleet()->live_count() : 1;
 }
 
 void Keeper::look() {
@@ -130,10 +131,10 @@
         pump();
     });
     const Time now = loop_.now();
-    for (const fleet::View& view : peers_.fleet()->members()) {
-        if (view.sight == fleet::Sight::Left) {
+    for (const fleet::MemberView& view : peers_.fleet()->members()) {
+        if (view.state == fleet::ObservedState::Left) {
             roster_.erase(view.id.name);
-        } else if (view.sight != fleet::Sight::Dead) {
+        } else if (view.state != fleet::ObservedState::Dead) {
             if (roster_.size() < kMostRoster || roster_.contains(view.id.name)) roster_[view.id.name] = now;
         }
     }
@@ -171,7 +172,7 @@
         std::string bytes = bytes_of(send.message);
         const auto carry = [this, address = send.to.address, bytes = std::move(bytes)] {
             bytes_out_.add(bytes.size());
-            peers_.carry(address, bytes);
+            peers_.send_payload(address, bytes);
         };
         // Whoever is told that it is held here may count on it after a crash.
         send.message.kind == Message::Kind::Got ? when_kept(carry) : carry();
--- a/tests/fleet/fleet_test.cpp
+++ b/tests/fleet/fleet_test.cpp
@@ -12,10 +12,10 @@
 namespace martenford::emulator {
 namespace {
 
-using fleet::Change;
+using fleet::FleetEvent;
 using fleet::Id;
 using fleet::Message;
-using fleet::Sight;
+using fleet::ObservedState;
 using fleet::State;
 
 /// A member that another came to hold dead, in spite of its being up, reachable and awake all the while.
@@ -41,12 +41,13 @@
     return who.size() == up ? last - since : Duration{};
 }
 
-bool told(const FleetModel& model, Change::What what, std::size_t by_at_least, std::size_t who_at_least = 1) {
+bool told(const FleetModel& model, FleetEvent::Kind kind, std::size_t min_observers,
+          std::size_t min_subjects = 1) {
     std::set<std::size_t> observers;
-    for (const auto& [observer, change] : model.changes()) {
-        if (change.what == what && change.who.size() >= who_at_least) observers.insert(observer);
+    for (const auto& [observer, event] : model.changes()) {
+        if (event.kind == kind && event.subjects.size() >= min_subjects) observers.insert(observer);
     }
-    return observers.size() >= by_at_least;
+    return observers.size() >= min_observers;
 }
 
 FleetModel::Options of(std::size_t members, std::uint64_t seed = 1) {
@@ -99,7 +100,7 @@
     ASSERT_TRUE(model.run_until(
         [&] {
             for (std::size_t i = 0; i < 30; ++i) {
-                if (i != 7 && model.fleet(i).live() != 29) return false;
+                if (i != 7 && model.fleet(i).live_count() != 29) return false;
             }
             return true;
         },
@@ -108,7 +109,7 @@
     model.run_until(model.now() + 3s);  // until it is told of
     model.cut_apart({7}, false);
     EXPECT_TRUE(model.run_until([&] { return model.all_agree(); }, 20s));
-    EXPECT_TRUE(told(model, Change::What::Returned, 29));
+    EXPECT_TRUE(told(model, FleetEvent::Kind::Returned, 29));
 }
 
 TEST(Fleet, StallsShorterThanTheBoundKillNobody) {
@@ -144,8 +145,8 @@
     ASSERT_TRUE(model.run_until([&] { return model.all_agree(); }, 20s));
     // Those that slept may be called dead; they call nobody so on waking.
     EXPECT_EQ(false_deaths(model, half), 0u);
-    EXPECT_TRUE(told(model, Change::What::Stood, 15));
-    EXPECT_TRUE(told(model, Change::What::LostAtOnce, 10, 12));
+    EXPECT_TRUE(told(model, FleetEvent::Kind::OwnStall, 15));
+    EXPECT_TRUE(told(model, FleetEvent::Kind::MassLoss, 10, 12));
 }
 
 TEST(Fleet, OneThatHearsNobodyBuriesNobody) {
@@ -175,13 +176,13 @@
         [&] {
             const auto views = model.fleet(2).members();
             return std::any_of(views.begin(), views.end(), [](const auto& v) {
-                return v.id.name == "n5" && v.sight == Sight::Unreachable;
+                return v.id.name == "n5" && v.state == ObservedState::Unreachable;
             });
         },
         15s));
     model.run_until(model.now() + 20s);
     EXPECT_EQ(false_deaths(model), 0u);
-    EXPECT_EQ(model.fleet(2).live(), 10u);
+    EXPECT_EQ(model.fleet(2).live_count(), 10u);
 }
 
 TEST(Fleet, APartitionIsNamedAsOneOnBothSidesAndHealsWithoutDeadLeft) {
@@ -190,10 +191,10 @@
     std::set<std::size_t> side;
     for (std::size_t i = 0; i < 12; ++i) side.insert(i);
     model.cut_apart(side);
-    ASSERT_TRUE(
-        model.run_until([&] { return model.fleet(0).live() == 12 && model.fleet(29).live() == 18; }, 20s));
+    ASSERT_TRUE(model.run_until(
+        [&] { return model.fleet(0).live_count() == 12 && model.fleet(29).live_count() == 18; }, 20s));
     model.run_until(model.now() + 6s);
-    EXPECT_TRUE(told(model, Change::What::LostAtOnce, 25, 11));
+    EXPECT_TRUE(told(model, FleetEvent::Kind::MassLoss, 25, 11));
     model.cut_apart(side, false);
     EXPECT_TRUE(model.run_until([&] { return model.all_agree(); }, 30s));
 }
@@ -202,10 +203,11 @@
     FleetModel model(of(300, 11));
     settle(model);
     for (std::size_t i = 200; i < 300; ++i) model.leave(i);
-    ASSERT_TRUE(model.run_until([&] { return model.fleet(0).live() == 200 && model.all_agree(); }, 20s));
+    ASSERT_TRUE(
+        model.run_until([&] { return model.fleet(0).live_count() == 200 && model.all_agree(); }, 20s));
     for (std::size_t i = 0; i < 200; ++i) {
         for (const auto& view : model.fleet(i).members()) {
-            if (view.sight == Sight::Dead) ADD_FAILURE() << i << " holds " << view.id.name << " dead";
+            if (view.state == ObservedState::Dead) ADD_FAILURE() << i << " holds " << view.id.name << " dead";
         }
     }
 }
@@ -218,14 +220,14 @@
     model.start(4);
     ASSERT_TRUE(model.run_until([&] { return model.all_agree(); }, 20s));
     EXPECT_NE(model.fleet(4).self().id, before);
-    EXPECT_FALSE(told(model, Change::What::Doubled, 1));
+    EXPECT_FALSE(told(model, FleetEvent::Kind::NameConflict, 1));
 }
 
 TEST(Fleet, AllSeedsDeadAtTheStartAreWaitedFor) {
     FleetModel model(of(8, 13));
     for (std::size_t i = 3; i < 8; ++i) model.start(i);
     model.run_until(model.now() + 20s);
-    EXPECT_EQ(model.fleet(5).live(), 1u);
+    EXPECT_EQ(model.fleet(5).live_count(), 1u);
     for (std::size_t i = 0; i < 3; ++i) model.start(i);
     EXPECT_TRUE(model.run_until([&] { return model.all_agree(); }, 20s));
 }
@@ -234,13 +236,13 @@
     FleetModel model(of(6, 14));
     settle(model);
     Message stale;
-    stale.kind = Message::Kind::Entries;
+    stale.kind = Message::Kind::MemberList;
     for (int i = 0; i < 100; ++i) {
-        fleet::Claim claim;
-        claim.id = {"old" + std::to_string(i), 77};
-        claim.address = "10.9.9." + std::to_string(i) + ":1";
-        claim.incarnation = 3;
-        stale.claims.push_back(claim);
+        fleet::MemberUpdate update;
+        update.id = {"old" + std::to_string(i), 77};
+        update.address = "10.9.9." + std::to_string(i) + ":1";
+        update.incarnation = 3;
+        stale.updates.push_back(update);
     }
     model.inject(2, model.fleet(0).self().id, FleetModel::address_of(0), stale);
     EXPECT_TRUE(model.run_until([&] { return model.all_agree(); }, 120s));
@@ -252,14 +254,14 @@
     settle(model);
     const Id before = model.fleet(1).self().id;
     Message lie;
-    lie.kind = Message::Kind::News;
-    fleet::Claim claim;
-    claim.id = before;
-    claim.address = FleetModel::address_of(1);
-    claim.incarnation = fleet::kMostIncarnation;
-    claim.state = State::Suspect;
-    claim.by = "n0";
-    lie.claims.push_back(claim);
+    lie.kind = Message::Kind::Gossip;
+    fleet::MemberUpdate update;
+    update.id = before;
+    update.address = FleetModel::address_of(1);
+    update.incarnation = fleet::kMaxIncarnation;
+    update.state = State::Suspect;
+    update.reported_by = "n0";
+    lie.updates.push_back(update);
     model.inject(1, model.fleet(0).self().id, FleetModel::address_of(0), lie);
     EXPECT_NE(model.fleet(1).self().id, before);
     EXPECT_TRUE(model.run_until([&] { return model.all_agree(); }, 30s));
--- a/tests/fleet/golden_test.cpp
+++ b/tests/fleet/golden_test.cpp
@@ -22,7 +22,7 @@
     reader.feed(bytes);
     const auto inside = reader.next();
     if (!inside) throw framing::FrameError("not whole");
-    const auto read = std::get<Kind>(read_said(*inside));
+    const auto read = std::get<Kind>(parse_frame_body(*inside));
     EXPECT_TRUE(reader.empty());
     EXPECT_EQ(frame_of(read), bytes) << file;
     return read;
@@ -42,8 +42,8 @@
 
 TEST(GoldenFleetMessages, OfEveryKindWithItsNumberAndClaimsOfEveryState) {
     const char* names[] = {"ping", "ask", "ack", "nack", "news", "compare", "entries", "bye"};
-    ASSERT_EQ(std::size(names), kKinds);
-    for (std::uint32_t kind = 0; kind < kKinds; ++kind) {
+    ASSERT_EQ(std::size(names), kMessageKindCount);
+    for (std::uint32_t kind = 0; kind < kMessageKindCount; ++kind) {
         SCOPED_TRACE(names[kind]);
         Message now;
         now.kind = static_cast<Message::Kind>(kind);
@@ -51,19 +51,19 @@
         now.to = {"sidecar-b", 22};
         now.address = "10.5.0.2:7000";
         now.digest = 0xfedcba9876543210;
-        now.want = true;
+        now.want_list = true;
         now.stalled_ms = 23;
-        for (std::uint32_t number = 0; number < kStates * kEvidences; ++number) {
+        for (std::uint32_t number = 0; number < kStateCount * kEvidenceCount; ++number) {
             const std::string digits = std::to_string(number);
-            now.claims.push_back({{"sidecar-" + digits, 31 + number},
-                                  "10.5.1." + digits + ":7000",
-                                  "zone-" + digits,
-                                  "2.0." + digits,
-                                  51 + number,
-                                  static_cast<State>(number / kEvidences),
-                                  static_cast<Evidence>(number % kEvidences),
-                                  "by-" + digits,
-                                  true});
+            now.updates.push_back({{"sidecar-" + digits, 31 + number},
+                                   "10.5.1." + digits + ":7000",
+                                   "zone-" + digits,
+                                   "2.0." + digits,
+                                   51 + number,
+                                   static_cast<State>(number / kEvidenceCount),
+                                   static_cast<Evidence>(number % kEvidenceCount),
+                                   "by-" + digits,
+                                   true});
         }
         const auto read = read_back(std::string("message-") + names[kind] + ".bin", now);
         EXPECT_EQ(static_cast<std::uint32_t>(read.kind), kind);
@@ -72,40 +72,40 @@
         EXPECT_EQ(read.to.boot, 22u);
         EXPECT_EQ(read.address, "10.5.0.2:7000");
         EXPECT_EQ(read.digest, 0xfedcba9876543210u);
-        EXPECT_TRUE(read.want);
+        EXPECT_TRUE(read.want_list);
         EXPECT_EQ(read.stalled_ms, 23u);
-        ASSERT_EQ(read.claims.size(), 12u);
+        ASSERT_EQ(read.updates.size(), 12u);
         for (std::uint32_t number = 0; number < 12; ++number) {
             const std::string digits = std::to_string(number);
-            const Claim& claim = read.claims[number];
-            EXPECT_EQ(claim.id.name, "sidecar-" + digits);
-            EXPECT_EQ(claim.id.boot, 31 + number);
-            EXPECT_EQ(claim.address, "10.5.1." + digits + ":7000");
-            EXPECT_EQ(claim.zone, "zone-" + digits);
-            EXPECT_EQ(claim.version, "2.0." + digits);
-            EXPECT_EQ(claim.incarnation, 51 + number);
-            EXPECT_EQ(static_cast<std::uint32_t>(claim.state), number / 3);
-            EXPECT_EQ(static_cast<std::uint32_t>(claim.evidence), number % 3);
-            EXPECT_EQ(claim.by, "by-" + digits);
-            EXPECT_TRUE(claim.heir);
+            const MemberUpdate& update = read.updates[number];
+            EXPECT_EQ(update.id.name, "sidecar-" + digits);
+            EXPECT_EQ(update.id.boot, 31 + number);
+            EXPECT_EQ(update.address, "10.5.1." + digits + ":7000");
+            EXPECT_EQ(update.zone, "zone-" + digits);
+            EXPECT_EQ(update.version, "2.0." + digits);
+            EXPECT_EQ(update.incarnation, 51 + number);
+            EXPECT_EQ(static_cast<std::uint32_t>(update.state), number / 3);
+            EXPECT_EQ(static_cast<std::uint32_t>(update.evidence), number % 3);
+            EXPECT_EQ(update.reported_by, "by-" + digits);
+            EXPECT_TRUE(update.successor);
         }
     }
 }
 
 TEST(GoldenFleetMessages, WhatIsCarriedForAnotherPackage) {
-    EXPECT_EQ(read_back("carried.bin", Carried{std::string("state\0\xff", 7)}).bytes,
+    EXPECT_EQ(read_back("carried.bin", Payload{std::string("state\0\xff", 7)}).bytes,
               std::string("state\0\xff", 7));
 }
 
 TEST(GoldenFleetMessages, TheNumbersOfKindsStatesAndEvidence) {
     EXPECT_EQ(static_cast<int>(Message::Kind::Ping), 0);
-    EXPECT_EQ(static_cast<int>(Message::Kind::Ask), 1);
+    EXPECT_EQ(static_cast<int>(Message::Kind::PingRequest), 1);
     EXPECT_EQ(static_cast<int>(Message::Kind::Ack), 2);
     EXPECT_EQ(static_cast<int>(Message::Kind::Nack), 3);
-    EXPECT_EQ(static_cast<int>(Message::Kind::News), 4);
-    EXPECT_EQ(static_cast<int>(Message::Kind::Compare), 5);
-    EXPECT_EQ(static_cast<int>(Message::Kind::Entries), 6);
-    EXPECT_EQ(static_cast<int>(Message::Kind::Bye), 7);
+    EXPECT_EQ(static_cast<int>(Message::Kind::Gossip), 4);
+    EXPECT_EQ(static_cast<int>(Message::Kind::SyncRequest), 5);
+    EXPECT_EQ(static_cast<int>(Message::Kind::MemberList), 6);
+    EXPECT_EQ(static_cast<int>(Message::Kind::LinkClosing), 7);
     EXPECT_EQ(static_cast<int>(State::Alive), 0);
     EXPECT_EQ(static_cast<int>(State::Suspect), 1);
     EXPECT_EQ(static_cast<int>(State::Left), 2);
--- a/tests/fleet/wire_test.cpp
+++ b/tests/fleet/wire_test.cpp
@@ -20,58 +20,59 @@
     return *rc::gen::container<std::string>(size, rc::gen::inRange('a', 'z'));
 }
 
-Self one_self() {
-    Self self;
+LocalMember one_self() {
+    LocalMember self;
     self.id.name = "self";
     self.id.boot = 1;
     self.address = "10.0.0.1:1";
     return self;
 }
 
-Claim any_claim() {
-    Claim claim;
-    claim.id = {name(), *rc::gen::inRange<std::uint64_t>(1, 1'000'000)};
-    claim.address = name();
-    claim.incarnation = *rc::gen::inRange<std::uint64_t>(0, kMostIncarnation);
-    claim.state = static_cast<State>(*rc::gen::inRange<std::uint32_t>(0, kStates));
-    claim.evidence = static_cast<Evidence>(*rc::gen::inRange<std::uint32_t>(0, kEvidences));
-    claim.by = name();
-    claim.heir = *rc::gen::arbitrary<bool>();
-    return claim;
+MemberUpdate any_update() {
+    MemberUpdate update;
+    update.id = {name(), *rc::gen::inRange<std::uint64_t>(1, 1'000'000)};
+    update.address = name();
+    update.incarnation = *rc::gen::inRange<std::uint64_t>(0, kMaxIncarnation);
+    update.state = static_cast<State>(*rc::gen::inRange<std::uint32_t>(0, kStateCount));
+    update.evidence = static_cast<Evidence>(*rc::gen::inRange<std::uint32_t>(0, kEvidenceCount));
+    update.reported_by = name();
+    update.successor = *rc::gen::arbitrary<bool>();
+    return update;
 }
 
 Message any_message() {
     Message message;
-    message.kind = static_cast<Message::Kind>(*rc::gen::inRange<std::uint32_t>(0, kKinds));
+    message.kind = static_cast<Message::Kind>(*rc::gen::inRange<std::uint32_t>(0, kMessageKindCount));
     message.seq = *rc::gen::arbitrary<std::uint64_t>();
     message.to = {name(), *rc::gen::arbitrary<std::uint64_t>()};
     message.address = name();
     message.digest = *rc::gen::arbitrary<std::uint64_t>();
-    message.want = *rc::gen::arbitrary<bool>();
-    const auto claims = *rc::gen::inRange(0, 6);
-    for (int i = 0; i < claims; ++i) message.claims.push_back(any_claim());
+    message.want_list = *rc::gen::arbitrary<bool>();
+    const auto updates = *rc::gen::inRange(0, 6);
+    for (int i = 0; i < updates; ++i) message.updates.push_back(any_update());
     return message;
 }
 
-Said read_back(const std::string& frame) {
+FrameBody read_back(const std::string& frame) {
     framing::FrameReader reader;
     reader.feed(frame);
     const auto message = reader.next();
     if (!message) throw framing::FrameError("not whole");
-    return read_said(*message);
+    return parse_frame_body(*message);
 }
 
 RC_GTEST_PROP(FleetWire, AMessageComesBackAsItWas, ()) {
     const Message sent = any_message();
-    const Said said = read_back(frame_of(sent));
-    const auto& got = std::get<Message>(said);
+    const FrameBody body = read_back(frame_of(sent));
+    const auto& got = std::get<Message>(body);
     RC_ASSERT(got.kind == sent.kind && got.seq == sent.seq && got.to == sent.to);
-    RC_ASSERT(got.address == sent.address && got.digest == sent.digest && got.want == sent.want);
-    RC_ASSERT(got.claims.size() == sent.claims.size());
-    for (std::size_t i = 0; i < got.claims.size(); ++i) {
-        const Claim &a = got.claims[i], &b = sent.claims[i];
+    RC_ASSERT(got.address == sent.address && got.digest == sent.digest && got.want_list == sent.want_list);
+    RC_ASSERT(got.updates.size() == sent.updates.size());
+    for (std::size_t i = 0; i < got.updates.size(); ++i) {
+        const MemberUpdate &a = got.updates[i], &b = sent.updates[i];
         RC_ASSERT(a.id == b.id && a.address == b.address && a.incarnation == b.incarnation);
-        RC_ASSERT(a.state == b.state && a.evidence == b.evidence && a.by == b.by && a.heir == b.heir);
+        RC_ASSERT(a.state == b.state && a.evidence == b.evidence && a.reported_by == b.reported_by &&
+                  a.successor == b.successor);
     }
 }
 
@@ -93,20 +94,21 @@
                 bytes.insert(at, 1, *rc::gen::arbitrary<char>());
         }
     }
-    Fleet fleet(Pace{}, {"10.0.0.9:1"}, one_self(), 5);
+    Fleet fleet(ProtocolOptions{}, {"10.0.0.9:1"}, one_self(), 5);
     fleet.start(Time{1s});
     try {
-        const Said said = read_said(bytes);
-        if (const auto* message = std::get_if<Message>(&said)) {
-            RC_ASSERT(message->claims.size() <= kMostClaims);
-            for (const Claim& claim : message->claims) {
-                RC_ASSERT(claim.id.boot != 0 && !claim.id.name.empty() && claim.id.name.size() <= kMostName);
-                RC_ASSERT(claim.address.size() <= kMostName && claim.incarnation <= kMostIncarnation);
+        const FrameBody body = parse_frame_body(bytes);
+        if (const auto* message = std::get_if<Message>(&body)) {
+            RC_ASSERT(message->updates.size() <= kMaxUpdates);
+            for (const MemberUpdate& update : message->updates) {
+                RC_ASSERT(update.id.boot != 0 && !update.id.name.empty() &&
+                          update.id.name.size() <= kMaxNameBytes);
+                RC_ASSERT(update.address.size() <= kMaxNameBytes && update.incarnation <= kMaxIncarnation);
             }
             fleet.receive(Time{1s}, {"other", 2}, "10.0.0.2:1", *message);
             fleet.tick(Time{1100ms});
-            RC_ASSERT(fleet.members().size() <= 1 + kMostClaims);
-            for (const auto& send : fleet.take_sends())
+            RC_ASSERT(fleet.members().size() <= 1 + kMaxUpdates);
+            for (const auto& send : fleet.take_outgoing())
                 RC_ASSERT(frame_of(send.message).size() <= framing::kMostFrame);
         }
     } catch (const framing::FrameError&) {
@@ -115,26 +117,26 @@
 
 TEST(FleetWire, BoundsOnNamesAndClaimsHold) {
     Message message;
-    Claim claim;
-    claim.id = {std::string(kMostName + 1, 'n'), 1};
-    claim.address = "a:1";
-    message.claims = {claim};
+    MemberUpdate update;
+    update.id = {std::string(kMaxNameBytes + 1, 'n'), 1};
+    update.address = "a:1";
+    message.updates = {update};
     EXPECT_THROW(read_back(frame_of(message)), framing::FrameError);
-    claim.id.name = "a b";  // it would break the lines of the console
-    message.claims = {claim};
+    update.id.name = "a b";  // it would break the lines of the console
+    message.updates = {update};
     EXPECT_THROW(read_back(frame_of(message)), framing::FrameError);
-    claim.id.name = "n";
-    message.claims.assign(kMostClaims + 1, claim);
+    update.id.name = "n";
+    message.updates.assign(kMaxUpdates + 1, update);
     EXPECT_THROW(read_back(frame_of(message)), framing::FrameError);
     // The longest message there is goes into one frame: nothing of the network may end the program.
-    const std::string longest(kMostName, 'n');
-    claim.id = {longest, ~std::uint64_t{0}};
-    claim.address = claim.zone = claim.version = claim.by = longest;
-    claim.incarnation = kMostIncarnation;
-    claim.heir = true;
-    message.to = claim.id;
+    const std::string longest(kMaxNameBytes, 'n');
+    update.id = {longest, ~std::uint64_t{0}};
+    update.address = update.zone = update.version = update.reported_by = longest;
+    update.incarnation = kMaxIncarnation;
+    update.successor = true;
+    message.to = update.id;
     message.address = longest;
-    message.claims.assign(kMostClaims, claim);
+    message.updates.assign(kMaxUpdates, update);
     EXPECT_NO_THROW(read_back(frame_of(message)));
 }
 
@@ -143,54 +145,54 @@
     State state;
     std::uint64_t incarnation;
 };
-bool takes_over(const Held& held, const Claim& claim) {
+bool takes_over(const Held& held, const MemberUpdate& update) {
     const bool here = held.state == State::Alive || held.state == State::Suspect;
-    switch (claim.state) {
+    switch (update.state) {
         case State::Alive:
-            return claim.incarnation > held.incarnation && held.state != State::Left;
+            return update.incarnation > held.incarnation && held.state != State::Left;
         case State::Suspect:
         case State::Dead:  // heard from another, a death is a doubt at first
-            return (here && claim.incarnation >= held.incarnation &&
-                    !(held.state == State::Suspect && claim.incarnation == held.incarnation)) ||
-                   (claim.state == State::Suspect && held.state == State::Dead &&
-                    claim.incarnation > held.incarnation);
+            return (here && update.incarnation >= held.incarnation &&
+                    !(held.state == State::Suspect && update.incarnation == held.incarnation)) ||
+                   (update.state == State::Suspect && held.state == State::Dead &&
+                    update.incarnation > held.incarnation);
         case State::Left:
-            return held.state != State::Left && claim.incarnation >= held.incarnation;
+            return held.state != State::Left && update.incarnation >= held.incarnation;
     }
     return false;
 }
 
 RC_GTEST_PROP(FleetClaims, StandAsThePlainTableSays, ()) {
-    Fleet fleet(Pace{}, {}, one_self(), 5);
+    Fleet fleet(ProtocolOptions{}, {}, one_self(), 5);
     const Time now{1s};
     fleet.start(now);
     std::map<Id, Held> model;
     const auto steps = *rc::gen::inRange(1, 60);
     for (int i = 0; i < steps; ++i) {
-        Claim claim;
-        claim.id = {"n" + std::to_string(*rc::gen::inRange(0, 4)), 7};
-        claim.address = claim.id.name + ":1";
-        claim.incarnation = *rc::gen::inRange<std::uint64_t>(0, 4);
-        claim.state = static_cast<State>(*rc::gen::inRange<std::uint32_t>(0, kStates));
-        claim.by = "w" + std::to_string(*rc::gen::inRange(0, 3));
+        MemberUpdate update;
+        update.id = {"n" + std::to_string(*rc::gen::inRange(0, 4)), 7};
+        update.address = update.id.name + ":1";
+        update.incarnation = *rc::gen::inRange<std::uint64_t>(0, 4);
+        update.state = static_cast<State>(*rc::gen::inRange<std::uint32_t>(0, kStateCount));
+        update.reported_by = "w" + std::to_string(*rc::gen::inRange(0, 3));
         Message news;
-        news.claims = {claim};
+        news.updates = {update};
         fleet.receive(now, {"teller", 9}, "10.0.0.3:1", news);
-        const auto it = model.find(claim.id);
-        const State becomes = claim.state == State::Dead ? State::Suspect : claim.state;
+        const auto it = model.find(update.id);
+        const State becomes = update.state == State::Dead ? State::Suspect : update.state;
         if (it == model.end()) {
-            model[claim.id] = {claim.state, claim.incarnation};
-        } else if (takes_over(it->second, claim)) {
-            it->second = {becomes, claim.incarnation};
+            model[update.id] = {update.state, update.incarnation};
+        } else if (takes_over(it->second, update)) {
+            it->second = {becomes, update.incarnation};
         }
     }
     std::map<Id, Held> held;
-    for (const View& view : fleet.members()) {
+    for (const MemberView& view : fleet.members()) {
         if (view.id.name == "self") continue;
-        const State state = view.sight == Sight::Alive  ? State::Alive
-                            : view.sight == Sight::Dead ? State::Dead
-                            : view.sight == Sight::Left ? State::Left
-                                                        : State::Suspect;
+        const State state = view.state == ObservedState::Alive  ? State::Alive
+                            : view.state == ObservedState::Dead ? State::Dead
+                            : view.state == ObservedState::Left ? State::Left
+                                                                : State::Suspect;
         held[view.id] = {state, view.incarnation};
     }
     RC_ASSERT(held.size() == model.size());
@@ -200,11 +202,11 @@
         RC_ASSERT(held.at(id).incarnation == expected.incarnation);
         live += expected.state == State::Alive || expected.state == State::Suspect ? 1 : 0;
     }
-    RC_ASSERT(fleet.live() == live);
+    RC_ASSERT(fleet.live_count() == live);
 }
 
 RC_GTEST_PROP(FleetQueue, KeepsItsBoundAndGivesWholeFramesTheUrgentFirst, ()) {
-    peers::Queue queue(4000);
+    peers::SendQueue queue(4000);
     const auto steps = *rc::gen::inRange(1, 80);
     for (int i = 0; i < steps; ++i) {
         queue.put(any_message());
@@ -219,10 +221,10 @@
         taken += some.size();
         reader.feed(some);
         while (const auto bytes = reader.next()) {
-            const auto kind = std::get<Message>(read_said(*bytes)).kind;
-            const int now = kind <= Message::Kind::Nack                                 ? 0
-                            : kind == Message::Kind::News || kind == Message::Kind::Bye ? 1
-                                                                                        : 2;
+            const auto kind = std::get<Message>(parse_frame_body(*bytes)).kind;
+            const int now = kind <= Message::Kind::Nack                                           ? 0
+                            : kind == Message::Kind::Gossip || kind == Message::Kind::LinkClosing ? 1
+                                                                                                  : 2;
             RC_ASSERT(now >= rank);
             rank = now;
         }
@@ -233,18 +235,18 @@
 TEST(FleetSuspicion, ShrinksAsIndependentAccusersConfirmAndNeverBelowItsLeast) {
     const Time since{100s};
     Suspicion suspicion(since, 3s, 9s, 3);
-    EXPECT_TRUE(suspicion.accused_by("a"));
+    EXPECT_TRUE(suspicion.confirm("a"));
     EXPECT_EQ(suspicion.deadline(), since + 9s);
-    EXPECT_FALSE(suspicion.accused_by("a"));
+    EXPECT_FALSE(suspicion.confirm("a"));
     EXPECT_EQ(suspicion.deadline(), since + 9s);
     Time before = suspicion.deadline();
     for (const char* by : {"b", "c", "d"}) {
-        EXPECT_TRUE(suspicion.accused_by(by));
+        EXPECT_TRUE(suspicion.confirm(by));
         EXPECT_LT(suspicion.deadline(), before);
         before = suspicion.deadline();
     }
     EXPECT_EQ(before, since + 3s);
-    EXPECT_FALSE(suspicion.accused_by("e"));
+    EXPECT_FALSE(suspicion.confirm("e"));
     suspicion.postpone(2s);
     EXPECT_EQ(suspicion.deadline(), since + 5s);
     // With nobody else to ask it has the least.
@@ -252,24 +254,24 @@
 }
 
 TEST(FleetRumours, ANewerOneTakesTheOldersPlaceAndEachIsToldSoOften) {
-    Rumours rumours;
-    Claim claim;
-    claim.id = {"a", 1};
-    rumours.add(claim);
-    claim.incarnation = 2;
-    rumours.add(claim);
-    EXPECT_EQ(rumours.size(), 1u);
+    GossipQueue queue;
+    MemberUpdate update;
+    update.id = {"a", 1};
+    queue.add(update);
+    update.incarnation = 2;
+    queue.add(update);
+    EXPECT_EQ(queue.size(), 1u);
     for (int i = 0; i < 3; ++i) {
-        const auto told = rumours.take(10, 3);
+        const auto told = queue.take(10, 3);
         ASSERT_EQ(told.size(), 1u);
         EXPECT_EQ(told[0].incarnation, 2u);
     }
-    EXPECT_TRUE(rumours.empty());
-    for (std::uint64_t i = 0; i < Rumours::kMost + 50; ++i) {
-        claim.id.boot = i + 1;
-        rumours.add(claim);
+    EXPECT_TRUE(queue.empty());
+    for (std::uint64_t i = 0; i < GossipQueue::kMaxSize + 50; ++i) {
+        update.id.boot = i + 1;
+        queue.add(update);
     }
-    EXPECT_EQ(rumours.size(), Rumours::kMost);
+    EXPECT_EQ(queue.size(), GossipQueue::kMaxSize);
 }
 
 }  // namespace
