--- a/emulator/virtual_transport.cpp
+++ b/emulator/virtual_transport.cpp
@@ -156,7 +156,7 @@
                      });
     }
     void leave(const std::string& id) { engine_.leave(id); }
-    bool ready() const { return membership_.knows_any(); }
+    bool ready() const { return membership_.has_ready(); }
 
     // ---- the back
 
@@ -198,7 +198,7 @@
     }
     /// Another discovery: the list stays, and the whole one is asked for.
     void move() {
-        membership_.forget_revision();
+        membership_.reset_revision();
         ask_anew();
     }
 
@@ -266,7 +266,7 @@
             target.endpoint.availability = entry.state;
             target.boot_ms = entry.boot_ms;
         }
-        apply(membership_.take(targets, cached, time_.now(), Time{}));
+        apply(membership_.apply_list(targets, cached, time_.now(), Time{}));
     }
     void apply(Membership::Update&& update) {
         for (const EndpointId id : update.removed) {
@@ -280,10 +280,10 @@
             pool.node = node;
             pool.ready = is_ready;
         }
-        if (update.news.kind != Discovered::Kind::Failed) engine_.tell(std::move(update.news));
-        if (update.ask_whole) whole_ = true;
+        if (update.discovered.kind != Discovered::Kind::Failed) engine_.tell(std::move(update.discovered));
+        if (update.need_full_list) whole_ = true;
         if (const auto due = membership_.next_due()) {
-            doubt_.set(*due, [this] { apply(membership_.believe(time_.now())); });
+            doubt_.set(*due, [this] { apply(membership_.apply_due_removals(time_.now())); });
         } else {
             doubt_.cancel();
         }
--- a/src/assembly/features.cpp
+++ b/src/assembly/features.cpp
@@ -203,8 +203,8 @@
 Membership::Options membership_options(const Features& features, const decision::Settings& settings) {
     Membership::Options result;
     if (!features.caution_share) return result;
-    result.caution_share = *features.caution_share;
-    result.caution = decision::scaled(settings.rules.drain_grace, kDoubtShare);
+    result.max_removal_share = *features.caution_share;
+    result.removal_delay = decision::scaled(settings.rules.drain_grace, kDoubtShare);
     return result;
 }
 
--- a/src/discovery/discovery.cpp
+++ b/src/discovery/discovery.cpp
@@ -17,16 +17,18 @@
 
 namespace {
 
-constexpr std::chrono::milliseconds kWatch = 20s;  // how long a watch may wait for news
-constexpr Duration kPatience = 4s;                 // and how much longer discovery may take to say so
-constexpr Duration kConnect = 1500ms;   // for its connection: what does not come up so soon never may
-constexpr Duration kAskSpread = 500ms;  // all sidecars may suspect a list at once
-constexpr Duration kWhole =
+constexpr std::chrono::milliseconds kWatchTimeout = 20s;  // how long a watch may wait for news
+constexpr Duration kResponseGrace = 4s;                   // and how much longer discovery may take to say so
+constexpr Duration kConnectTimeout = 1500ms;  // for its connection: what does not come up so soon never may
+constexpr Duration kRequestJitter = 500ms;    // all sidecars may suspect a list at once
+constexpr Duration kBodyTimeout =
     1500ms;  // for the rest of an answer that has begun: lists come in one piece, or stall
-constexpr Duration kAgainFirst = 100ms, kAgainMost = 2s;  // an agent that does not answer is asked again
-constexpr std::size_t kMostList = 32 * 1024 * 1024;  // 100,000 endpoints at 200 bytes, and half as many again
+constexpr Duration kInitialRetryDelay = 100ms,
+                   kMaxRetryDelay = 2s;  // an agent that does not answer is asked again
+constexpr std::size_t kMaxListBytes =
+    32 * 1024 * 1024;  // 100,000 endpoints at 200 bytes, and half as many again
 
-constexpr std::size_t kLargeList = 64 * 1024;  // what changes bring is much less
+constexpr std::size_t kLargeListBytes = 64 * 1024;  // what changes bring is much less
 
 /// When the Unix epoch was, on the loop's clock.
 Time unix_epoch() {
@@ -55,142 +57,147 @@
       address_(config.discovery),
       membership_(options),
       staleness_(config.settings.replicas),
-      asked_anew_(counters.counter("discovery.asked_anew",
-                                   "silent watches given up because endpoints were not as listed")),
-      again_(loop),
-      doubt_(loop),
-      suspect_(loop),
+      watches_abandoned_(counters.counter("discovery.asked_anew",
+                                          "silent watches given up because endpoints were not as listed")),
+      retry_timer_(loop),
+      removal_timer_(loop),
+      abandon_timer_(loop),
       random_(config.seed) {
-    const auto enter = [&](const char* name, const char* help, auto read) {
+    const auto add_gauge = [&](const char* name, const char* help, auto read) {
         counters.gauge(name, help, [this, read] { return static_cast<double>(read(membership_)); });
     };
-    using Known = const Membership&;
-    enter("membership.endpoints", "endpoints known", [](Known m) { return m.size(); });
+    using Members = const Membership&;
+    add_gauge("membership.endpoints", "endpoints known", [](Members m) { return m.size(); });
     counters.gauge("policy.avoided", "endpoints listed that get nothing new",
                    [this] { return static_cast<double>(membership_.size() - membership_.ready()); });
-    enter("membership.ready", "endpoints listed as ready", [](Known m) { return m.ready(); });
-    enter("membership.doubted", "endpoints whose removal is doubted now",
-          [](Known m) { return m.doubted(); });
-    enter("membership.cautions", "lists that took too much away to be believed at once",
-          [](Known m) { return m.figures().cautions; });
-    enter("membership.spared", "endpoints that were listed again within the doubt",
-          [](Known m) { return m.figures().spared; });
-    enter("membership.regressions", "changes older than what was held",
-          [](Known m) { return m.figures().regressions; });
-    enter("membership.hinted", "endpoints that other sidecars' word keeps away now",
-          [](Known m) { return m.hinted(); });
-    enter("membership.hints", "times that other sidecars' word took an endpoint away",
-          [](Known m) { return m.figures().hinted; });
-    enter("membership.twins", "uids whose hash another had", [](Known m) { return m.figures().twins; });
+    add_gauge("membership.ready", "endpoints listed as ready", [](Members m) { return m.ready(); });
+    add_gauge("membership.doubted", "endpoints whose removal is doubted now",
+              [](Members m) { return m.pending_removals(); });
+    add_gauge("membership.cautions", "lists that took too much away to be believed at once",
+              [](Members m) { return m.stats().delayed_lists; });
+    add_gauge("membership.spared", "endpoints that were listed again within the doubt",
+              [](Members m) { return m.stats().relisted; });
+    add_gauge("membership.regressions", "changes older than what was held",
+              [](Members m) { return m.stats().stale_lists; });
+    add_gauge("membership.hinted", "endpoints that other sidecars' word keeps away now",
+              [](Members m) { return m.hinted(); });
+    add_gauge("membership.hints", "times that other sidecars' word took an endpoint away",
+              [](Members m) { return m.stats().hinted; });
+    add_gauge("membership.twins", "uids whose hash another had",
+              [](Members m) { return m.stats().hash_collisions; });
 }
 Discovery::~Discovery() = default;
 
 void Discovery::start() {
-    if (config_.known) apply(membership_.take(*config_.known, true, Loop::monotonic(), unix_epoch()));
+    if (config_.known) apply(membership_.apply_list(*config_.known, true, Loop::monotonic(), unix_epoch()));
     if (!config_.settings.subscribe) subscribe();
 }
 
 void Discovery::subscribe() {
-    if (!exchange_) ask();
+    if (!exchange_) send_request();
 }
 
-void Discovery::move(const Address& address) {
+void Discovery::set_address(const Address& address) {
     if (address == address_) return;
-    drop(silent_);
+    close_exchange(old_exchange_);
     tell(martenford::Event::DiscoveryMoves,
          "discovery: moves to " + address.address().to_string() + ":" + std::to_string(address.port()));
     address_ = address;
     // Guards against a revision that means something else to the new agent: it is asked for the whole list,
     // and changes from it are no use before that.
-    membership_.forget_revision();
-    ask_anew();
+    membership_.reset_revision();
+    restart_request();
 }
 
-void Discovery::ask_anew() {
-    drop(exchange_);
-    again_.cancel();
-    wait_ = Duration{};
-    ask();
+void Discovery::restart_request() {
+    close_exchange(exchange_);
+    retry_timer_.cancel();
+    retry_delay_ = Duration{};
+    send_request();
 }
 
-void Discovery::ask() {
-    const bool fresh = !exchange_;
-    if (fresh) exchange_ = std::make_shared<Exchange>(loop_);
+void Discovery::send_request() {
+    const bool new_connection = !exchange_;
+    if (new_connection) exchange_ = std::make_shared<Exchange>(loop_);
     const auto exchange = exchange_;
     std::string target = "/api/targets";
-    if (const auto revision = membership_.revision(); revision && !whole_) {
-        target += "?since=" + std::to_string(*revision) + "&timeout_ms=" + std::to_string(kWatch.count());
+    if (const auto revision = membership_.revision(); revision && !request_full_list_) {
+        target +=
+            "?since=" + std::to_string(*revision) + "&timeout_ms=" + std::to_string(kWatchTimeout.count());
     }
     exchange->call = {http::verb::get, target, 11};
     exchange->call.set(http::field::host, "discovery");
     exchange->answer.emplace();
-    exchange->answer->body_limit(kMostList);
+    exchange->answer->body_limit(kMaxListBytes);
     // By address: the exchange's own timer must not keep it.
     const auto fail = [this, own = exchange.get()](const std::string& why) {
-        if (own == silent_.get()) {
-            drop(silent_);
+        if (own == old_exchange_.get()) {
+            close_exchange(old_exchange_);
         } else {
-            failed(why);
+            request_failed(why);
         }
     };
-    exchange->limit.set(Loop::monotonic() + kConnect, [fail] { fail("no connection in time"); });
-    const auto current = [this, exchange, fail](const error_code& error, const char* what) {
-        if (exchange_ != exchange && silent_ != exchange) return false;
+    exchange->limit.set(Loop::monotonic() + kConnectTimeout, [fail] { fail("no connection in time"); });
+    const auto is_current = [this, exchange, fail](const error_code& error, const char* what) {
+        if (exchange_ != exchange && old_exchange_ != exchange) return false;
         if (error) fail(std::string(what) + ": " + error.message());
         return !error;
     };
-    const auto read = [this, exchange, current, fail](const error_code& error, std::size_t) {
-        if (!current(error, "read")) return;
+    const auto read = [this, exchange, is_current, fail](const error_code& error, std::size_t) {
+        if (!is_current(error, "read")) return;
         const auto answer = exchange->answer->release();
         if (answer.result_int() != 200) return fail("status " + std::to_string(answer.result_int()));
-        if (exchange == silent_) std::swap(exchange_, silent_);  // it spoke after all, and is the watch again
-        drop(silent_);
+        if (exchange == old_exchange_)
+            std::swap(exchange_, old_exchange_);  // it spoke after all, and is the watch again
+        close_exchange(old_exchange_);
         if (!answer.keep_alive()) exchange_.reset();
         exchange->buffer.shrink_to_fit();
-        arrived(answer.body());
+        response_received(answer.body());
     };
-    const auto written = [exchange, current, fail, read](const error_code& error, std::size_t) {
-        if (!current(error, "write")) return;
+    const auto written = [exchange, is_current, fail, read](const error_code& error, std::size_t) {
+        if (!is_current(error, "write")) return;
         // Guards against a list that breaks off in silence: what it has to tell would be missed until the
         // watch's end, while a fresh call brings it at once.
-        exchange->socket.async_wait(asio::ip::tcp::socket::wait_read, [exchange, current, fail,
-                                                                       read](const error_code& e) {
-            if (!current(e, "wait")) return;
-            exchange->limit.set(Loop::monotonic() + kWhole, [fail] { fail("an answer stopped half way"); });
-            http::async_read(exchange->socket, exchange->buffer, *exchange->answer, read);
-        });
+        exchange->socket.async_wait(
+            asio::ip::tcp::socket::wait_read, [exchange, is_current, fail, read](const error_code& e) {
+                if (!is_current(e, "wait")) return;
+                exchange->limit.set(Loop::monotonic() + kBodyTimeout,
+                                    [fail] { fail("an answer stopped half way"); });
+                http::async_read(exchange->socket, exchange->buffer, *exchange->answer, read);
+            });
     };
     const auto write = [exchange, fail, written] {
-        exchange->limit.set(Loop::monotonic() + kWatch + kPatience, [fail] { fail("no answer in time"); });
+        exchange->limit.set(Loop::monotonic() + kWatchTimeout + kResponseGrace,
+                            [fail] { fail("no answer in time"); });
         http::async_write(exchange->socket, exchange->call, written);
     };
-    if (!fresh) return write();
-    exchange->socket.async_connect(address_, [exchange, current, write](const error_code& error) {
-        if (!current(error, "connect")) return;
+    if (!new_connection) return write();
+    exchange->socket.async_connect(address_, [exchange, is_current, write](const error_code& error) {
+        if (!is_current(error, "connect")) return;
         error_code ignored;
         exchange->socket.set_option(asio::ip::tcp::no_delay(true), ignored);
         write();
     });
 }
 
-void Discovery::saw(EndpointId id, Status status) {
-    if (!staleness_.ended(id, status, Loop::monotonic()) || !exchange_) return;
+void Discovery::attempt_ended(EndpointId id, Status status) {
+    if (!staleness_.attempt_ended(id, status, Loop::monotonic()) || !exchange_) return;
     Random random(random_);
     random_ = random.next();
-    suspect_.set(Loop::monotonic() + scaled(kAskSpread, random.unit()), [this] {
+    abandon_timer_.set(Loop::monotonic() + scaled(kRequestJitter, random.unit()), [this] {
         if (!exchange_) return;
         tell(martenford::Event::DiscoveryAnew, "discovery: endpoints are not as listed; asked anew");
-        asked_anew_.add();
+        watches_abandoned_.add();
         // The old watch is heard on until the fresh call is answered. Guards against losing what discovery
         // has just written to it: that counts as told, and the fresh call may wait its turn for longer than
         // a drain's grace.
-        drop(silent_);
-        silent_ = std::exchange(exchange_, nullptr);
-        ask_anew();
+        close_exchange(old_exchange_);
+        old_exchange_ = std::exchange(exchange_, nullptr);
+        restart_request();
     });
 }
 
-void Discovery::drop(std::shared_ptr<Exchange>& exchange) {
+void Discovery::close_exchange(std::shared_ptr<Exchange>& exchange) {
     if (!exchange) return;
     error_code ignored;
     exchange->limit.cancel();
@@ -198,57 +205,58 @@
     exchange.reset();
 }
 
-void Discovery::failed(const std::string& why) {
+void Discovery::request_failed(const std::string& why) {
     tell(martenford::Event::DiscoveryTrouble, "discovery: " + why);
-    drop(exchange_);
+    close_exchange(exchange_);
     if (config_.settings.subscribe) return engine_.tell({Discovered::Kind::Failed, nullptr});
     // The module asks only where lists must be asked for. Jitter: all sidecars may have failed at once.
-    wait_ = std::clamp(wait_ * 2, kAgainFirst, kAgainMost);
+    retry_delay_ = std::clamp(retry_delay_ * 2, kInitialRetryDelay, kMaxRetryDelay);
     Random random(random_);
     random_ = random.next();
-    again_.set(Loop::monotonic() + scaled(wait_, 0.5 + random.unit() / 2), [this] { subscribe(); });
+    retry_timer_.set(Loop::monotonic() + scaled(retry_delay_, 0.5 + random.unit() / 2),
+                     [this] { subscribe(); });
 }
 
-void Discovery::arrived(const std::string& body) {
+void Discovery::response_received(const std::string& body) {
     try {
         json::element root;
         if (parser_.parse(body).get(root) != simdjson::SUCCESS) json::bad("not valid JSON");
         const auto list = parse_targets(json::as<json::object>(root, "answer", "an object"), config_.names);
-        whole_ = false;
-        auto update = membership_.take(list, false, Loop::monotonic(), unix_epoch());
-        if (update.news.kind == Discovered::Kind::Failed) {
-            return failed("an answer was skipped: " + update.remark);
+        request_full_list_ = false;
+        auto update = membership_.apply_list(list, false, Loop::monotonic(), unix_epoch());
+        if (update.discovered.kind == Discovered::Kind::Failed) {
+            return request_failed("an answer was skipped: " + update.log_text);
         }
-        heard_ = true;
-        suspect_.cancel();
-        staleness_.told(!list.targets.empty(), Loop::monotonic());
+        received_list_ = true;
+        abandon_timer_.cancel();
+        staleness_.discovery_answered(!list.targets.empty(), Loop::monotonic());
         apply(std::move(update));
         // The parser keeps some ten times the longest text that it has read.
-        if (body.size() > kLargeList) parser_ = simdjson::dom::parser();
+        if (body.size() > kLargeListBytes) parser_ = simdjson::dom::parser();
     } catch (const json::FieldError& error) {
-        return failed("an answer was skipped: " + std::string(error.what()));
+        return request_failed("an answer was skipped: " + std::string(error.what()));
     }
-    wait_ = Duration{};
-    ask();
+    retry_delay_ = Duration{};
+    send_request();
 }
 
 void Discovery::apply(Membership::Update&& update) {
-    if (!update.remark.empty()) tell(martenford::Event::DiscoveryRemark, "discovery: " + update.remark);
+    if (!update.log_text.empty()) tell(martenford::Event::DiscoveryRemark, "discovery: " + update.log_text);
     for (const EndpointId id : update.removed) placement_.remove(id);
     for (const auto& [id, address, ready, uid] : update.placed) {
         if (uid) placement_.name(id, *uid);
         placement_.place(id, address, ready);
     }
-    if (update.news.kind != Discovered::Kind::Failed) engine_.tell(std::move(update.news));
-    if (on_drained_ && heard_) {
+    if (update.discovered.kind != Discovered::Kind::Failed) engine_.tell(std::move(update.discovered));
+    if (on_drained_ && received_list_) {
         for (const Membership::Drained& each : update.drained)
             on_drained_(each, membership_.revision().value_or(0));
     }
-    if (update.ask_whole) whole_ = true;
+    if (update.need_full_list) request_full_list_ = true;
     if (const auto due = membership_.next_due()) {
-        doubt_.set(*due, [this] { apply(membership_.believe(Loop::monotonic())); });
+        removal_timer_.set(*due, [this] { apply(membership_.apply_due_removals(Loop::monotonic())); });
     } else {
-        doubt_.cancel();
+        removal_timer_.cancel();
     }
 }
 
--- a/src/discovery/discovery.h
+++ b/src/discovery/discovery.h
@@ -30,10 +30,10 @@
     /// Starts to watch, unless it does already. A failure is told to the module, which asks again.
     void subscribe();
     /// Goes on at another address, at once; what is known stays until the agent there has told its list.
-    void move(const Address& address);
+    void set_address(const Address& address);
     /// How an attempt ended: where a watch is silent and endpoints are not as listed, discovery is asked
     /// anew.
-    void saw(EndpointId id, decision::Status status);
+    void attempt_ended(EndpointId id, decision::Status status);
     /// What others than discovery say of an endpoint.
     void set_endpoint_override(const std::string& uid,
                                const Membership::EndpointOverride& endpoint_override) {
@@ -46,19 +46,19 @@
     std::optional<EndpointId> id_of(const std::string& uid) const { return membership_.id_of(uid); }
     std::optional<std::string> uid_of(EndpointId id) const { return membership_.uid_of(id); }
     /// Whether any endpoint is known to serve.
-    bool knows_any() const { return membership_.knows_any(); }
+    bool has_ready() const { return membership_.has_ready(); }
     /// Whether discovery itself has told a list since the start.
-    bool heard() const { return heard_; }
+    bool received_list() const { return received_list_; }
 
   private:
     struct Exchange;
 
-    void ask();
-    void drop(std::shared_ptr<Exchange>& exchange);
-    void failed(const std::string& why);
-    void arrived(const std::string& body);
+    void send_request();
+    void close_exchange(std::shared_ptr<Exchange>& exchange);
+    void request_failed(const std::string& why);
+    void response_received(const std::string& body);
     void apply(Membership::Update&& update);
-    void ask_anew();
+    void restart_request();
 
     Loop& loop_;
     Placement& placement_;
@@ -67,14 +67,15 @@
     Address address_;
     Membership membership_;
     std::shared_ptr<Exchange> exchange_;  // the connection, while watching
-    std::shared_ptr<Exchange> silent_;  // and one whose watch seems silent, until the fresh call is answered
+    std::shared_ptr<Exchange>
+        old_exchange_;  // and one whose watch seems silent, until the fresh call is answered
     Staleness staleness_;
     std::function<void(const Membership::Drained&, std::uint64_t)> on_drained_;
-    Counter& asked_anew_;
-    Timer again_, doubt_, suspect_;
-    Duration wait_{};
-    bool heard_ = false;
-    bool whole_ = false;  // the next call asks for the whole list
+    Counter& watches_abandoned_;
+    Timer retry_timer_, removal_timer_, abandon_timer_;
+    Duration retry_delay_{};
+    bool received_list_ = false;
+    bool request_full_list_ = false;  // the next call asks for the whole list
     std::uint64_t random_;
     simdjson::dom::parser parser_;
 };
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -51,7 +51,7 @@
 /// Of a new configuration only discovery's address takes effect: the rest holds from the start on.
 void reload(Discovery& discovery) {
     try {
-        discovery.move(read_discovery_again());
+        discovery.set_address(read_discovery_again());
     } catch (const ConfigError& error) {
         tell(Event::ConfigKept, "the old configuration stays: " + std::string(error.what()));
     }
@@ -122,13 +122,14 @@
               loop_, engine_, front_dialect_, half_, [this] { return knows_enough(); }, counters_),
           late_(loop_) {
         engine_.on_subscribe([this] { discovery_.subscribe(); });
-        engine_.on_ended([this](EndpointId id, decision::Status status) { discovery_.saw(id, status); });
+        engine_.on_ended(
+            [this](EndpointId id, decision::Status status) { discovery_.attempt_ended(id, status); });
         if (keeper_) {
             keeper_->on_endpoint_override(
                 [this](const std::string& uid, const replica::EndpointOverride& endpoint_override) {
                     Membership::EndpointOverride to{endpoint_override.away, endpoint_override.weight, {}};
                     if (endpoint_override.drains)
-                        to.drains = {endpoint_override.drains->revision, endpoint_override.drains->boot_ms};
+                        to.drain_hint = {endpoint_override.drains->revision, endpoint_override.drains->boot_ms};
                     discovery_.set_endpoint_override(uid, to);
                 });
             if (outliers_) {
@@ -257,7 +258,9 @@
         tell(Event::Listening, "listening on " + where.str());
     }
     /// Whether it can serve: some endpoint is known, to a process that takes over by discovery's own word.
-    bool knows_enough() const { return discovery_.knows_any() && (!may_be_late_ || discovery_.heard()); }
+    bool knows_enough() const {
+        return discovery_.has_ready() && (!may_be_late_ || discovery_.received_list());
+    }
     bool is_ready() const { return front_.listening() && front_.is_ready(); }
 
     /// What the two of a sidecar hold is counted together.
--- a/src/membership/membership.cpp
+++ b/src/membership/membership.cpp
@@ -10,10 +10,10 @@
 using decision::EndpointList;
 
 namespace {
-constexpr Duration kRest = 60s;  // longer than any attempt that may still bear the id
+constexpr Duration kIdReuseDelay = 60s;  // longer than any attempt that may still bear the id
 /// Others' word takes at most this part of the ready away: all that are wrong together leave half.
-constexpr std::size_t kHintedPart = 2;
-constexpr std::size_t kMostResting = 200'000;  // a fleet of 10,000 replaced every 3 s
+constexpr std::size_t kHintedDivisor = 2;
+constexpr std::size_t kMaxReservedIds = 200'000;  // a fleet of 10,000 replaced every 3 s
 }  // namespace
 
 std::uint32_t uid_hash(const std::string& uid) {
@@ -23,17 +23,17 @@
 }
 
 bool IdSet::insert(std::uint32_t id) {
-    auto& among = ids_[id >> 24];
-    const auto at = std::lower_bound(among.begin(), among.end(), id);
-    if (at != among.end() && *at == id) return false;
-    among.insert(at, id);
+    auto& bucket = ids_[id >> 24];
+    const auto position = std::lower_bound(bucket.begin(), bucket.end(), id);
+    if (position != bucket.end() && *position == id) return false;
+    bucket.insert(position, id);
     return true;
 }
 
 void IdSet::erase(std::uint32_t id) {
-    auto& among = ids_[id >> 24];
-    const auto at = std::lower_bound(among.begin(), among.end(), id);
-    if (at != among.end() && *at == id) among.erase(at);
+    auto& bucket = ids_[id >> 24];
+    const auto position = std::lower_bound(bucket.begin(), bucket.end(), id);
+    if (position != bucket.end() && *position == id) bucket.erase(position);
 }
 
 std::optional<EndpointId> Membership::id_of(const std::string& uid) const {
@@ -51,50 +51,51 @@
 /// By the uid alone, as far as two don't meet. Of two uids with one hash the one that came second hashes on,
 /// with the number of the try behind its name: which of them came first may differ between sidecars, and then
 /// those two stand elsewhere in their rings; nothing else does.
-EndpointId Membership::new_id(const std::string& uid) {
-    if (const auto rested = rested_.find(uid); rested != rested_.end()) {
-        const EndpointId id = rested->second.id;
-        rested_.erase(rested);
+EndpointId Membership::assign_id(const std::string& uid) {
+    if (const auto reserved = reserved_ids_.find(uid); reserved != reserved_ids_.end()) {
+        const EndpointId id = reserved->second.id;
+        reserved_ids_.erase(reserved);
         return id;  // still taken
     }
     std::uint32_t id = uid_hash(uid);
-    for (int again = 1; !taken_.insert(id); ++again) {
-        if (again == 1) ++figures_.twins;
-        id = uid_hash(uid + '#' + std::to_string(again));
+    for (int attempt = 1; !used_ids_.insert(id); ++attempt) {
+        if (attempt == 1) ++stats_.hash_collisions;
+        id = uid_hash(uid + '#' + std::to_string(attempt));
     }
     return EndpointId{id};
 }
 
-void Membership::free_rested(Time now) {
-    while (!resting_.empty() && (resting_.front().first <= now || resting_.size() > kMostResting)) {
-        const auto [until, uid] = std::move(resting_.front());
-        resting_.pop_front();
-        const auto it = rested_.find(uid);
+void Membership::release_reserved_ids(Time now) {
+    while (!reservation_ends_.empty() &&
+           (reservation_ends_.front().first <= now || reservation_ends_.size() > kMaxReservedIds)) {
+        const auto [until, uid] = std::move(reservation_ends_.front());
+        reservation_ends_.pop_front();
+        const auto it = reserved_ids_.find(uid);
         // It may have come back, and gone again with a later end.
-        if (it == rested_.end() || it->second.until != until) continue;
-        if (until > now) ++figures_.rests_dropped;
-        taken_.erase(static_cast<std::uint32_t>(it->second.id));
-        rested_.erase(it);
+        if (it == reserved_ids_.end() || it->second.until != until) continue;
+        if (until > now) ++stats_.early_id_releases;
+        used_ids_.erase(static_cast<std::uint32_t>(it->second.id));
+        reserved_ids_.erase(it);
     }
 }
 
-void Membership::enter(const Target& target, Time now, Time epoch, EndpointList& news, Update& update) {
-    if (target.endpoint.availability == Availability::Gone) return remove(target.uid, now, news, update);
+void Membership::upsert(const Target& target, Time now, Time epoch, EndpointList& changes, Update& update) {
+    if (target.endpoint.availability == Availability::Gone) return remove(target.uid, now, changes, update);
     auto it = known_.find(target.uid);
-    const bool fresh = it == known_.end();
-    if (fresh) {
-        it = known_.emplace(target.uid, Known{}).first;
-        it->second.id = new_id(target.uid);
+    const bool is_new = it == known_.end();
+    if (is_new) {
+        it = known_.emplace(target.uid, KnownEndpoint{}).first;
+        it->second.id = assign_id(target.uid);
     }
-    Known& known = it->second;
+    KnownEndpoint& known = it->second;
     const auto started = known.endpoint.started;
-    const bool was_ready = !fresh && known.endpoint.availability == Availability::Ready;
+    const bool was_ready = !is_new && known.endpoint.availability == Availability::Ready;
     if (was_ready) --ready_;
     known.endpoint = target.endpoint;
     known.endpoint.id = known.id;
     // Converted once a start, so that the module does not take a second reading of the clocks for a new
     // start.
-    if (fresh || known.boot_ms != target.boot_ms) {
+    if (is_new || known.boot_ms != target.boot_ms) {
         known.boot_ms = target.boot_ms;
         if (target.boot_ms) known.endpoint.started = epoch + std::chrono::milliseconds(target.boot_ms);
     } else {
@@ -106,36 +107,38 @@
     } else if (was_ready) {
         update.drained.push_back({target.uid, known.boot_ms});
     }
-    if (doubted_.erase(target.uid) > 0) ++figures_.spared;
-    place(it->first, known, news, update);
+    if (pending_removals_.erase(target.uid) > 0) ++stats_.relisted;
+    add_change(it->first, known, changes, update);
 }
 
 /// `uid` is a key of known_: it stays until the next list.
-void Membership::place(const std::string& uid, const Known& known, EndpointList& news, Update& update) {
+void Membership::add_change(const std::string& uid, const KnownEndpoint& known, EndpointList& changes,
+                            Update& update) {
     const decision::Endpoint endpoint = effective(uid, known);
-    news.push_back(endpoint);
+    changes.push_back(endpoint);
     update.placed.push_back({known.id, known.address, endpoint.availability == Availability::Ready, &uid});
 }
 
-bool Membership::hint_counts(const Known& known, const EndpointOverride& endpoint_override) const {
-    return endpoint_override.drains && known.boot_ms == endpoint_override.drains->boot_ms &&
+bool Membership::is_hint_current(const KnownEndpoint& known,
+                                 const EndpointOverride& endpoint_override) const {
+    return endpoint_override.drain_hint && known.boot_ms == endpoint_override.drain_hint->boot_ms &&
            known.endpoint.availability == Availability::Ready && revision_ &&
-           endpoint_override.drains->revision > *revision_;
+           endpoint_override.drain_hint->revision > *revision_;
 }
 
-decision::Endpoint Membership::effective(const std::string& uid, const Known& known) {
+decision::Endpoint Membership::effective(const std::string& uid, const KnownEndpoint& known) {
     decision::Endpoint endpoint = known.endpoint;
     if (endpoint_overrides_.empty()) return endpoint;
     const auto it = endpoint_overrides_.find(uid);
-    const bool hint = it != endpoint_overrides_.end() && hint_counts(known, it->second);
-    if (!hint) {
+    const bool hinted = it != endpoint_overrides_.end() && is_hint_current(known, it->second);
+    if (!hinted) {
         hinted_.erase(uid);
-    } else if (!hinted_.contains(uid) && (hinted_.size() + 1) * kHintedPart <= ready_) {
+    } else if (!hinted_.contains(uid) && (hinted_.size() + 1) * kHintedDivisor <= ready_) {
         hinted_.insert(uid);
-        ++figures_.hinted;
+        ++stats_.hinted;
     }
     if (it == endpoint_overrides_.end() || endpoint.availability != Availability::Ready) return endpoint;
-    if (it->second.away || it->second.weight <= 0.0 || hinted_.contains(uid)) {
+    if (it->second.excluded || it->second.weight <= 0.0 || hinted_.contains(uid)) {
         endpoint.availability = Availability::Draining;
     } else {
         endpoint.weight *= it->second.weight;
@@ -146,7 +149,7 @@
 Membership::Update Membership::set_endpoint_override(const std::string& uid,
                                                      const EndpointOverride& endpoint_override) {
     Update update;
-    update.news.kind = Discovered::Kind::Failed;
+    update.discovered.kind = Discovered::Kind::Failed;
     const auto known = known_.find(uid);
     std::optional<decision::Endpoint> before;
     if (known != known_.end()) before = effective(uid, known->second);
@@ -159,15 +162,15 @@
     if (!before) return update;
     const decision::Endpoint after = effective(uid, known->second);
     if (after.availability == before->availability && after.weight == before->weight) return update;
-    auto news = std::make_shared<EndpointList>();
-    place(known->first, known->second, *news, update);
-    update.news.kind = Discovered::Kind::Delta;
-    update.news.endpoints = std::move(news);
+    auto changes = std::make_shared<EndpointList>();
+    add_change(known->first, known->second, *changes, update);
+    update.discovered.kind = Discovered::Kind::Delta;
+    update.discovered.endpoints = std::move(changes);
     return update;
 }
 
-void Membership::remove(const std::string& uid, Time now, EndpointList& news, Update& update) {
-    doubted_.erase(uid);
+void Membership::remove(const std::string& uid, Time now, EndpointList& changes, Update& update) {
+    pending_removals_.erase(uid);
     const auto it = known_.find(uid);
     if (it == known_.end()) return;
     if (it->second.endpoint.availability == Availability::Ready) {
@@ -178,136 +181,137 @@
     decision::Endpoint gone = it->second.endpoint;
     gone.availability = Availability::Gone;
     gone.started.reset();
-    news.push_back(gone);
+    changes.push_back(gone);
     update.removed.push_back(gone.id);
-    rested_.insert_or_assign(uid, Rest{gone.id, now + kRest});
-    resting_.emplace_back(now + kRest, uid);
+    reserved_ids_.insert_or_assign(uid, IdReservation{gone.id, now + kIdReuseDelay});
+    reservation_ends_.emplace_back(now + kIdReuseDelay, uid);
     known_.erase(it);
 }
 
-bool Membership::doubts(std::size_t going) const {
-    if (options_.caution <= Duration{} || options_.caution_share >= 1.0) return false;
-    const std::size_t all = going + doubted_.size();
-    return all >= options_.caution_least &&
-           static_cast<double>(all) > options_.caution_share * static_cast<double>(ready_);
+bool Membership::exceeds_removal_limit(std::size_t removals) const {
+    if (options_.removal_delay <= Duration{} || options_.max_removal_share >= 1.0) return false;
+    const std::size_t all = removals + pending_removals_.size();
+    return all >= options_.min_checked_removals &&
+           static_cast<double>(all) > options_.max_removal_share * static_cast<double>(ready_);
 }
 
-Membership::Update Membership::take(const TargetList& list, bool cached, Time now, Time epoch) {
+Membership::Update Membership::apply_list(const TargetList& list, bool cached, Time now, Time epoch) {
     Update update;
-    update.news.kind = Discovered::Kind::Failed;
-    free_rested(now);
-    const bool whole = list.all || cached;
-    if (!whole && !revision_) {
-        update.ask_whole = true;
-        update.remark = "changes came where no list is held";
+    update.discovered.kind = Discovered::Kind::Failed;
+    release_reserved_ids(now);
+    const bool full = list.all || cached;
+    if (!full && !revision_) {
+        update.need_full_list = true;
+        update.log_text = "changes came where no list is held";
         return update;
     }
     // An answer that was overtaken, or a discovery that counts anew: what it says is not newer than what is
     // held.
-    if (!whole && list.revision < *revision_) {
-        ++figures_.regressions;
-        update.ask_whole = true;
-        update.remark = "changes of revision " + std::to_string(list.revision) + " came after " +
-                        std::to_string(*revision_) + "; the whole list is asked for";
+    if (!full && list.revision < *revision_) {
+        ++stats_.stale_lists;
+        update.need_full_list = true;
+        update.log_text = "changes of revision " + std::to_string(list.revision) + " came after " +
+                          std::to_string(*revision_) + "; the whole list is asked for";
         revision_.reset();
         return update;
     }
 
-    std::vector<std::string> going;  // in rising order: what follows must not go by a hash table's
-    if (whole) {
-        std::unordered_set<std::string_view> named;
-        named.reserve(list.targets.size() + list.unreadable.size());
+    std::vector<std::string> removals;  // in rising order: what follows must not go by a hash table's
+    if (full) {
+        std::unordered_set<std::string_view> listed;
+        listed.reserve(list.targets.size() + list.unreadable.size());
         for (const Target& target : list.targets) {
-            if (target.endpoint.availability != Availability::Gone) named.insert(target.uid);
+            if (target.endpoint.availability != Availability::Gone) listed.insert(target.uid);
         }
         // An entry that can't be read leaves the endpoint as it was.
-        for (const std::string& uid : list.unreadable) named.insert(uid);
+        for (const std::string& uid : list.unreadable) listed.insert(uid);
         for (const auto& [uid, known] : known_) {
-            if (!named.contains(uid)) going.push_back(uid);
+            if (!listed.contains(uid)) removals.push_back(uid);
         }
     } else {
         for (const Target& target : list.targets) {
             if (target.endpoint.availability == Availability::Gone && known_.contains(target.uid)) {
-                going.push_back(target.uid);
+                removals.push_back(target.uid);
             }
         }
     }
-    std::sort(going.begin(), going.end());
-    going.erase(std::unique(going.begin(), going.end()), going.end());
+    std::sort(removals.begin(), removals.end());
+    removals.erase(std::unique(removals.begin(), removals.end()), removals.end());
 
     // A second whole list that says the same settles it; changes can only add to the doubt.
-    bool doubt = false;
-    if (!(whole && doubted_until_)) {
-        const auto serving =
-            static_cast<std::size_t>(std::count_if(going.begin(), going.end(), [&](const std::string& uid) {
-                return !doubted_.contains(uid) && known_.at(uid).endpoint.availability == Availability::Ready;
+    bool delay_removals = false;
+    if (!(full && removals_due_)) {
+        const auto serving = static_cast<std::size_t>(
+            std::count_if(removals.begin(), removals.end(), [&](const std::string& uid) {
+                return !pending_removals_.contains(uid) &&
+                       known_.at(uid).endpoint.availability == Availability::Ready;
             }));
-        doubt = serving > 0 && doubts(serving);
+        delay_removals = serving > 0 && exceeds_removal_limit(serving);
     }
-    if (doubt) {
-        ++figures_.cautions;
-        update.ask_whole = true;
-        update.remark = "a list takes away " + std::to_string(going.size()) + " of " +
-                        std::to_string(ready_) + " endpoints; it is doubted for " +
-                        std::to_string(options_.caution / 1ms) + " ms";
-        doubted_.insert(going.begin(), going.end());
+    if (delay_removals) {
+        ++stats_.delayed_lists;
+        update.need_full_list = true;
+        update.log_text = "a list takes away " + std::to_string(removals.size()) + " of " +
+                          std::to_string(ready_) + " endpoints; it is doubted for " +
+                          std::to_string(options_.removal_delay / 1ms) + " ms";
+        pending_removals_.insert(removals.begin(), removals.end());
         // Never later than the first removal's: no endpoint is used for longer than was promised.
-        doubted_until_ = std::min(doubted_until_.value_or(Time::max()), now + options_.caution);
+        removals_due_ = std::min(removals_due_.value_or(Time::max()), now + options_.removal_delay);
     }
 
     revision_ = list.revision;
-    const std::vector<std::string> were_hinted(hinted_.begin(), hinted_.end());
-    auto news = std::make_shared<EndpointList>();
-    news->reserve(list.targets.size());
-    const bool settles = whole && !doubt;
-    if (whole) {
-        for (const std::string& uid : going) {
-            if (!doubt) remove(uid, now, *news, update);
+    const std::vector<std::string> previously_hinted(hinted_.begin(), hinted_.end());
+    auto changes = std::make_shared<EndpointList>();
+    changes->reserve(list.targets.size());
+    const bool confirmed = full && !delay_removals;
+    if (full) {
+        for (const std::string& uid : removals) {
+            if (!delay_removals) remove(uid, now, *changes, update);
         }
         // A whole list replaces the module's: those that are doubted, or could not be read, are to be in it.
         std::vector<std::string> kept(list.unreadable);
-        if (doubt) kept.insert(kept.end(), going.begin(), going.end());
+        if (delay_removals) kept.insert(kept.end(), removals.begin(), removals.end());
         for (const std::string& uid : kept) {
             if (const auto it = known_.find(uid); it != known_.end())
-                news->push_back(effective(it->first, it->second));
+                changes->push_back(effective(it->first, it->second));
         }
     }
     for (const Target& target : list.targets) {
-        if (target.endpoint.availability == Availability::Gone && doubt) continue;
-        enter(target, now, epoch, *news, update);
+        if (target.endpoint.availability == Availability::Gone && delay_removals) continue;
+        upsert(target, now, epoch, *changes, update);
     }
-    if (settles || doubted_.empty()) {
-        doubted_.clear();
-        doubted_until_.reset();
+    if (confirmed || pending_removals_.empty()) {
+        pending_removals_.clear();
+        removals_due_.reset();
     }
     // Discovery has told what is as new as the others' word: it goes by itself again.
-    for (const std::string& uid : were_hinted) {
+    for (const std::string& uid : previously_hinted) {
         const auto it = known_.find(uid);
         if (it == known_.end() || !hinted_.contains(uid) ||
-            hint_counts(it->second, endpoint_overrides_.at(uid)))
+            is_hint_current(it->second, endpoint_overrides_.at(uid)))
             continue;
-        place(it->first, it->second, *news, update);
+        add_change(it->first, it->second, *changes, update);
     }
-    update.news.kind = cached     ? Discovered::Kind::Cached
-                       : list.all ? Discovered::Kind::Full
-                                  : Discovered::Kind::Delta;
-    update.news.endpoints = std::move(news);
+    update.discovered.kind = cached     ? Discovered::Kind::Cached
+                             : list.all ? Discovered::Kind::Full
+                                        : Discovered::Kind::Delta;
+    update.discovered.endpoints = std::move(changes);
     return update;
 }
 
-Membership::Update Membership::believe(Time now) {
+Membership::Update Membership::apply_due_removals(Time now) {
     Update update;
-    update.news.kind = Discovered::Kind::Failed;
-    if (!doubted_until_ || now < *doubted_until_) return update;
-    doubted_until_.reset();
-    const auto doubted = std::exchange(doubted_, {});
-    std::vector<std::string> going(doubted.begin(), doubted.end());
-    std::sort(going.begin(), going.end());
-    auto news = std::make_shared<EndpointList>();
-    for (const std::string& uid : going) remove(uid, now, *news, update);
-    update.remark = std::to_string(going.size()) + " endpoints that were doubted are gone";
-    update.news.kind = Discovered::Kind::Delta;
-    update.news.endpoints = std::move(news);
+    update.discovered.kind = Discovered::Kind::Failed;
+    if (!removals_due_ || now < *removals_due_) return update;
+    removals_due_.reset();
+    const auto due = std::exchange(pending_removals_, {});
+    std::vector<std::string> removals(due.begin(), due.end());
+    std::sort(removals.begin(), removals.end());
+    auto changes = std::make_shared<EndpointList>();
+    for (const std::string& uid : removals) remove(uid, now, *changes, update);
+    update.log_text = std::to_string(removals.size()) + " endpoints that were doubted are gone";
+    update.discovered.kind = Discovered::Kind::Delta;
+    update.discovered.endpoints = std::move(changes);
     return update;
 }
 
--- a/src/membership/staleness.h
+++ b/src/membership/staleness.h
@@ -20,29 +20,29 @@
 
     /// How an attempt at a listed endpoint ended. True: discovery is worth asking again, not before `told`
     /// has been silent for a while and no oftener than every 2 s to 16 s.
-    bool ended(decision::EndpointId id, decision::Status status, Time now);
+    bool attempt_ended(decision::EndpointId id, decision::Status status, Time now);
     /// Discovery has answered; `changed`: with news.
-    void told(bool changed, Time now);
+    void discovery_answered(bool changed, Time now);
 
     std::size_t suspects() const { return runs_.size(); }
 
   private:
     /// Attempts in a row that an endpoint took nothing of, with what the others did meanwhile.
-    struct Run {
+    struct FailureRun {
         Time since{};
         Time last{};
-        int refused = 0;                                          // connections that did not come up
-        int turned_away = 0;                                      // answered so, without having run
-        std::uint64_t served_before = 0, turned_away_before = 0;  // by all, when the run began
+        int connect_failures = 0;                                    // connections that did not come up
+        int rejections = 0;                                          // answered so, without having run
+        std::uint64_t served_at_start = 0, rejections_at_start = 0;  // by all, when the run began
     };
-    bool convinces(const Run& run, Time now) const;
+    bool indicates_stale_list(const FailureRun& run, Time now) const;
 
-    const Duration first_wait_;
+    const Duration initial_wait_;
     Duration wait_;
-    Time told_at_{}, asked_at_{};
-    bool asked_ = false;
-    std::uint64_t served_ = 0, turned_away_ = 0;  // by all
-    std::unordered_map<decision::EndpointId, Run> runs_;
+    Time last_answer_at_{}, last_request_at_{};
+    bool requested_ = false;
+    std::uint64_t served_ = 0, rejected_ = 0;  // by all
+    std::unordered_map<decision::EndpointId, FailureRun> runs_;
 };
 
 }  // namespace martenford
--- a/tests/assembly/features_test.cpp
+++ b/tests/assembly/features_test.cpp
@@ -11,7 +11,7 @@
     EXPECT_FALSE(none.subset || none.outliers || none.caution_share || none.ledger);
     EXPECT_EQ(none.connections.most, 0u);
     EXPECT_EQ(none.connections.per_endpoint, 0u);
-    EXPECT_EQ(membership_options(none, {}).caution, Duration{});
+    EXPECT_EQ(membership_options(none, {}).removal_delay, Duration{});
 }
 
 TEST(Features, SectionsAreReadWithTheirDefaults) {
@@ -38,8 +38,8 @@
     decision::Settings settings;
     settings.rules.drain_grace = 1s;
     const auto membership = membership_options(all, settings);
-    EXPECT_EQ(membership.caution, 400ms);
-    EXPECT_EQ(membership.caution_share, 0.4);
+    EXPECT_EQ(membership.removal_delay, 400ms);
+    EXPECT_EQ(membership.max_removal_share, 0.4);
 }
 
 TEST(Features, TheJournalKeepsUnsafeClassesInGroupsAndOthersAsNamed) {
--- a/tests/discovery/discovery_test.cpp
+++ b/tests/discovery/discovery_test.cpp
@@ -13,7 +13,7 @@
 
 using namespace martenford::standins;
 
-TEST(Discovery, WatchesFromTheKnownListAndTakesADrainInOnArrival) {
+TEST(Discovery, WatchesFromTheConfiguredListAndAppliesADrain) {
     Listener discovery, first, second;
     Sidecar sidecar(config(discovery.address(), target("s-1", first.address()), "automatic"));
     Peer client = sidecar.client();
@@ -37,7 +37,7 @@
     EXPECT_TRUE(first.untouched());
 }
 
-TEST(Discovery, BadAnswersAndEntriesAreSkippedAndTheOldListKept) {
+TEST(Discovery, InvalidAnswersAndEntriesAreSkippedAndTheOldListKept) {
     Listener discovery, first, second;
     Sidecar sidecar(config(discovery.address(), target("s-1", first.address()), "automatic"));
     for (const std::string& bad : {answer(200, "{"), answer(200, R"({"rev":44,"all":true})"), answer(503),
@@ -60,7 +60,7 @@
     EXPECT_EQ(body_of(client.receive()), "1");
 }
 
-TEST(Discovery, AListThatStopsHalfWayIsAskedForAgainLongBeforeTheWatchEnds) {
+TEST(Discovery, ATruncatedAnswerIsRetriedBeforeTheWatchTimesOut) {
     Listener discovery, first, second;
     Sidecar sidecar(config(discovery.address(), target("s-1", first.address()), "automatic"));
     const std::string whole = answer(200, list(42, true, target("s-2", second.address())));
@@ -81,16 +81,16 @@
 
 /// One endpoint is gone, another serves, the watch says nothing. Then either the fresh call is answered or
 /// the old watch after all: whichever speaks first goes on as the watch, and the other is closed.
-void silent_watch(bool old_speaks) {
-    Listener discovery, gone, sound;
+void silent_watch(bool old_watch_answers) {
+    Listener discovery, gone, healthy;
     Sidecar sidecar(config(discovery.address(),
-                           target("s-1", gone.address()) + "," + target("s-2", sound.address()),
+                           target("s-1", gone.address()) + "," + target("s-2", healthy.address()),
                            "automatic"));
     Peer watch = discovery.accept();
     EXPECT_TRUE(has(watch.receive(), "since=41&"));
     gone.close();
     // Eight at a time, so that the sound one never looks idle beside the one that is gone.
-    std::vector<Peer> clients, at_sound;
+    std::vector<Peer> clients, at_healthy;
     for (int i = 0; i < 8; ++i) clients.push_back(sidecar.client());
     int rounds = 0;
     for (; rounds < 300 && discovery.untouched(); ++rounds) {
@@ -101,49 +101,49 @@
         std::vector<bool> refused(clients.size());
         while (asked.size() + static_cast<std::size_t>(std::count(refused.begin(), refused.end(), true)) <
                clients.size()) {
-            std::vector<pollfd> polls{sound.poll_for()};
-            for (const Peer& peer : at_sound) polls.push_back(peer.poll_for());
+            std::vector<pollfd> polls{healthy.poll_for()};
+            for (const Peer& peer : at_healthy) polls.push_back(peer.poll_for());
             for (const Peer& client : clients) polls.push_back(client.poll_for());
             const std::size_t ready = first_of(polls);
             ASSERT_LT(ready, polls.size());
             if (ready == 0) {
-                at_sound.push_back(sound.accept());
-            } else if (ready > at_sound.size()) {
-                const std::size_t client = ready - 1 - at_sound.size();
+                at_healthy.push_back(healthy.accept());
+            } else if (ready > at_healthy.size()) {
+                const std::size_t client = ready - 1 - at_healthy.size();
                 EXPECT_EQ(status_of(clients[client].receive()), 503);
                 refused[client] = true;
-            } else if (has(at_sound[ready - 1].receive(), "X-Request-ID: r")) {
+            } else if (has(at_healthy[ready - 1].receive(), "X-Request-ID: r")) {
                 asked.push_back(ready - 1);
             } else {
                 FAIL() << "a connection that the sidecar has no use for was closed";
             }
         }
-        for (const std::size_t one : asked) at_sound[one].send(answer(200, "x"));
+        for (const std::size_t one : asked) at_healthy[one].send(answer(200, "x"));
         for (std::size_t i = 0; i < clients.size(); ++i) {
             if (refused[i]) continue;
             EXPECT_EQ(body_of(clients[i].receive()), "x");
         }
     }
     ASSERT_LT(rounds, 300);
-    Peer again = discovery.accept();
-    EXPECT_TRUE(has(again.receive(), "since=41&")) << "what it missed is told at once";
-    Peer &first = old_speaks ? watch : again, &second = old_speaks ? again : watch;
+    Peer new_request = discovery.accept();
+    EXPECT_TRUE(has(new_request.receive(), "since=41&")) << "what it missed is told at once";
+    Peer &first = old_watch_answers ? watch : new_request, &second = old_watch_answers ? new_request : watch;
     first.send(answer(200, list(43, false, target("s-1", gone.address(), "Terminating"))));
     EXPECT_TRUE(has(first.receive(), "since=43&"));
     EXPECT_TRUE(second.ends());
 }
 
-TEST(Discovery, ASilentWatchIsGivenUpWhereAnEndpointIsGoneAndOthersServe) {
+TEST(Discovery, ASilentWatchIsReplacedWhenAnEndpointRefusesAndOthersServe) {
     silent_watch(false);
 }
 
-TEST(Discovery, WhatASilentWatchIsToldBeforeTheFreshCallIsAnsweredIsNotLost) {
+TEST(Discovery, AnAnswerOnTheOldWatchBeforeTheNewRequestIsAnsweredIsNotLost) {
     // Guards against: it was closed as soon as it was doubted, and news that discovery had just written to it
     // counted as told.
     silent_watch(true);
 }
 
-TEST(Discovery, MovesOnSighupAtOnceKeepsItsListAndAsksForTheWholeOne) {
+TEST(Discovery, SighupChangesTheAgentKeepsTheListAndRequestsTheFullOne) {
     Listener discovery, moved, first, second;
     const std::string known = target("s-1", first.address());
     Sidecar sidecar(config(discovery.address(), known, "automatic"));
@@ -172,7 +172,7 @@
     EXPECT_TRUE(has(at_second.receive(), "X-Request-ID: r3"));
 }
 
-TEST(Discovery, ChangesFromANewAgentAreNoUseBeforeItsWholeList) {
+TEST(Discovery, DeltasFromANewAgentAreRejectedBeforeItsFullList) {
     Listener discovery, moved, first;
     const std::string known = target("s-1", first.address());
     Sidecar sidecar(config(discovery.address(), known, "automatic"));
@@ -191,7 +191,7 @@
     EXPECT_TRUE(has(at_first.receive(), "X-Request-ID: r1"));
 }
 
-TEST(Discovery, BadNewConfigurationIsOneLineOfLogAndTheOldOneStays) {
+TEST(Discovery, AnInvalidReloadIsLoggedAndTheOldConfigurationStays) {
     Listener discovery, moved, first;
     const std::string good = config(discovery.address(), target("s-1", first.address()), "automatic");
     Sidecar sidecar(good);
@@ -214,15 +214,15 @@
 }
 
 /// Twelve entries for one address.
-std::string twelve(const Listener& at) {
+std::string twelve_targets(const Listener& at) {
     std::string result;
     for (int i = 0; i < 12; ++i) result += (i ? "," : "") + target("s-" + std::to_string(i), at.address());
     return result;
 }
 
-TEST(Discovery, AListThatTakesMostAwayIsDoubtedTheWholeAskedForAndTheRestServed) {
+TEST(Discovery, RemovingMostEndpointsIsDelayedAndConfirmed) {
     Listener discovery, endpoint;
-    const std::string known = twelve(endpoint);
+    const std::string known = twelve_targets(endpoint);
     Sidecar sidecar(config(discovery.address(), known, "automatic"), "[membership]\n");
     Peer client = sidecar.client();
     Peer watch = discovery.accept();
@@ -247,9 +247,9 @@
     EXPECT_EQ(status_of(client.receive()), 503);
 }
 
-TEST(Discovery, ADoubtThatNobodyAnswersEndsWithinTheDrainGrace) {
+TEST(Discovery, UnconfirmedRemovalsApplyWithinTheDrainGrace) {
     Listener discovery, endpoint;
-    const std::string known = twelve(endpoint);
+    const std::string known = twelve_targets(endpoint);
     Sidecar sidecar(config(discovery.address(), known, "automatic"), "[membership]\n");
     Peer client = sidecar.client();
     Peer watch = discovery.accept();
@@ -261,7 +261,7 @@
     EXPECT_EQ(status_of(client.receive()), 503);
 }
 
-TEST(Discovery, ASubsetIsAllThatIsUsed) {
+TEST(Discovery, OnlyTheSubsetIsUsed) {
     Listener discovery, endpoint;
     std::vector<Listener> all(8);
     std::string known;
--- a/tests/discovery/doubted_watch_test.cpp
+++ b/tests/discovery/doubted_watch_test.cpp
@@ -16,11 +16,11 @@
 using namespace martenford;
 using namespace martenford::standins;
 
-enum class Elder { Silent, News, BreaksOff, Closes };
-enum class When { InTheTurn, BeforeTheAnswer, AfterTheAnswer };
-enum class Fresh { Silent, News, Nothing, BreaksOff, Closes };
+enum class OldWatch { Silent, News, BreaksOff, Closes };
+enum class When { InTheSameTurn, BeforeTheAnswer, AfterTheAnswer };
+enum class NewRequest { Silent, News, Nothing, BreaksOff, Closes };
 
-constexpr std::uint64_t kSoon = 214;  // a seed by which a doubted list is asked for within some 20 ms
+constexpr std::uint64_t kEarlySeed = 214;  // a seed by which a doubted list is asked for within some 20 ms
 
 struct NoBack : Back {
     Handle send(EndpointId, std::shared_ptr<const Message>, Time, Done) override { return {}; }
@@ -36,10 +36,15 @@
 /// A discovery whose list changes once. Calls that come after that are answered at once with what is new.
 class Script {
   public:
-    Script(Elder elder, When when, Fresh fresh)
-        : elder_(elder), when_(when), fresh_(fresh), step_(loop_), trigger_(loop_), end_(loop_) {
+    Script(OldWatch old_watch, When when, NewRequest new_request)
+        : old_watch_(old_watch),
+          when_(when),
+          new_request_(new_request),
+          step_(loop_),
+          trigger_(loop_),
+          end_(loop_) {
         config_.name = "n0";
-        config_.seed = kSoon;
+        config_.seed = kEarlySeed;
         config_.names = {{"a"}, {"m"}};
         config_.settings.rules = usual_rules();
         config_.settings.replicas = 1;
@@ -55,104 +60,105 @@
         discovery_ =
             std::make_unique<Discovery>(loop_, placed_, *engine_, config_, Membership::Options{}, counters_);
         discovery_->start();
-        look();
+        poll();
         end_.set(Loop::monotonic() + 10s, [this] { loop_.stop(); });
         loop_.run();
     }
-    bool learnt = false;
+    bool drain_applied = false;
     std::size_t open = 0;  // connections that the sidecar still holds
 
   private:
     /// Each millisecond: what has come to discovery, and whether all is over.
-    void look() {
+    void poll() {
         while (!listener_.untouched()) calls_.push_back(listener_.accept());
         for (std::size_t i = 0; i < calls_.size(); ++i) {
-            if (!closed_[i] && calls_[i].readable(0)) heard(i, calls_[i].some());
+            if (!closed_[i] && calls_[i].readable(0)) received(i, calls_[i].some());
         }
-        learnt = placed_.ready.contains(drained()) && !placed_.ready.at(drained());
-        if (learnt && scripted_all()) {
-            if (!over_) over_ = Loop::monotonic() + 30ms;  // what is to be closed is, by then
-            if (Loop::monotonic() >= *over_) {
+        drain_applied = placed_.ready.contains(drained()) && !placed_.ready.at(drained());
+        if (drain_applied && script_done()) {
+            if (!stop_at_) stop_at_ = Loop::monotonic() + 30ms;  // what is to be closed is, by then
+            if (Loop::monotonic() >= *stop_at_) {
                 open = 0;
                 for (std::size_t i = 0; i < calls_.size(); ++i) open += closed_[i] ? 0 : 1;
                 return loop_.stop();
             }
         }
-        step_.set(Loop::monotonic() + 1ms, [this] { look(); });
+        step_.set(Loop::monotonic() + 1ms, [this] { poll(); });
     }
-    bool scripted_all() const { return fresh_at_ > 0 && elder_done_; }
+    bool script_done() const { return new_request_at_ > 0 && old_watch_done_; }
     EndpointId drained() const { return EndpointId{uid_hash("s-1")}; }
 
-    void heard(std::size_t i, const std::string& call) {
+    void received(std::size_t i, const std::string& call) {
         if (call.empty()) {
             closed_[i] = true;
-            if (i != 0 && fresh_at_ == 0) fresh_at_ = i;  // given up before it had asked
+            if (i != 0 && new_request_at_ == 0) new_request_at_ = i;  // given up before it had asked
             return;
         }
-        if (i == 0 && fresh_at_ == 0 && !asked_) {
+        if (i == 0 && new_request_at_ == 0 && !asked_) {
             asked_ = true;
-            return doubt();
+            return abandon_watch();
         }
-        const bool first_fresh = i != 0 && fresh_at_ == 0;
-        if (!first_fresh) {  // an ordinary call, once there is something new
-            if (news_ && call.find("since=43") == std::string::npos) say(i, list(43, false, gone()));
+        const bool is_new_request = i != 0 && new_request_at_ == 0;
+        if (!is_new_request) {  // an ordinary call, once there is something new
+            if (has_news_ && call.find("since=43") == std::string::npos)
+                answer_call(i, list(43, false, gone()));
             return;
         }
-        fresh_at_ = i;
-        if (when_ == When::BeforeTheAnswer) elder_speaks();
-        switch (fresh_) {
-            case Fresh::Silent:
+        new_request_at_ = i;
+        if (when_ == When::BeforeTheAnswer) old_watch_speaks();
+        switch (new_request_) {
+            case NewRequest::Silent:
                 break;
-            case Fresh::News:
-                news_ = true;
-                say(i, list(43, false, gone()));
+            case NewRequest::News:
+                has_news_ = true;
+                answer_call(i, list(43, false, gone()));
                 break;
-            case Fresh::Nothing:
-                say(i, list(41, false, ""));
+            case NewRequest::Nothing:
+                answer_call(i, list(41, false, ""));
                 break;
-            case Fresh::BreaksOff:
+            case NewRequest::BreaksOff:
                 break_off(i);
                 break;
-            case Fresh::Closes:
+            case NewRequest::Closes:
                 calls_[i].reset();
                 closed_[i] = true;
                 break;
         }
-        if (when_ == When::AfterTheAnswer) elder_speaks();
-        news_ = true;
+        if (when_ == When::AfterTheAnswer) old_watch_speaks();
+        has_news_ = true;
     }
 
     /// Two refused connections with answers of another between them, as a drained endpoint's look.
-    void doubt() {
-        discovery_->saw(drained(), decision::Status::ConnectFailed);
-        discovery_->saw(EndpointId{uid_hash("s-2")}, decision::Status::Ok);
+    void abandon_watch() {
+        discovery_->attempt_ended(drained(), decision::Status::ConnectFailed);
+        discovery_->attempt_ended(EndpointId{uid_hash("s-2")}, decision::Status::Ok);
         trigger_.set(Loop::monotonic() + 210ms, [this] {
-            discovery_->saw(drained(), decision::Status::ConnectFailed);
+            discovery_->attempt_ended(drained(), decision::Status::ConnectFailed);
             // Due before the fresh call, in the same turn: by then no socket is read any more.
-            if (when_ == When::InTheTurn) trigger_.set(Loop::monotonic(), [this] { elder_speaks(); });
+            if (when_ == When::InTheSameTurn) trigger_.set(Loop::monotonic(), [this] { old_watch_speaks(); });
             std::this_thread::sleep_for(std::chrono::milliseconds(25));
         });
     }
-    void elder_speaks() {
-        elder_done_ = true;
-        switch (elder_) {
-            case Elder::Silent:
+    void old_watch_speaks() {
+        old_watch_done_ = true;
+        switch (old_watch_) {
+            case OldWatch::Silent:
                 break;
-            case Elder::News:
-                news_ = true;
-                say(0, list(43, false, gone()));
+            case OldWatch::News:
+                has_news_ = true;
+                answer_call(0, list(43, false, gone()));
                 break;
-            case Elder::BreaksOff:
-                news_ = true;
+            case OldWatch::BreaksOff:
+                has_news_ = true;
                 break_off(0);
                 break;
-            case Elder::Closes:
+            case OldWatch::Closes:
                 calls_[0].reset();
                 closed_[0] = true;
                 break;
         }
     }
-    void say(std::size_t i, const std::string& body) { calls_[i].send(answer(200, body)); }
+    void answer_call(std::size_t i, const std::string& body) { calls_[i].send(answer(200, body)); }
     void break_off(std::size_t i) {
         const std::string whole = answer(200, list(43, false, gone()));
         calls_[i].send(whole.substr(0, whole.size() / 2));
@@ -163,9 +169,9 @@
     }
     static std::string gone() { return target("s-1", "127.0.0.1:1", "Terminating"); }
 
-    Elder elder_;
+    OldWatch old_watch_;
     When when_;
-    Fresh fresh_;
+    NewRequest new_request_;
     Listener listener_;
     Loop loop_;
     Config config_;
@@ -178,40 +184,40 @@
     Timer step_, trigger_, end_;
     std::vector<Peer> calls_;
     std::map<std::size_t, bool> closed_;
-    std::size_t fresh_at_ = 0;
-    bool asked_ = false, news_ = false, elder_done_ = false;
-    std::optional<Time> over_;
+    std::size_t new_request_at_ = 0;
+    bool asked_ = false, has_news_ = false, old_watch_done_ = false;
+    std::optional<Time> stop_at_;
 };
 
-class DoubtedWatch : public testing::TestWithParam<std::tuple<Elder, When, Fresh>> {};
+class AbandonedWatch : public testing::TestWithParam<std::tuple<OldWatch, When, NewRequest>> {};
 
-TEST_P(DoubtedWatch, LosesNoNewsAndLeavesOneWatch) {
-    const auto [elder, when, fresh] = GetParam();
+TEST_P(AbandonedWatch, LosesNoUpdateAndLeavesOneWatch) {
+    const auto [old_watch, when, new_request] = GetParam();
     // Discovery that answers nobody and says nothing on the elder call has told nothing.
-    if (fresh == Fresh::Silent && elder != Elder::News) GTEST_SKIP();
+    if (new_request == NewRequest::Silent && old_watch != OldWatch::News) GTEST_SKIP();
     // Said on a call that was given up for an answer on the other: discovery has not told it to this
     // sidecar's next call.
-    if (fresh == Fresh::Silent && when == When::AfterTheAnswer) GTEST_SKIP();
-    const Script script(elder, when, fresh);
-    EXPECT_TRUE(script.learnt);
+    if (new_request == NewRequest::Silent && when == When::AfterTheAnswer) GTEST_SKIP();
+    const Script script(old_watch, when, new_request);
+    EXPECT_TRUE(script.drain_applied);
     EXPECT_EQ(script.open, 1u);
 }
 
-std::string name_of(const testing::TestParamInfo<std::tuple<Elder, When, Fresh>>& info) {
-    constexpr const char* kElder[] = {"ElderSilent", "ElderNews", "ElderBreaksOff", "ElderCloses"};
+std::string name_of(const testing::TestParamInfo<std::tuple<OldWatch, When, NewRequest>>& info) {
+    constexpr const char* kOldWatch[] = {"ElderSilent", "ElderNews", "ElderBreaksOff", "ElderCloses"};
     constexpr const char* kWhen[] = {"InTheTurn", "BeforeTheAnswer", "AfterTheAnswer"};
-    constexpr const char* kFresh[] = {"FreshSilent", "FreshNews", "FreshNothing", "FreshBreaksOff",
-                                      "FreshCloses"};
-    const auto& [elder, when, fresh] = info.param;
-    return std::string(kElder[static_cast<int>(elder)]) + kWhen[static_cast<int>(when)] +
-           kFresh[static_cast<int>(fresh)];
+    constexpr const char* kNewRequest[] = {"FreshSilent", "FreshNews", "FreshNothing", "FreshBreaksOff",
+                                           "FreshCloses"};
+    const auto& [old_watch, when, new_request] = info.param;
+    return std::string(kOldWatch[static_cast<int>(old_watch)]) + kWhen[static_cast<int>(when)] +
+           kNewRequest[static_cast<int>(new_request)];
 }
 INSTANTIATE_TEST_SUITE_P(
-    Orders, DoubtedWatch,
-    testing::Combine(testing::Values(Elder::Silent, Elder::News, Elder::BreaksOff, Elder::Closes),
-                     testing::Values(When::InTheTurn, When::BeforeTheAnswer, When::AfterTheAnswer),
-                     testing::Values(Fresh::Silent, Fresh::News, Fresh::Nothing, Fresh::BreaksOff,
-                                     Fresh::Closes)),
+    Orders, AbandonedWatch,
+    testing::Combine(testing::Values(OldWatch::Silent, OldWatch::News, OldWatch::BreaksOff, OldWatch::Closes),
+                     testing::Values(When::InTheSameTurn, When::BeforeTheAnswer, When::AfterTheAnswer),
+                     testing::Values(NewRequest::Silent, NewRequest::News, NewRequest::Nothing,
+                                     NewRequest::BreaksOff, NewRequest::Closes)),
     name_of);
 
 }  // namespace
--- a/tests/fleet/fleet_test.cpp
+++ b/tests/fleet/fleet_test.cpp
@@ -27,22 +27,22 @@
 }
 
 /// When the last of those that are up came to hold it dead; 0 where not all have.
-Duration noticed_by_all(const FleetModel& model, std::size_t subject, Time since) {
-    std::set<std::size_t> who;
+Duration time_until_all_detected(const FleetModel& model, std::size_t subject, Time since) {
+    std::set<std::size_t> observers;
     Time last = since;
     for (const auto& s : model.seen()) {
         if (s.subject != subject || s.state != State::Dead || s.at < since || !model.is_up(s.observer))
             continue;
-        who.insert(s.observer);
+        observers.insert(s.observer);
         last = std::max(last, s.at);
     }
     std::size_t up = 0;
     for (std::size_t i = 0; i < model.size(); ++i) up += model.is_up(i) ? 1 : 0;
-    return who.size() == up ? last - since : Duration{};
+    return observers.size() == up ? last - since : Duration{};
 }
 
-bool told(const FleetModel& model, FleetEvent::Kind kind, std::size_t min_observers,
-          std::size_t min_subjects = 1) {
+bool event_reported(const FleetModel& model, FleetEvent::Kind kind, std::size_t min_observers,
+                    std::size_t min_subjects = 1) {
     std::set<std::size_t> observers;
     for (const auto& [observer, event] : model.changes()) {
         if (event.kind == kind && event.subjects.size() >= min_subjects) observers.insert(observer);
@@ -50,7 +50,7 @@
     return observers.size() >= min_observers;
 }
 
-FleetModel::Options of(std::size_t members, std::uint64_t seed = 1) {
+FleetModel::Options options_for(std::size_t members, std::uint64_t seed = 1) {
     FleetModel::Options options;
     options.members = members;
     options.seed = seed;
@@ -64,26 +64,26 @@
     ASSERT_TRUE(model.run_until([&] { return model.all_agree(); }, 20s));
 }
 
-class Sizes : public ::testing::TestWithParam<std::size_t> {};
+class FleetSize : public ::testing::TestWithParam<std::size_t> {};
 
-TEST_P(Sizes, StartedAtOnceAllKnowAllAndACrashIsNoticedByAll) {
-    FleetModel model(of(GetParam()));
+TEST_P(FleetSize, ConvergesAfterConcurrentStartAndDetectsACrash) {
+    FleetModel model(options_for(GetParam()));
     settle(model);
     model.run_until(model.now() + 5s);
     const Time killed = model.now();
     model.kill(GetParam() - 1);
     ASSERT_TRUE(model.run_until([&] { return model.all_agree(); }, 10s));
-    const Duration all = noticed_by_all(model, GetParam() - 1, killed);
+    const Duration all = time_until_all_detected(model, GetParam() - 1, killed);
     EXPECT_GT(all, Duration{});
     EXPECT_LT(all, 4s);
     EXPECT_EQ(false_deaths(model), 0u);
 }
-INSTANTIATE_TEST_SUITE_P(Fleet, Sizes, ::testing::Values(2, 3, 5, 30, 300));
+INSTANTIATE_TEST_SUITE_P(Fleet, FleetSize, ::testing::Values(2, 3, 5, 30, 300));
 
 // Each seed is joined by others before it has asked the other seed.
 TEST(Fleet, TwoSeedsThatStartAtOnceAreOneFleetSoon) {
     for (std::uint64_t seed = 1; seed <= 40; ++seed) {
-        FleetModel::Options options = of(12, seed);
+        FleetModel::Options options = options_for(12, seed);
         options.seeds = 2;
         FleetModel model(options);
         model.start_all(100ms);
@@ -92,8 +92,8 @@
     }
 }
 
-TEST(Fleet, ASilentMachineIsNoticedToo) {
-    FleetModel model(of(30));
+TEST(Fleet, DetectsAnIsolatedMember) {
+    FleetModel model(options_for(30));
     settle(model);
     const Time cut = model.now();
     model.cut_apart({7});
@@ -109,11 +109,11 @@
     model.run_until(model.now() + 3s);  // until it is told of
     model.cut_apart({7}, false);
     EXPECT_TRUE(model.run_until([&] { return model.all_agree(); }, 20s));
-    EXPECT_TRUE(told(model, FleetEvent::Kind::Returned, 29));
+    EXPECT_TRUE(event_reported(model, FleetEvent::Kind::Returned, 29));
 }
 
-TEST(Fleet, StallsShorterThanTheBoundKillNobody) {
-    FleetModel model(of(30, 5));
+TEST(Fleet, StallsWithinToleranceCauseNoDeaths) {
+    FleetModel model(options_for(30, 5));
     settle(model);
     for (int round = 0; round < 20; ++round) {
         model.stall(static_cast<std::size_t>(round) % 30, 2s);
@@ -123,8 +123,8 @@
     EXPECT_TRUE(model.run_until([&] { return model.all_agree(); }, 10s));
 }
 
-TEST(Fleet, AMemberThatStallsEveryThreeSecondsForOneIsNotCalledDeadAndCallsNobodyDead) {
-    FleetModel model(of(15, 6));
+TEST(Fleet, RepeatedShortStallsCauseNoDeaths) {
+    FleetModel model(options_for(15, 6));
     settle(model);
     for (int round = 0; round < 20; ++round) {
         model.stall(4, 1s);
@@ -133,8 +133,8 @@
     EXPECT_EQ(false_deaths(model), 0u);
 }
 
-TEST(Fleet, HalfStoppedForTenSecondsAndWokenAtOnceBuriesNobodyThatIsAwake) {
-    FleetModel model(of(30, 7));
+TEST(Fleet, HalfTheFleetResumedTogetherDeclaresNoRunningMemberDead) {
+    FleetModel model(options_for(30, 7));
     settle(model);
     std::set<std::size_t> half;
     for (std::size_t i = 0; i < 15; ++i) {
@@ -145,12 +145,12 @@
     ASSERT_TRUE(model.run_until([&] { return model.all_agree(); }, 20s));
     // Those that slept may be called dead; they call nobody so on waking.
     EXPECT_EQ(false_deaths(model, half), 0u);
-    EXPECT_TRUE(told(model, FleetEvent::Kind::OwnStall, 15));
-    EXPECT_TRUE(told(model, FleetEvent::Kind::MassLoss, 10, 12));
+    EXPECT_TRUE(event_reported(model, FleetEvent::Kind::OwnStall, 15));
+    EXPECT_TRUE(event_reported(model, FleetEvent::Kind::MassLoss, 10, 12));
 }
 
-TEST(Fleet, OneThatHearsNobodyBuriesNobody) {
-    FleetModel model(of(20, 8));
+TEST(Fleet, AMemberThatReceivesNothingDoesNotSpreadFalseDeaths) {
+    FleetModel model(options_for(20, 8));
     settle(model);
     for (std::size_t i = 0; i < 20; ++i) {
         if (i != 3) model.cut(i, 3);  // what it says still arrives
@@ -167,8 +167,8 @@
     EXPECT_TRUE(model.run_until([&] { return model.all_agree(); }, 20s));
 }
 
-TEST(Fleet, OneLinkThatIsDownMakesUnreachableAndNotDead) {
-    FleetModel model(of(10, 9));
+TEST(Fleet, ABrokenLinkMakesAMemberUnreachableNotDead) {
+    FleetModel model(options_for(10, 9));
     settle(model);
     model.cut(2, 5);
     model.cut(5, 2);
@@ -185,8 +185,8 @@
     EXPECT_EQ(model.fleet(2).live_count(), 10u);
 }
 
-TEST(Fleet, APartitionIsNamedAsOneOnBothSidesAndHealsWithoutDeadLeft) {
-    FleetModel model(of(30, 10));
+TEST(Fleet, APartitionIsReportedAsMassLossOnBothSidesAndHeals) {
+    FleetModel model(options_for(30, 10));
     settle(model);
     std::set<std::size_t> side;
     for (std::size_t i = 0; i < 12; ++i) side.insert(i);
@@ -194,13 +194,13 @@
     ASSERT_TRUE(model.run_until(
         [&] { return model.fleet(0).live_count() == 12 && model.fleet(29).live_count() == 18; }, 20s));
     model.run_until(model.now() + 6s);
-    EXPECT_TRUE(told(model, FleetEvent::Kind::MassLoss, 25, 11));
+    EXPECT_TRUE(event_reported(model, FleetEvent::Kind::MassLoss, 25, 11));
     model.cut_apart(side, false);
     EXPECT_TRUE(model.run_until([&] { return model.all_agree(); }, 30s));
 }
 
-TEST(Fleet, AHundredOfThreeHundredThatLeaveInOrderAreNotDeaths) {
-    FleetModel model(of(300, 11));
+TEST(Fleet, AHundredOfThreeHundredLeavingGracefullyAreNotDead) {
+    FleetModel model(options_for(300, 11));
     settle(model);
     for (std::size_t i = 200; i < 300; ++i) model.leave(i);
     ASSERT_TRUE(
@@ -212,19 +212,19 @@
     }
 }
 
-TEST(Fleet, ARestartIsAnotherMemberAndNoPair) {
-    FleetModel model(of(10, 12));
+TEST(Fleet, ARestartIsANewMemberWithoutNameConflict) {
+    FleetModel model(options_for(10, 12));
     settle(model);
     const Id before = model.fleet(4).self().id;
     model.kill(4);
     model.start(4);
     ASSERT_TRUE(model.run_until([&] { return model.all_agree(); }, 20s));
     EXPECT_NE(model.fleet(4).self().id, before);
-    EXPECT_FALSE(told(model, FleetEvent::Kind::NameConflict, 1));
+    EXPECT_FALSE(event_reported(model, FleetEvent::Kind::NameConflict, 1));
 }
 
-TEST(Fleet, AllSeedsDeadAtTheStartAreWaitedFor) {
-    FleetModel model(of(8, 13));
+TEST(Fleet, JoinsOnceTheSeedsStart) {
+    FleetModel model(options_for(8, 13));
     for (std::size_t i = 3; i < 8; ++i) model.start(i);
     model.run_until(model.now() + 20s);
     EXPECT_EQ(model.fleet(5).live_count(), 1u);
@@ -232,8 +232,8 @@
     EXPECT_TRUE(model.run_until([&] { return model.all_agree(); }, 20s));
 }
 
-TEST(Fleet, ASeedThatKnewALongDeadFleetBringsNobodyBack) {
-    FleetModel model(of(6, 14));
+TEST(Fleet, StaleEntriesFromASeedAreDiscarded) {
+    FleetModel model(options_for(6, 14));
     settle(model);
     Message stale;
     stale.kind = Message::Kind::MemberList;
@@ -249,8 +249,8 @@
     EXPECT_EQ(false_deaths(model), 0u);
 }
 
-TEST(Fleet, AnIncarnationNearItsEndMakesANewMemberOfIt) {
-    FleetModel model(of(6, 15));
+TEST(Fleet, AnExhaustedIncarnationStartsANewMemberId) {
+    FleetModel model(options_for(6, 15));
     settle(model);
     const Id before = model.fleet(1).self().id;
     Message lie;
@@ -268,38 +268,38 @@
 }
 
 /// Faults of every kind from one seed; then quiet, and all of one mind within a bound.
-class Schedules : public ::testing::TestWithParam<std::uint64_t> {};
+class FaultSchedules : public ::testing::TestWithParam<std::uint64_t> {};
 
-TEST_P(Schedules, EndInOneMind) {
-    FleetModel model(of(12, GetParam()));
+TEST_P(FaultSchedules, Converge) {
+    FleetModel model(options_for(12, GetParam()));
     settle(model);
     model.set_drop(0.02);
     std::mt19937_64 random(GetParam());
     const auto any = [&] { return static_cast<std::size_t>(random() % 12); };
     for (int step = 0; step < 40; ++step) {
-        const std::size_t who = any();
+        const std::size_t target = any();
         switch (random() % 8) {
             case 0:
-                model.kill(who);
+                model.kill(target);
                 break;
             case 1:
             case 2:
-                if (!model.is_up(who)) model.start(who);
+                if (!model.is_up(target)) model.start(target);
                 break;
             case 3:
-                model.stall(who, Duration{static_cast<Duration::rep>(random() % 4'000) * 1'000'000});
+                model.stall(target, Duration{static_cast<Duration::rep>(random() % 4'000) * 1'000'000});
                 break;
             case 4:
-                model.cut(who, any());
+                model.cut(target, any());
                 break;
             case 5:
-                model.cut_apart({who, any(), any()}, random() % 2 == 0);
+                model.cut_apart({target, any(), any()}, random() % 2 == 0);
                 break;
             case 6:
                 model.set_drop(static_cast<double>(random() % 30) / 100.0);
                 break;
             case 7:
-                model.leave(who);
+                model.leave(target);
                 break;
         }
         model.run_until(model.now() + Duration{static_cast<Duration::rep>(random() % 2'000) * 1'000'000});
@@ -314,7 +314,7 @@
     }
     EXPECT_TRUE(model.run_until([&] { return model.all_agree(); }, 40s)) << "seed " << GetParam();
 }
-INSTANTIATE_TEST_SUITE_P(Fleet, Schedules, ::testing::Range<std::uint64_t>(1, 41));
+INSTANTIATE_TEST_SUITE_P(Fleet, FaultSchedules, ::testing::Range<std::uint64_t>(1, 41));
 
 }  // namespace
 }  // namespace martenford::emulator
--- a/tests/fleet/golden_test.cpp
+++ b/tests/fleet/golden_test.cpp
@@ -40,7 +40,7 @@
     EXPECT_EQ(read.newest, 13u);
 }
 
-TEST(GoldenFleetMessages, OfEveryKindWithItsNumberAndClaimsOfEveryState) {
+TEST(GoldenFleetMessages, EveryKindWithUpdatesOfEveryState) {
     const char* names[] = {"ping", "ask", "ack", "nack", "news", "compare", "entries", "bye"};
     ASSERT_EQ(std::size(names), kMessageKindCount);
     for (std::uint32_t kind = 0; kind < kMessageKindCount; ++kind) {
@@ -92,12 +92,12 @@
     }
 }
 
-TEST(GoldenFleetMessages, WhatIsCarriedForAnotherPackage) {
+TEST(GoldenFleetMessages, PayloadOfAnotherPackage) {
     EXPECT_EQ(read_back("carried.bin", Payload{std::string("state\0\xff", 7)}).bytes,
               std::string("state\0\xff", 7));
 }
 
-TEST(GoldenFleetMessages, TheNumbersOfKindsStatesAndEvidence) {
+TEST(GoldenFleetMessages, EnumValues) {
     EXPECT_EQ(static_cast<int>(Message::Kind::Ping), 0);
     EXPECT_EQ(static_cast<int>(Message::Kind::PingRequest), 1);
     EXPECT_EQ(static_cast<int>(Message::Kind::Ack), 2);
--- a/tests/fleet/wire_test.cpp
+++ b/tests/fleet/wire_test.cpp
@@ -20,7 +20,7 @@
     return *rc::gen::container<std::string>(size, rc::gen::inRange('a', 'z'));
 }
 
-LocalMember one_self() {
+LocalMember local_member() {
     LocalMember self;
     self.id.name = "self";
     self.id.boot = 1;
@@ -61,7 +61,7 @@
     return parse_frame_body(*message);
 }
 
-RC_GTEST_PROP(FleetWire, AMessageComesBackAsItWas, ()) {
+RC_GTEST_PROP(FleetWire, MessagesRoundTrip, ()) {
     const Message sent = any_message();
     const FrameBody body = read_back(frame_of(sent));
     const auto& got = std::get<Message>(body);
@@ -77,7 +77,7 @@
 }
 
 /// The checksum does not stand in the way here: what is inside is damaged.
-RC_GTEST_PROP(FleetWire, ADamagedMessageIsRefusedOrWithinItsBoundsAndHarmsNoMember, ()) {
+RC_GTEST_PROP(FleetWire, DamagedMessagesAreRejectedOrWithinLimits, ()) {
     std::string frame = frame_of(any_message());
     std::string bytes = frame.substr(framing::kFrameHead);
     const auto times = *rc::gen::inRange(1, 6);
@@ -94,7 +94,7 @@
                 bytes.insert(at, 1, *rc::gen::arbitrary<char>());
         }
     }
-    Fleet fleet(ProtocolOptions{}, {"10.0.0.9:1"}, one_self(), 5);
+    Fleet fleet(ProtocolOptions{}, {"10.0.0.9:1"}, local_member(), 5);
     fleet.start(Time{1s});
     try {
         const FrameBody body = parse_frame_body(bytes);
@@ -115,7 +115,7 @@
     }
 }
 
-TEST(FleetWire, BoundsOnNamesAndClaimsHold) {
+TEST(FleetWire, LimitsOnNamesAndUpdatesHold) {
     Message message;
     MemberUpdate update;
     update.id = {std::string(kMaxNameBytes + 1, 'n'), 1};
@@ -145,7 +145,7 @@
     State state;
     std::uint64_t incarnation;
 };
-bool takes_over(const Held& held, const MemberUpdate& update) {
+bool supersedes(const Held& held, const MemberUpdate& update) {
     const bool here = held.state == State::Alive || held.state == State::Suspect;
     switch (update.state) {
         case State::Alive:
@@ -162,8 +162,8 @@
     return false;
 }
 
-RC_GTEST_PROP(FleetClaims, StandAsThePlainTableSays, ()) {
-    Fleet fleet(ProtocolOptions{}, {}, one_self(), 5);
+RC_GTEST_PROP(FleetUpdates, FollowThePrecedenceTable, ()) {
+    Fleet fleet(ProtocolOptions{}, {}, local_member(), 5);
     const Time now{1s};
     fleet.start(now);
     std::map<Id, Held> model;
@@ -175,14 +175,14 @@
         update.incarnation = *rc::gen::inRange<std::uint64_t>(0, 4);
         update.state = static_cast<State>(*rc::gen::inRange<std::uint32_t>(0, kStateCount));
         update.reported_by = "w" + std::to_string(*rc::gen::inRange(0, 3));
-        Message news;
-        news.updates = {update};
-        fleet.receive(now, {"teller", 9}, "10.0.0.3:1", news);
+        Message gossip;
+        gossip.updates = {update};
+        fleet.receive(now, {"teller", 9}, "10.0.0.3:1", gossip);
         const auto it = model.find(update.id);
         const State becomes = update.state == State::Dead ? State::Suspect : update.state;
         if (it == model.end()) {
             model[update.id] = {update.state, update.incarnation};
-        } else if (takes_over(it->second, update)) {
+        } else if (supersedes(it->second, update)) {
             it->second = {becomes, update.incarnation};
         }
     }
@@ -205,7 +205,7 @@
     RC_ASSERT(fleet.live_count() == live);
 }
 
-RC_GTEST_PROP(FleetQueue, KeepsItsBoundAndGivesWholeFramesTheUrgentFirst, ()) {
+RC_GTEST_PROP(FleetQueue, StaysBoundedAndYieldsWholeFramesByPriority, ()) {
     peers::SendQueue queue(4000);
     const auto steps = *rc::gen::inRange(1, 80);
     for (int i = 0; i < steps; ++i) {
@@ -232,7 +232,7 @@
     RC_ASSERT(reader.empty() && taken <= 4000u);
 }
 
-TEST(FleetSuspicion, ShrinksAsIndependentAccusersConfirmAndNeverBelowItsLeast) {
+TEST(FleetSuspicion, TimeoutShrinksWithConfirmationsDownToItsMinimum) {
     const Time since{100s};
     Suspicion suspicion(since, 3s, 9s, 3);
     EXPECT_TRUE(suspicion.confirm("a"));
@@ -253,7 +253,7 @@
     EXPECT_EQ(Suspicion(since, 3s, 9s, 0).deadline(), since + 3s);
 }
 
-TEST(FleetRumours, ANewerOneTakesTheOldersPlaceAndEachIsToldSoOften) {
+TEST(FleetGossipQueue, ANewerUpdateReplacesTheOlderAndEachIsSentUpToTheLimit) {
     GossipQueue queue;
     MemberUpdate update;
     update.id = {"a", 1};
@@ -262,9 +262,9 @@
     queue.add(update);
     EXPECT_EQ(queue.size(), 1u);
     for (int i = 0; i < 3; ++i) {
-        const auto told = queue.take(10, 3);
-        ASSERT_EQ(told.size(), 1u);
-        EXPECT_EQ(told[0].incarnation, 2u);
+        const auto sent = queue.take(10, 3);
+        ASSERT_EQ(sent.size(), 1u);
+        EXPECT_EQ(sent[0].incarnation, 2u);
     }
     EXPECT_TRUE(queue.empty());
     for (std::uint64_t i = 0; i < GossipQueue::kMaxSize + 50; ++i) {
--- a/tests/membership/membership_test.cpp
+++ b/tests/membership/membership_test.cpp
@@ -43,59 +43,59 @@
 
 constexpr Time kStart{1h};
 
-class Cautious : public ::testing::Test {
+class MembershipWithRemovalDelay : public ::testing::Test {
   protected:
-    Cautious() : membership({0.5, 10, 400ms}) {
-        membership.take(list(1, true, fleet(0, 100)), false, kStart, Time{});
+    MembershipWithRemovalDelay() : membership({0.5, 10, 400ms}) {
+        membership.apply_list(list(1, true, fleet(0, 100)), false, kStart, Time{});
     }
     Membership membership;
 };
 
-TEST(Membership, TwoUidsWithOneHashAreTwoEndpointsAndKeepTheirIds) {
+TEST(Membership, UidsWithTheSameHashKeepDistinctIds) {
     const std::string first = "costarring", second = "liquid";
     ASSERT_EQ(uid_hash(first), uid_hash(second));
     Membership membership({});
     const auto update =
-        membership.take(list(1, true, {target(first), target(second)}), false, kStart, Time{});
-    ASSERT_EQ(update.news.endpoints->size(), 2u);
+        membership.apply_list(list(1, true, {target(first), target(second)}), false, kStart, Time{});
+    ASSERT_EQ(update.discovered.endpoints->size(), 2u);
     const auto a = membership.id_of(first), b = membership.id_of(second);
     ASSERT_TRUE(a && b);
     EXPECT_NE(*a, *b);
     EXPECT_EQ(static_cast<std::uint32_t>(*a), uid_hash(first));
-    EXPECT_EQ(membership.figures().twins, 1u);
+    EXPECT_EQ(membership.stats().hash_collisions, 1u);
     // The first goes and comes back: neither takes the other's id.
-    auto next =
-        membership.take(list(2, false, {target(first, Availability::Gone)}), false, kStart + 1s, Time{});
+    auto next = membership.apply_list(list(2, false, {target(first, Availability::Gone)}), false, kStart + 1s,
+                                      Time{});
     ASSERT_EQ(next.removed, std::vector{*a});
     EXPECT_EQ(membership.id_of(second), b);
-    next = membership.take(list(3, false, {target(first)}), false, kStart + 2s, Time{});
+    next = membership.apply_list(list(3, false, {target(first)}), false, kStart + 2s, Time{});
     ASSERT_EQ(next.placed.size(), 1u);
     EXPECT_EQ(next.placed[0].id, *a);
     EXPECT_EQ(next.placed[0].address, target(first).address);
 }
 
-TEST(Membership, AnIdRestsBeforeAnotherUidGetsIt) {
+TEST(Membership, AnIdIsReservedBeforeAnotherUidGetsIt) {
     const std::string first = "costarring", second = "liquid";
     Membership membership({});
-    membership.take(list(1, true, {target(first)}), false, kStart, Time{});
+    membership.apply_list(list(1, true, {target(first)}), false, kStart, Time{});
     const auto id = membership.id_of(first);
-    membership.take(list(2, false, {target(first, Availability::Gone)}), false, kStart, Time{});
+    membership.apply_list(list(2, false, {target(first, Availability::Gone)}), false, kStart, Time{});
     // An attempt at the first may still bear the id.
-    membership.take(list(3, false, {target(second)}), false, kStart + 59s, Time{});
+    membership.apply_list(list(3, false, {target(second)}), false, kStart + 59s, Time{});
     EXPECT_NE(membership.id_of(second), id);
-    membership.take(list(4, false, {target(second, Availability::Gone)}), false, kStart + 59s, Time{});
-    membership.take(list(5, false, {target("other")}), false, kStart + 200s, Time{});
-    membership.take(list(6, false, {target(second)}), false, kStart + 200s, Time{});
+    membership.apply_list(list(4, false, {target(second, Availability::Gone)}), false, kStart + 59s, Time{});
+    membership.apply_list(list(5, false, {target("other")}), false, kStart + 200s, Time{});
+    membership.apply_list(list(6, false, {target(second)}), false, kStart + 200s, Time{});
     EXPECT_EQ(membership.id_of(second), id);
 }
 
-TEST(Membership, AStartIsConvertedOnce) {
+TEST(Membership, AStartTimeIsConvertedOnce) {
     Membership membership({});
     const auto started = [&](std::uint64_t revision, std::int64_t boot, Time epoch) {
         return membership
-            .take(list(revision, revision == 1, {target("a", Availability::Ready, boot)}), false, kStart,
-                  epoch)
-            .news.endpoints->at(0)
+            .apply_list(list(revision, revision == 1, {target("a", Availability::Ready, boot)}), false,
+                        kStart, epoch)
+            .discovered.endpoints->at(0)
             .started;
     };
     const auto first = started(1, 5'000, Time{});
@@ -105,119 +105,120 @@
     EXPECT_EQ(started(3, 6'000, Time{3ms}), Time{6s} + 3ms);
 }
 
-TEST(Membership, ChangesWithoutAListAndOlderOnesAreNotTakenIn) {
+TEST(Membership, DeltasWithoutAListAndOlderOnesAreRejected) {
     Membership membership({});
-    auto update = membership.take(list(5, false, fleet(0, 3)), false, kStart, Time{});
-    EXPECT_EQ(update.news.kind, Discovered::Kind::Failed);
-    EXPECT_TRUE(update.ask_whole);
+    auto update = membership.apply_list(list(5, false, fleet(0, 3)), false, kStart, Time{});
+    EXPECT_EQ(update.discovered.kind, Discovered::Kind::Failed);
+    EXPECT_TRUE(update.need_full_list);
     EXPECT_EQ(membership.size(), 0u);
-    membership.take(list(5, true, fleet(0, 3)), false, kStart, Time{});
+    membership.apply_list(list(5, true, fleet(0, 3)), false, kStart, Time{});
     // Overtaken on the way, or from a discovery that began to count anew.
-    update = membership.take(list(4, false, gone(0, 3)), false, kStart, Time{});
-    EXPECT_EQ(update.news.kind, Discovered::Kind::Failed);
-    EXPECT_TRUE(update.ask_whole);
+    update = membership.apply_list(list(4, false, gone(0, 3)), false, kStart, Time{});
+    EXPECT_EQ(update.discovered.kind, Discovered::Kind::Failed);
+    EXPECT_TRUE(update.need_full_list);
     EXPECT_FALSE(membership.revision());
     EXPECT_EQ(membership.size(), 3u);
-    EXPECT_EQ(membership.figures().regressions, 1u);
+    EXPECT_EQ(membership.stats().stale_lists, 1u);
     // The same once more changes nothing.
-    membership.take(list(5, true, fleet(0, 3)), false, kStart, Time{});
-    update = membership.take(list(5, false, fleet(0, 2)), false, kStart, Time{});
+    membership.apply_list(list(5, true, fleet(0, 3)), false, kStart, Time{});
+    update = membership.apply_list(list(5, false, fleet(0, 2)), false, kStart, Time{});
     EXPECT_TRUE(update.removed.empty());
     EXPECT_EQ(membership.size(), 3u);
 }
 
-TEST(Membership, WhatCannotBeReadStaysAsItWas) {
+TEST(Membership, UnreadableEntriesKeepTheirEndpoints) {
     Membership membership({});
-    membership.take(list(1, true, fleet(0, 3)), false, kStart, Time{});
-    auto whole = list(2, true, fleet(0, 2));
-    whole.unreadable = {"s-2"};
-    const auto update = membership.take(whole, false, kStart, Time{});
-    EXPECT_EQ(update.news.endpoints->size(), 3u);
+    membership.apply_list(list(1, true, fleet(0, 3)), false, kStart, Time{});
+    auto full_list = list(2, true, fleet(0, 2));
+    full_list.unreadable = {"s-2"};
+    const auto update = membership.apply_list(full_list, false, kStart, Time{});
+    EXPECT_EQ(update.discovered.endpoints->size(), 3u);
     EXPECT_TRUE(update.removed.empty());
     EXPECT_EQ(membership.ready(), 3u);
 }
 
-TEST_F(Cautious, AListThatTakesOverHalfAwayIsDoubtedAndTheWholeAskedFor) {
-    const auto update = membership.take(list(2, false, gone(0, 60)), false, kStart + 1s, Time{});
-    EXPECT_TRUE(update.ask_whole);
-    EXPECT_NE(update.remark.find("60 of 100"), std::string::npos) << update.remark;
+TEST_F(MembershipWithRemovalDelay, RemovingOverHalfIsDelayedAndTheFullListRequested) {
+    const auto update = membership.apply_list(list(2, false, gone(0, 60)), false, kStart + 1s, Time{});
+    EXPECT_TRUE(update.need_full_list);
+    EXPECT_NE(update.log_text.find("60 of 100"), std::string::npos) << update.log_text;
     EXPECT_TRUE(update.removed.empty());
-    EXPECT_TRUE(update.news.endpoints->empty());
+    EXPECT_TRUE(update.discovered.endpoints->empty());
     EXPECT_EQ(membership.ready(), 100u);
-    EXPECT_EQ(membership.doubted(), 60u);
+    EXPECT_EQ(membership.pending_removals(), 60u);
     EXPECT_EQ(membership.next_due(), kStart + 1400ms);
     // Nobody contradicts: it is believed, within the time.
-    EXPECT_EQ(membership.believe(kStart + 1399ms).news.kind, Discovered::Kind::Failed);
-    const auto later = membership.believe(kStart + 1400ms);
-    EXPECT_EQ(later.news.kind, Discovered::Kind::Delta);
+    EXPECT_EQ(membership.apply_due_removals(kStart + 1399ms).discovered.kind, Discovered::Kind::Failed);
+    const auto later = membership.apply_due_removals(kStart + 1400ms);
+    EXPECT_EQ(later.discovered.kind, Discovered::Kind::Delta);
     EXPECT_EQ(later.removed.size(), 60u);
     EXPECT_EQ(membership.ready(), 40u);
     EXPECT_FALSE(membership.next_due());
 }
 
-TEST_F(Cautious, AnEmptyListIsDoubtedUntilASecondSaysTheSame) {
-    auto update = membership.take(list(2, true, {}), false, kStart, Time{});
-    EXPECT_TRUE(update.ask_whole);
-    EXPECT_EQ(update.news.kind, Discovered::Kind::Full);
+TEST_F(MembershipWithRemovalDelay, AnEmptyListIsDelayedUntilASecondConfirmsIt) {
+    auto update = membership.apply_list(list(2, true, {}), false, kStart, Time{});
+    EXPECT_TRUE(update.need_full_list);
+    EXPECT_EQ(update.discovered.kind, Discovered::Kind::Full);
     // A whole list replaces the module's: those that are doubted are in it.
-    EXPECT_EQ(update.news.endpoints->size(), 100u);
-    update = membership.take(list(2, true, {}), false, kStart + 20ms, Time{});
-    EXPECT_FALSE(update.ask_whole);
+    EXPECT_EQ(update.discovered.endpoints->size(), 100u);
+    update = membership.apply_list(list(2, true, {}), false, kStart + 20ms, Time{});
+    EXPECT_FALSE(update.need_full_list);
     EXPECT_EQ(update.removed.size(), 100u);
-    EXPECT_FALSE(membership.knows_any());
+    EXPECT_FALSE(membership.has_ready());
     EXPECT_FALSE(membership.next_due());
 }
 
-TEST_F(Cautious, AListThatWasCutShortCostsNobodyItsPlace) {
-    membership.take(list(2, true, fleet(0, 10)), false, kStart, Time{});
-    const auto update = membership.take(list(2, true, fleet(0, 100)), false, kStart + 20ms, Time{});
+TEST_F(MembershipWithRemovalDelay, ATruncatedListRemovesNobody) {
+    membership.apply_list(list(2, true, fleet(0, 10)), false, kStart, Time{});
+    const auto update = membership.apply_list(list(2, true, fleet(0, 100)), false, kStart + 20ms, Time{});
     EXPECT_TRUE(update.removed.empty());
-    EXPECT_EQ(update.news.endpoints->size(), 100u);
-    EXPECT_EQ(membership.figures().spared, 90u);
+    EXPECT_EQ(update.discovered.endpoints->size(), 100u);
+    EXPECT_EQ(membership.stats().relisted, 90u);
     EXPECT_FALSE(membership.next_due());
 }
 
-TEST_F(Cautious, RemovalsThatAddUpWhileInDoubtDontPutItOff) {
-    membership.take(list(2, false, gone(0, 60)), false, kStart, Time{});
-    membership.take(list(3, false, gone(60, 90)), false, kStart + 300ms, Time{});
+TEST_F(MembershipWithRemovalDelay, FurtherRemovalsDoNotExtendTheDelay) {
+    membership.apply_list(list(2, false, gone(0, 60)), false, kStart, Time{});
+    membership.apply_list(list(3, false, gone(60, 90)), false, kStart + 300ms, Time{});
     EXPECT_EQ(membership.next_due(), kStart + 400ms);
-    EXPECT_EQ(membership.doubted(), 90u);
-    EXPECT_EQ(membership.believe(kStart + 400ms).removed.size(), 90u);
+    EXPECT_EQ(membership.pending_removals(), 90u);
+    EXPECT_EQ(membership.apply_due_removals(kStart + 400ms).removed.size(), 90u);
     EXPECT_EQ(membership.ready(), 10u);
 }
 
-TEST_F(Cautious, DrainsAreNeverDoubted) {
+TEST_F(MembershipWithRemovalDelay, DrainsAreNeverDelayed) {
     std::vector<Target> draining;
     for (int i = 0; i < 100; ++i)
         draining.push_back(target("s-" + std::to_string(i), Availability::Draining));
-    const auto update = membership.take(list(2, false, draining), false, kStart, Time{});
-    EXPECT_FALSE(update.ask_whole);
+    const auto update = membership.apply_list(list(2, false, draining), false, kStart, Time{});
+    EXPECT_FALSE(update.need_full_list);
     EXPECT_EQ(membership.ready(), 0u);
     for (const auto& placed : update.placed) EXPECT_FALSE(placed.ready);
     // And who drains may go without any doubt.
-    EXPECT_EQ(membership.take(list(3, false, gone(0, 100)), false, kStart, Time{}).removed.size(), 100u);
+    EXPECT_EQ(membership.apply_list(list(3, false, gone(0, 100)), false, kStart, Time{}).removed.size(),
+              100u);
 }
 
-TEST_F(Cautious, HalfAndNoMoreIsBelievedAtOnce) {
-    EXPECT_EQ(membership.take(list(2, false, gone(0, 50)), false, kStart, Time{}).removed.size(), 50u);
-    EXPECT_EQ(membership.figures().cautions, 0u);
+TEST_F(MembershipWithRemovalDelay, RemovingExactlyHalfIsAppliedAtOnce) {
+    EXPECT_EQ(membership.apply_list(list(2, false, gone(0, 50)), false, kStart, Time{}).removed.size(), 50u);
+    EXPECT_EQ(membership.stats().delayed_lists, 0u);
 }
 
 /// Random lists against a plain map. Whatever comes, what the module has been told is what the map says, but
 /// for removals in doubt, and no removal is put off for longer than the caution.
-TEST(Membership, UnderRandomListsTellsWhatAPlainModelHolds) {
+TEST(Membership, MatchesAModelUnderRandomLists) {
     std::mt19937_64 random(11);
-    const Duration caution = 400ms;
-    Membership membership({0.5, 10, caution});
+    const Duration removal_delay = 400ms;
+    Membership membership({0.5, 10, removal_delay});
     std::map<std::string, Availability> told;  // what discovery last said
     std::map<EndpointId, Availability> module;
     std::map<std::string, Time> removed_at;
     Time now = kStart;
     std::uint64_t revision = 1;
-    const auto hand_over = [&](const Membership::Update& update) {
-        if (update.news.kind == Discovered::Kind::Failed) return;
-        if (update.news.kind != Discovered::Kind::Delta) module.clear();
-        for (const auto& e : *update.news.endpoints) {
+    const auto apply = [&](const Membership::Update& update) {
+        if (update.discovered.kind == Discovered::Kind::Failed) return;
+        if (update.discovered.kind != Discovered::Kind::Delta) module.clear();
+        for (const auto& e : *update.discovered.endpoints) {
             if (e.availability == Availability::Gone) {
                 module.erase(e.id);
             } else {
@@ -225,10 +226,11 @@
             }
         }
     };
-    std::uint64_t whole_lists = 0;
+    std::uint64_t full_lists = 0;
     for (int step = 0; step < 4'000; ++step) {
         now += std::chrono::milliseconds(random() % 200);
-        if (const auto due = membership.next_due(); due && *due <= now) hand_over(membership.believe(now));
+        if (const auto due = membership.next_due(); due && *due <= now)
+            apply(membership.apply_due_removals(now));
         std::vector<Target> targets;
         const bool all = !membership.revision() || random() % 8 == 0;
         const bool mass = random() % 30 == 0;  // most go at once
@@ -250,10 +252,10 @@
             if (!all) targets.push_back(target(uid, state));
         }
         if (all) {
-            ++whole_lists;
+            ++full_lists;
             for (const auto& [uid, state] : told) targets.push_back(target(uid, state));
         }
-        hand_over(membership.take(list(++revision, all, targets), false, now, Time{}));
+        apply(membership.apply_list(list(++revision, all, targets), false, now, Time{}));
         for (const auto& [uid, state] : told) {
             const auto id = membership.id_of(uid);
             ASSERT_TRUE(id) << uid << " at step " << step;
@@ -264,13 +266,13 @@
             const auto id = membership.id_of(uid);
             if (!id || !module.contains(*id)) continue;
             ++late;
-            ASSERT_LE(now, at + caution) << uid << " at step " << step;
+            ASSERT_LE(now, at + removal_delay) << uid << " at step " << step;
         }
         ASSERT_EQ(module.size(), told.size() + late);
         ASSERT_EQ(membership.size(), module.size());
     }
-    EXPECT_GT(whole_lists, 100u);
-    EXPECT_GT(membership.figures().cautions, 20u);
+    EXPECT_GT(full_lists, 100u);
+    EXPECT_GT(membership.stats().delayed_lists, 20u);
 }
 
 }  // namespace
--- a/tests/membership/staleness_test.cpp
+++ b/tests/membership/staleness_test.cpp
@@ -24,24 +24,24 @@
 /// Plays one letter each 100 ms: c, t: the first endpoint refuses the connection, turns the request away; e,
 /// o: it fails, serves; m: never sent; O, T: the other serves, turns away; '.': nothing; n, w:
 /// discovery says something new, nothing new. Gives back how often it was to be asked.
-int asked(const std::string& story, std::uint32_t replicas = 2) {
+int count_requests(const std::string& steps, std::uint32_t replicas = 2) {
     Staleness staleness(replicas);
     Time now{1h};
     int result = 0;
-    for (const char what : story) {
+    for (const char step : steps) {
         now += 100ms;
-        if (what == 'n' || what == 'w') staleness.told(what == 'n', now);
+        if (step == 'n' || step == 'w') staleness.discovery_answered(step == 'n', now);
         for (const auto& [letter, id, status] : kLetters) {
-            if (letter == what) result += staleness.ended(id, status, now);
+            if (letter == step) result += staleness.attempt_ended(id, status, now);
         }
     }
     return result;
 }
 
-TEST(Staleness, IsSeenInEndpointsThatTakeNothingWhileOthersServe) {
+TEST(Staleness, IsDetectedWhenEndpointsRefuseWhileOthersServe) {
     const struct {
-        const char* story;
-        int asked;
+        const char* steps;
+        int requests;
         const char* why;
     } table[] = {
         {"cOcOc", 1, "it refuses connections, another serves"},
@@ -58,29 +58,30 @@
         {"ncOtOnOcO", 0, "news ends a run"},
         {"cOcOcOcOcOcOcOcOcOcO", 1, "not again within 2 s"},
     };
-    for (const auto& row : table) EXPECT_EQ(asked(row.story), row.asked) << row.story << ": " << row.why;
+    for (const auto& row : table)
+        EXPECT_EQ(count_requests(row.steps), row.requests) << row.steps << ": " << row.why;
 }
 
-TEST(Staleness, AsksLessAndLessOftenUntilThereIsNews) {
+TEST(Staleness, BacksOffUntilTheListChanges) {
     std::string minute;
     for (int i = 0; i < 300; ++i) minute += "cO";
-    EXPECT_EQ(asked(minute), 6) << "after 0, 2, 6, 14, 30, 46 s";
-    EXPECT_EQ(asked(minute, 1000), 1) << "a thousand replicas leave discovery 100 s";
-    EXPECT_EQ(asked(minute + "n" + minute), 12);
+    EXPECT_EQ(count_requests(minute), 6) << "after 0, 2, 6, 14, 30, 46 s";
+    EXPECT_EQ(count_requests(minute, 1000), 1) << "a thousand replicas leave discovery 100 s";
+    EXPECT_EQ(count_requests(minute + "n" + minute), 12);
 }
 
-TEST(Staleness, StaysBoundedAndAsksAtItsPaceWhateverHappens) {
+TEST(Staleness, StaysBoundedAndRateLimitedUnderRandomInput) {
     std::mt19937 random(7);
     Staleness staleness(2);
     Time now{1h}, last{};
     for (int i = 0; i < 200'000; ++i) {
         now += 1ms * (random() % 20);
         if (random() % 500 == 0) {
-            staleness.told(random() % 2 == 0, now);
+            staleness.discovery_answered(random() % 2 == 0, now);
             last = {};
         }
         const auto status = static_cast<Status>(random() % 8);
-        if (staleness.ended(EndpointId{static_cast<std::uint32_t>(random() % 5000)}, status, now)) {
+        if (staleness.attempt_ended(EndpointId{static_cast<std::uint32_t>(random() % 5000)}, status, now)) {
             EXPECT_GE(now - last, 2s);
             last = now;
         }
--- a/tests/peers/fleet_process_test.cpp
+++ b/tests/peers/fleet_process_test.cpp
@@ -18,12 +18,12 @@
 namespace {
 
 /// Longer and larger plays are asked for by tests/long/fleet_schedules.sh.
-std::size_t from_environment(const char* name, std::size_t otherwise) {
+std::size_t number_from_environment(const char* name, std::size_t otherwise) {
     const char* value = std::getenv(name);
     return value ? std::strtoul(value, nullptr, 10) : otherwise;
 }
 
-constexpr Duration kPatience = 30s;  // for what must come; nothing is asserted on how soon
+constexpr Duration kTimeout = 30s;  // for what must come; nothing is asserted on how soon
 
 class Folder {
   public:
@@ -62,10 +62,10 @@
         ASSERT_TRUE(agrees());
     }
     bool agrees() {
-        return rig.await([&] { return rig.all_agree(); }, kPatience);
+        return rig.await([&] { return rig.all_agree(); }, kTimeout);
     }
     /// Whether the log of each of these says it.
-    bool all_told(const std::set<std::size_t>& who, const std::string& text) {
+    bool all_logged(const std::set<std::size_t>& who, const std::string& text) {
         return rig.await(
             [&] {
                 return std::all_of(who.begin(), who.end(), [&](std::size_t i) {
@@ -74,9 +74,9 @@
                                        [&](const std::string& line) { return line.find(text) != line.npos; });
                 });
             },
-            kPatience);
+            kTimeout);
     }
-    bool nobody_told(const std::string& text) {
+    bool none_logged(const std::string& text) {
         for (const std::size_t i : rig.all()) {
             for (const std::string& line : rig.log(i)) {
                 if (line.find(text) != line.npos) return false;
@@ -96,47 +96,47 @@
     return all;
 }
 
-TEST(FleetProcesses, ACrashIsNoticedByAllAndCalledSoByName) {
+TEST(FleetProcesses, ACrashIsDetectedByAllAndLoggedByName) {
     FleetOf fleet(7);
     fleet.settle();
     fleet.rig.kill(4);
     ASSERT_TRUE(fleet.agrees());
-    EXPECT_TRUE(fleet.all_told(fleet.rig.others({4}), "fleet: died n4"));
+    EXPECT_TRUE(fleet.all_logged(fleet.rig.others({4}), "fleet: died n4"));
     fleet.rig.run_for(500ms);
     EXPECT_EQ(joined(missed_deaths(fleet.rig.history(), 10s)), "");
     EXPECT_EQ(joined(false_deaths(fleet.rig.history(), 0s, 0s)), "");
 }
 
-TEST(FleetProcesses, AllSeedsDeadAtTheStartAreWaitedFor) {
+TEST(FleetProcesses, JoinsOnceTheSeedsStart) {
     FleetOf fleet(5);
     for (std::size_t i = 2; i < 5; ++i) fleet.rig.start(i);
-    ASSERT_TRUE(fleet.rig.await([&] { return fleet.rig.holds(4, "alive") == 1; }, kPatience));
+    ASSERT_TRUE(fleet.rig.await([&] { return fleet.rig.holds(4, "alive") == 1; }, kTimeout));
     fleet.rig.start(0);
     fleet.rig.start(1);
     EXPECT_TRUE(fleet.agrees());
 }
 
-TEST(FleetProcesses, AStallShorterThanTheBoundKillsNobody) {
+TEST(FleetProcesses, AStallWithinToleranceCausesNoDeath) {
     FleetOf fleet(6);
     fleet.settle();
     for (const std::size_t who : {5u, 0u}) {
         fleet.rig.stop(who);
         fleet.rig.run_for(1500ms);
         fleet.rig.wake(who);
-        ASSERT_TRUE(fleet.all_told({who}, "fleet: stood"));
+        ASSERT_TRUE(fleet.all_logged({who}, "fleet: stood"));
     }
     ASSERT_TRUE(fleet.agrees());
     for (const auto& entry : fleet.rig.history()) EXPECT_NE(entry.what, "dead");
 }
 
-TEST(FleetProcesses, OneThatWakesAfterItsDeathReturnsAndBuriesNobody) {
+TEST(FleetProcesses, AMemberResumedAfterItsDeathReturnsAndDeclaresNobodyDead) {
     FleetOf fleet(6);
     fleet.settle();
     fleet.rig.stop(3);
-    ASSERT_TRUE(fleet.all_told({0, 5}, "fleet: died n3"));
+    ASSERT_TRUE(fleet.all_logged({0, 5}, "fleet: died n3"));
     fleet.rig.wake(3);
     ASSERT_TRUE(fleet.agrees());
-    EXPECT_TRUE(fleet.all_told({0, 5}, "fleet: returned n3"));
+    EXPECT_TRUE(fleet.all_logged({0, 5}, "fleet: returned n3"));
     for (const auto& entry : fleet.rig.history()) {
         if (!entry.done && entry.observer == 3) {
             EXPECT_NE(entry.what, "dead");
@@ -144,11 +144,11 @@
     }
 }
 
-TEST(FleetProcesses, HalfOfThemWokenAtOnceBuryNobodyThatWasAwake) {
+TEST(FleetProcesses, HalfTheFleetResumedTogetherDeclaresNoRunningMemberDead) {
     FleetOf fleet(8);
     fleet.settle();
     for (std::size_t i = 0; i < 4; ++i) fleet.rig.stop(i);
-    ASSERT_TRUE(fleet.all_told({6, 7}, "fleet: lost-at-once 4 of 8"));
+    ASSERT_TRUE(fleet.all_logged({6, 7}, "fleet: lost-at-once 4 of 8"));
     for (std::size_t i = 0; i < 4; ++i) fleet.rig.wake(i);
     ASSERT_TRUE(fleet.agrees());
     for (const auto& entry : fleet.rig.history()) {
@@ -158,7 +158,7 @@
     }
 }
 
-TEST(FleetProcesses, ANetworkThatStoodStillDoesNotLeaveAFleetOfFewLinksInAStorm) {
+TEST(FleetProcesses, ANetworkPauseCausesNoReconnectStormWithFewLinks) {
     FleetOf fleet(24, 1, "links = 5\n");
     fleet.settle();
     // All links at once, for longer than any patience: each is refused, evicted or dialled anew by all.
@@ -171,18 +171,18 @@
     EXPECT_EQ(joined(false_deaths(fleet.rig.history(), 2s, 0s)), "");
 }
 
-TEST(FleetProcesses, OneLinkThatIsDownIsUnreachableAndNotDead) {
+TEST(FleetProcesses, ABrokenLinkMakesAMemberUnreachableNotDead) {
     FleetOf fleet(6);
     fleet.settle();
     fleet.rig.net().faults(1, 4).cut = fleet.rig.net().faults(4, 1).cut = true;
-    ASSERT_TRUE(fleet.rig.await([&] { return fleet.rig.holds_of(1, 4) == "unreachable"; }, kPatience));
+    ASSERT_TRUE(fleet.rig.await([&] { return fleet.rig.holds_of(1, 4) == "unreachable"; }, kTimeout));
     fleet.rig.run_for(5s);
     for (const auto& entry : fleet.rig.history()) EXPECT_NE(entry.what, "dead");
     fleet.rig.net().heal();
     EXPECT_TRUE(fleet.agrees());
 }
 
-TEST(FleetProcesses, OneThatHearsNobodyBuriesNobodyElse) {
+TEST(FleetProcesses, AMemberThatReceivesNothingDoesNotSpreadFalseDeaths) {
     FleetOf fleet(7);
     fleet.settle();
     fleet.rig.net().each_pair(fleet.rig.others({2}), {2}, [](LinkFaults& f) { f.cut = true; });
@@ -193,7 +193,7 @@
     EXPECT_TRUE(fleet.agrees());
 }
 
-TEST(FleetProcesses, APartitionIsNamedAsOneOnBothSidesAndHeals) {
+TEST(FleetProcesses, APartitionIsReportedAsMassLossOnBothSidesAndHeals) {
     FleetOf fleet(8);
     fleet.settle();
     const std::set<std::size_t> side{0, 5, 7};
@@ -202,13 +202,13 @@
         fleet.rig.net().each_pair(side, fleet.rig.others(side), set);
         fleet.rig.net().each_pair(fleet.rig.others(side), side, set);
         if (!cut) break;
-        EXPECT_TRUE(fleet.all_told(fleet.rig.others(side), "fleet: lost-at-once 3 of 8"));
-        EXPECT_TRUE(fleet.all_told(side, "fleet: lost-at-once 5 of 8"));
+        EXPECT_TRUE(fleet.all_logged(fleet.rig.others(side), "fleet: lost-at-once 3 of 8"));
+        EXPECT_TRUE(fleet.all_logged(side, "fleet: lost-at-once 5 of 8"));
     }
     EXPECT_TRUE(fleet.agrees());
 }
 
-TEST(FleetProcesses, LossDoublesAndDisorderOnAllLinksCallNobodyDead) {
+TEST(FleetProcesses, LossDuplicationAndReorderingCauseNoDeaths) {
     FleetOf fleet(8, 3);
     fleet.settle();
     fleet.rig.net().each_pair(fleet.rig.all(), fleet.rig.all(), [](LinkFaults& f) {
@@ -224,7 +224,7 @@
     EXPECT_GT(fleet.rig.net().frames(), 200u);
 }
 
-TEST(FleetProcesses, CorruptedFramesEndTheirLinksAndNothingElse) {
+TEST(FleetProcesses, CorruptedFramesCloseOnlyTheirLinks) {
     FleetOf fleet(6, 4);
     fleet.settle();
     fleet.rig.net().each_pair({1}, fleet.rig.others({1}), [](LinkFaults& f) { f.corrupt = 0.3; });
@@ -234,21 +234,21 @@
     EXPECT_TRUE(fleet.agrees());
 }
 
-TEST(FleetProcesses, ALinkThatLosesLargeFramesAloneStandsForSmallOnes) {
+TEST(FleetProcesses, ALinkThatDropsLargeFramesStillCarriesSmallOnes) {
     FleetOf fleet(8);
     for (std::size_t i = 0; i < 7; ++i) fleet.rig.start(i);
     ASSERT_TRUE(fleet.agrees());
     fleet.rig.net().each_pair(fleet.rig.all(), {7}, [](LinkFaults& f) { f.most_frame = 200; });
     fleet.rig.start(7);
     // It can't be given the list; what it is told piece by piece still makes it one of them.
-    ASSERT_TRUE(fleet.rig.await([&] { return fleet.rig.holds_of(3, 7) == "alive"; }, kPatience));
+    ASSERT_TRUE(fleet.rig.await([&] { return fleet.rig.holds_of(3, 7) == "alive"; }, kTimeout));
     fleet.rig.run_for(4s);
     EXPECT_EQ(joined(false_deaths(fleet.rig.history(), 0s, 0s)), "");
     fleet.rig.net().heal();
     EXPECT_TRUE(fleet.agrees());
 }
 
-TEST(FleetProcesses, AFlappingLinkAndSlowOnesCallNobodyDead) {
+TEST(FleetProcesses, FlappingAndSlowLinksCauseNoDeaths) {
     FleetOf fleet(6);
     fleet.settle();
     fleet.rig.net().each_pair({5}, fleet.rig.all(), [](LinkFaults& f) {
@@ -266,17 +266,17 @@
     EXPECT_EQ(joined(false_deaths(fleet.rig.history(), 0s, 0s)), "");
 }
 
-TEST(FleetProcesses, OneThatEndsInOrderHasLeftAndNotDied) {
+TEST(FleetProcesses, AGracefulExitIsReportedAsLeftNotDead) {
     FleetOf fleet(5);
     fleet.settle();
     fleet.rig.end(2);
     ASSERT_TRUE(fleet.rig.await(
-        [&] { return fleet.rig.holds(0, "left") == 1 && fleet.rig.holds(4, "left") == 1; }, kPatience));
+        [&] { return fleet.rig.holds(0, "left") == 1 && fleet.rig.holds(4, "left") == 1; }, kTimeout));
     ASSERT_TRUE(fleet.agrees());
-    EXPECT_TRUE(fleet.nobody_told("died n2"));
+    EXPECT_TRUE(fleet.none_logged("died n2"));
 }
 
-TEST(FleetProcesses, ARestartIsAnotherMemberAndNoPair) {
+TEST(FleetProcesses, ARestartIsANewMemberWithoutNameConflict) {
     FleetOf fleet(5);
     fleet.settle();
     for (int i = 0; i < 2; ++i) {
@@ -284,15 +284,15 @@
         fleet.rig.start(1);
         ASSERT_TRUE(fleet.agrees());
     }
-    EXPECT_TRUE(fleet.nobody_told("doubled"));
+    EXPECT_TRUE(fleet.none_logged("doubled"));
 }
 
-TEST(FleetProcesses, ACopiedConfigurationIsNamedByAll) {
+TEST(FleetProcesses, ACopiedConfigurationIsReportedAsANameConflict) {
     FleetOf fleet(6);
     for (std::size_t i = 0; i < 5; ++i) fleet.rig.start(i);
     ASSERT_TRUE(fleet.agrees());
     fleet.rig.start(5, "n2");
-    EXPECT_TRUE(fleet.all_told({0, 1, 2, 3, 4, 5}, "fleet: doubled n2,n2"));
+    EXPECT_TRUE(fleet.all_logged({0, 1, 2, 3, 4, 5}, "fleet: doubled n2,n2"));
     // The pair is a pair for as long as both are there.
     fleet.rig.kill(5);
     EXPECT_TRUE(fleet.rig.await(
@@ -300,23 +300,23 @@
             const auto& beliefs = fleet.rig.beliefs(0);
             return std::none_of(beliefs.begin(), beliefs.end(), [](const auto& b) { return b.doubled; });
         },
-        kPatience));
+        kTimeout));
 }
 
-TEST(FleetProcesses, TheTwoHalvesOfAnUpgradeAreNoPair) {
+TEST(FleetProcesses, AHandoverIsNoNameConflict) {
     FleetOf fleet(5, 1, "", 512, true);
     for (std::size_t i = 0; i < 4; ++i) fleet.rig.start(i);
     ASSERT_TRUE(fleet.agrees());
     fleet.rig.start(4, "n2");
-    ASSERT_TRUE(fleet.all_told({4}, "takes over from an earlier process"));
+    ASSERT_TRUE(fleet.all_logged({4}, "takes over from an earlier process"));
     ASSERT_TRUE(fleet.agrees());  // five processes, two of them of one name
     fleet.rig.run_for(3s);
-    EXPECT_TRUE(fleet.nobody_told("doubled"));
+    EXPECT_TRUE(fleet.none_logged("doubled"));
     fleet.rig.end(2);
     EXPECT_TRUE(fleet.agrees());
 }
 
-TEST(FleetProcesses, FloodsForeignersAndNoiseEndTheirOwnLinksOnly) {
+TEST(FleetProcesses, FloodsForeignFleetsAndGarbageCloseOnlyTheirOwnLinks) {
     FleetOf fleet(4);
     fleet.settle();
     const auto target = parse_address(fleet.rig.net().advertised(0));
@@ -366,7 +366,7 @@
     EXPECT_EQ(joined(false_deaths(fleet.rig.history(), 0s, 0s)), "");
 }
 
-TEST(FleetProcesses, ClientsThatTakeEveryPlaceTakeNoneOfTheLinks) {
+TEST(FleetProcesses, ClientConnectionsDoNotExhaustFleetLinks) {
     FleetOf fleet(6, 1, "links = 8\n", 96);
     fleet.settle();
     // Many more than it has descriptors; it serves whom it can, and its links have their own.
@@ -386,8 +386,8 @@
 /// Faults of every kind from one seed on real processes; then quiet, and all of one mind.
 class FleetSchedules : public testing::TestWithParam<std::uint64_t> {};
 
-TEST_P(FleetSchedules, EndInOneMind) {
-    const std::size_t kMembers = from_environment("MARTENFORD_MEMBERS", 8);
+TEST_P(FleetSchedules, Converge) {
+    const std::size_t kMembers = number_from_environment("MARTENFORD_MEMBERS", 8);
     // The rig has two descriptors for each link, and its own limit.
     FleetOf fleet(kMembers, GetParam(), kMembers > 100 ? "links = 16\n" : "");
     fleet.settle();
@@ -432,7 +432,8 @@
     EXPECT_TRUE(fleet.agrees()) << "seed " << GetParam();
 }
 INSTANTIATE_TEST_SUITE_P(Seeds, FleetSchedules,
-                         testing::Range<std::uint64_t>(1, 1 + from_environment("MARTENFORD_SCHEDULES", 3)));
+                         testing::Range<std::uint64_t>(1, 1 + number_from_environment("MARTENFORD_SCHEDULES",
+                                                                                      3)));
 
 }  // namespace
 }  // namespace martenford::emulator
--- a/tools/emulator/fleet.cpp
+++ b/tools/emulator/fleet.cpp
@@ -34,9 +34,9 @@
     options.members = words.members;
     options.seed = words.seed;
     options.count_bytes = words.bytes;
-    options.pace.own_health = words.own_health;
-    options.pace.stall = *bound;
-    options.pace.gone = std::min(options.pace.gone, *bound);
+    options.pace.local_health = words.own_health;
+    options.pace.stall_tolerance = *bound;
+    options.pace.not_listening_tolerance = std::min(options.pace.not_listening_tolerance, *bound);
     const std::size_t heap_before = mallinfo2().uordblks;
     FleetModel model(options);
     const Time begun = model.now();
