--- a/src/fleet/fleet.cpp
+++ b/src/fleet/fleet.cpp
@@ -665,9 +665,9 @@
             // least that a refutation takes before it takes a death from another.
             if (old_state == State::Suspect && i == j && now >= member.suspicion->earliest_deadline())
                 return set_state(now, member, update);
-            MemberUpdate doubt = update;
-            doubt.state = State::Suspect;
-            return apply_update(now, doubt);
+            MemberUpdate as_suspect = update;
+            as_suspect.state = State::Suspect;
+            return apply_update(now, as_suspect);
         }
         case State::Left:
             if (old_state != State::Left && i >= j) set_state(now, member, update);
--- a/src/peers/peers.cpp
+++ b/src/peers/peers.cpp
@@ -356,8 +356,9 @@
     // An heir that found the port taken is advertised by the port that it has.
     const bool moved = listen_.port() != 0 && at.port() != listen_.port();
     std::string address = text_of(at);
-    if (const auto told = parse_address(options_.advertise))
-        address = text_of({told->address(), told->port() == 0 || moved ? at.port() : told->port()});
+    if (const auto advertised = parse_address(options_.advertise))
+        address = text_of(
+            {advertised->address(), advertised->port() == 0 || moved ? at.port() : advertised->port()});
     martenford::tell(Event::FleetListens,
                      fmt::format("fleet '{}': listens at {} as {}", options_.name, text_of(at), address));
     fleet_.emplace(options_.protocol, options_.seeds,
--- a/tests/discovery/doubted_watch_test.cpp
+++ b/tests/discovery/doubted_watch_test.cpp
@@ -16,9 +16,9 @@
 using namespace martenford;
 using namespace martenford::standins;
 
-enum class OldWatch { Silent, News, BreaksOff, Closes };
+enum class OldWatch { Silent, Change, BreaksOff, Closes };
 enum class When { InTheSameTurn, BeforeTheAnswer, AfterTheAnswer };
-enum class NewRequest { Silent, News, Nothing, BreaksOff, Closes };
+enum class NewRequest { Silent, Change, Nothing, BreaksOff, Closes };
 
 constexpr std::uint64_t kEarlySeed = 214;  // a seed by which a doubted list is asked for within some 20 ms
 
@@ -100,7 +100,7 @@
         }
         const bool is_new_request = i != 0 && new_request_at_ == 0;
         if (!is_new_request) {  // an ordinary call, once there is something new
-            if (has_news_ && call.find("since=43") == std::string::npos)
+            if (has_change_ && call.find("since=43") == std::string::npos)
                 answer_call(i, list(43, false, gone()));
             return;
         }
@@ -109,8 +109,8 @@
         switch (new_request_) {
             case NewRequest::Silent:
                 break;
-            case NewRequest::News:
-                has_news_ = true;
+            case NewRequest::Change:
+                has_change_ = true;
                 answer_call(i, list(43, false, gone()));
                 break;
             case NewRequest::Nothing:
@@ -125,7 +125,7 @@
                 break;
         }
         if (when_ == When::AfterTheAnswer) old_watch_speaks();
-        has_news_ = true;
+        has_change_ = true;
     }
 
     /// Two refused connections with answers of another between them, as a drained endpoint's look.
@@ -144,12 +144,12 @@
         switch (old_watch_) {
             case OldWatch::Silent:
                 break;
-            case OldWatch::News:
-                has_news_ = true;
+            case OldWatch::Change:
+                has_change_ = true;
                 answer_call(0, list(43, false, gone()));
                 break;
             case OldWatch::BreaksOff:
-                has_news_ = true;
+                has_change_ = true;
                 break_off(0);
                 break;
             case OldWatch::Closes:
@@ -185,7 +185,7 @@
     std::vector<Peer> calls_;
     std::map<std::size_t, bool> closed_;
     std::size_t new_request_at_ = 0;
-    bool asked_ = false, has_news_ = false, old_watch_done_ = false;
+    bool asked_ = false, has_change_ = false, old_watch_done_ = false;
     std::optional<Time> stop_at_;
 };
 
@@ -194,7 +194,7 @@
 TEST_P(AbandonedWatch, LosesNoUpdateAndLeavesOneWatch) {
     const auto [old_watch, when, new_request] = GetParam();
     // Discovery that answers nobody and says nothing on the elder call has told nothing.
-    if (new_request == NewRequest::Silent && old_watch != OldWatch::News) GTEST_SKIP();
+    if (new_request == NewRequest::Silent && old_watch != OldWatch::Change) GTEST_SKIP();
     // Said on a call that was given up for an answer on the other: discovery has not told it to this
     // sidecar's next call.
     if (new_request == NewRequest::Silent && when == When::AfterTheAnswer) GTEST_SKIP();
@@ -204,19 +204,21 @@
 }
 
 std::string name_of(const testing::TestParamInfo<std::tuple<OldWatch, When, NewRequest>>& info) {
-    constexpr const char* kOldWatch[] = {"ElderSilent", "ElderNews", "ElderBreaksOff", "ElderCloses"};
-    constexpr const char* kWhen[] = {"InTheTurn", "BeforeTheAnswer", "AfterTheAnswer"};
-    constexpr const char* kNewRequest[] = {"FreshSilent", "FreshNews", "FreshNothing", "FreshBreaksOff",
-                                           "FreshCloses"};
+    constexpr const char* kOldWatch[] = {"OldWatchSilent", "OldWatchChange", "OldWatchBreaksOff",
+                                         "OldWatchCloses"};
+    constexpr const char* kWhen[] = {"InTheSameTurn", "BeforeTheAnswer", "AfterTheAnswer"};
+    constexpr const char* kNewRequest[] = {"NewRequestSilent", "NewRequestChange", "NewRequestNothing",
+                                           "NewRequestBreaksOff", "NewRequestCloses"};
     const auto& [old_watch, when, new_request] = info.param;
     return std::string(kOldWatch[static_cast<int>(old_watch)]) + kWhen[static_cast<int>(when)] +
            kNewRequest[static_cast<int>(new_request)];
 }
 INSTANTIATE_TEST_SUITE_P(
     Orders, AbandonedWatch,
-    testing::Combine(testing::Values(OldWatch::Silent, OldWatch::News, OldWatch::BreaksOff, OldWatch::Closes),
+    testing::Combine(testing::Values(OldWatch::Silent, OldWatch::Change, OldWatch::BreaksOff,
+                                     OldWatch::Closes),
                      testing::Values(When::InTheSameTurn, When::BeforeTheAnswer, When::AfterTheAnswer),
-                     testing::Values(NewRequest::Silent, NewRequest::News, NewRequest::Nothing,
+                     testing::Values(NewRequest::Silent, NewRequest::Change, NewRequest::Nothing,
                                      NewRequest::BreaksOff, NewRequest::Closes)),
     name_of);
 
--- a/tests/fleet/fleet_test.cpp
+++ b/tests/fleet/fleet_test.cpp
@@ -253,16 +253,16 @@
     FleetModel model(options_for(6, 15));
     settle(model);
     const Id before = model.fleet(1).self().id;
-    Message lie;
-    lie.kind = Message::Kind::Gossip;
+    Message forged;
+    forged.kind = Message::Kind::Gossip;
     fleet::MemberUpdate update;
     update.id = before;
     update.address = FleetModel::address_of(1);
     update.incarnation = fleet::kMaxIncarnation;
     update.state = State::Suspect;
     update.reported_by = "n0";
-    lie.updates.push_back(update);
-    model.inject(1, model.fleet(0).self().id, FleetModel::address_of(0), lie);
+    forged.updates.push_back(update);
+    model.inject(1, model.fleet(0).self().id, FleetModel::address_of(0), forged);
     EXPECT_NE(model.fleet(1).self().id, before);
     EXPECT_TRUE(model.run_until([&] { return model.all_agree(); }, 30s));
 }
--- a/tests/membership/membership_test.cpp
+++ b/tests/membership/membership_test.cpp
@@ -210,7 +210,7 @@
     std::mt19937_64 random(11);
     const Duration removal_delay = 400ms;
     Membership membership({0.5, 10, removal_delay});
-    std::map<std::string, Availability> told;  // what discovery last said
+    std::map<std::string, Availability> listed;  // what discovery last said
     std::map<EndpointId, Availability> module;
     std::map<std::string, Time> removed_at;
     Time now = kStart;
@@ -244,19 +244,19 @@
                                : what == 2 ? Availability::Draining
                                            : Availability::Gone;
             if (state == Availability::Gone) {
-                if (told.erase(uid) > 0) removed_at.insert_or_assign(uid, now);
+                if (listed.erase(uid) > 0) removed_at.insert_or_assign(uid, now);
             } else {
-                told[uid] = state;
+                listed[uid] = state;
                 removed_at.erase(uid);
             }
             if (!all) targets.push_back(target(uid, state));
         }
         if (all) {
             ++full_lists;
-            for (const auto& [uid, state] : told) targets.push_back(target(uid, state));
+            for (const auto& [uid, state] : listed) targets.push_back(target(uid, state));
         }
         apply(membership.apply_list(list(++revision, all, targets), false, now, Time{}));
-        for (const auto& [uid, state] : told) {
+        for (const auto& [uid, state] : listed) {
             const auto id = membership.id_of(uid);
             ASSERT_TRUE(id) << uid << " at step " << step;
             ASSERT_EQ(module.at(*id), state) << uid << " at step " << step;
@@ -268,7 +268,7 @@
             ++late;
             ASSERT_LE(now, at + removal_delay) << uid << " at step " << step;
         }
-        ASSERT_EQ(module.size(), told.size() + late);
+        ASSERT_EQ(module.size(), listed.size() + late);
         ASSERT_EQ(membership.size(), module.size());
     }
     EXPECT_GT(full_lists, 100u);
