--- a/src/fleet/fleet.cpp
+++ b/src/fleet/fleet.cpp
@@ -10,46 +10,49 @@
 
 namespace {
 
-constexpr int kMaxHealthScore = 8;  // as Lifeguard's S: patience is nine times the usual at most
-constexpr std::size_t kSuspicionConfirmations =
-    3;                                // as Lifeguard's K: so many others shorten a suspicion to its least
-constexpr int kStallHealthSteps = 2;  // what standing still once adds to health
-constexpr Duration kStallThreshold = 250ms;     // a tick later than this: the process stood still
-constexpr Duration kStallReportTime = 30s;      // for so long it tells others that it stood
-constexpr Duration kMaxStallRecovery = 10s;     // alone for so long after a stall, it trusts itself again
-constexpr std::size_t kRecoveryWitnesses = 2;   // whom it has to hear from until then
-constexpr std::size_t kUpdatesPerMessage = 32;  // with a probe, an answer or a round of gossip: some 2 KiB
-constexpr std::size_t kTransmitMultiplier = 4;  // by the logarithm to base ten: SWIM's lambda
-constexpr std::size_t kMaxRelayedProbes = 256;  // probes for others under way; more are not answered
-constexpr std::size_t kMaxProbes = 64;          // own, under way: one a period and those out of turn
-constexpr std::size_t kMaxListsPerSecond = 20;  // whole lists given: 300 that start at once come in turn
-constexpr Duration kJoinRetryStep = 300ms;      // between asks of a member that knows nobody yet
+constexpr int kMaxHealthScore = 8;  // Lifeguard's S: timeouts are at most nine times the usual
+// Lifeguard's K: this many confirmations shorten a suspicion to its minimum.
+constexpr std::size_t kSuspicionConfirmations = 3;
+constexpr int kStallHealthSteps = 2;            // added to the health score by one stall
+constexpr Duration kStallThreshold = 250ms;     // a tick that is later than this counts as a stall
+constexpr Duration kStallReportTime = 30s;      // how long acks report the stall
+constexpr Duration kMaxStallRecovery = 10s;     // without witnesses, recovery from a stall ends after this
+constexpr std::size_t kRecoveryWitnesses = 2;   // members to hear from before recovery ends
+constexpr std::size_t kUpdatesPerMessage = 32;  // with a ping, an ack or a round of gossip: some 2 KiB
+constexpr std::size_t kTransmitMultiplier = 4;  // SWIM's lambda, applied to the base-10 logarithm
+constexpr std::size_t kMaxRelayedProbes = 256;  // in flight on behalf of others; further ones are ignored
+constexpr std::size_t kMaxProbes = 64;          // own probes in flight: one per interval and unscheduled ones
+constexpr std::size_t kMaxListsPerSecond =
+    20;                                     // member lists sent; spreads them when 300 members start at once
+constexpr Duration kJoinRetryStep = 300ms;  // between join attempts; grows with each round of seeds
 constexpr Duration kMaxJoinRetryPause = 3s;
-// Before the first call of a seed that is not here; the pause doubles up to Pace::reconnect_every. Seeds that
-// start at once are each joined by others before one has asked the other: the fleet begins in parts.
+// Pause before a seed that is not a live member is first dialled; it doubles up to reconnect_interval. It
+// starts low because seeds that start together are each joined by other members before they find each other,
+// so that the fleet begins in several parts.
 constexpr Duration kInitialReconnectPause = 200ms;
-constexpr Duration kDeathSettleTime = 1s;  // deaths that follow each other in this time are told of together
+constexpr Duration kDeathSettleTime = 1s;  // deaths closer together than this are reported as one event
 constexpr Duration kMaxDeathReportDelay = 10s;
-constexpr Duration kDeathRecheckInterval =
-    200ms;                               // until those that are suspected too are dead or have refuted
-constexpr std::size_t kMinMassLoss = 3;  // as many, and a tenth of all, went at once
+// Interval of checks whether members that are still suspected have died or refuted.
+constexpr Duration kDeathRecheckInterval = 200ms;
+constexpr std::size_t kMinMassLoss = 3;  // a mass loss is at least this many members and a tenth of the fleet
 constexpr std::size_t kMassLossDivisor = 10;
-constexpr std::uint32_t kMinIndirectStreak = 2;       // one lost message is no broken link
-constexpr std::size_t kMaxRecentlyHeard = 32;         // as many as have links
-constexpr std::size_t kExtraProbes = 3;               // others that are asked when one has died,
-constexpr std::size_t kMaxDeathsWithExtraProbes = 8;  // for the first so many that die together
-constexpr Duration kMinReprobeInterval = 100ms;  // a link that ended is no reason to probe again within this
-constexpr int kRefutationPeriods = 2;            // probe periods that a refutation has to reach all
-constexpr Duration kFinalCheckLead = 300ms;      // before a suspect is held dead, others are asked about it
-constexpr int kMaxSuspicionFactor = 3;           // the longest a suspect has, in its shortest
-constexpr std::size_t kLeaveNotices = 8;         // told directly
+constexpr std::uint32_t kMinIndirectStreak = 2;       // a single lost message is not a broken link
+constexpr std::size_t kMaxRecentlyHeard = 32;         // as many members as can have links by default
+constexpr std::size_t kExtraProbes = 3;               // members that are probed out of turn after a death,
+constexpr std::size_t kMaxDeathsWithExtraProbes = 8;  // up to this many deaths that are reported together
+constexpr Duration kMinReprobeInterval = 100ms;       // a lost link causes no second probe within this time
+constexpr int kRefutationPeriods = 2;        // probe intervals within which a refutation reaches all members
+constexpr Duration kFinalCheckLead = 300ms;  // before its deadline, other members are asked about a suspect
+constexpr int kMaxSuspicionFactor = 3;       // maximum suspicion timeout as a multiple of the minimum
+constexpr std::size_t kLeaveNotices = 8;     // members that are notified directly
 
 Duration percent_of(Duration d, int percent) {
     return d * percent / 100;
 }
 
-/// Who is not said to be alive is known to those that hear of it, or is no use to them: most claims are of
-/// these, and half as long without its address.
+/// Removes the address, zone and version from an update that reports no live member. Its receivers know them
+/// already or have no use for them. Most updates are of this kind, and they are half as long without the
+/// details.
 MemberUpdate without_details(MemberUpdate update) {
     if (update.state == State::Alive) return update;
     update.address.clear();
@@ -97,7 +100,7 @@
     for (const auto& [deadline, id] : suspect_deadlines_) {
         const bool checked = members_.at(id).final_check_sent;
         when = std::min(when, checked ? deadline : deadline - kFinalCheckLead);
-        if (!checked) break;  // those behind it are later
+        if (!checked) break;  // later entries have later deadlines
     }
     if (!unreported_deaths_.empty()) when = std::min(when, report_deaths_at_);
     return when;
@@ -139,7 +142,7 @@
     send_final_checks(now);
     while (!suspect_deadlines_.empty() && suspect_deadlines_.begin()->first <= now) {
         Member& member = members_.at(suspect_deadlines_.begin()->second);
-        if (stall_recovery_since_) {  // what it missed may be on its way
+        if (stall_recovery_since_) {  // a refutation that it missed may be in flight
             suspect_deadlines_.erase(suspect_deadlines_.begin());
             member.suspicion->postpone(options_.probe_interval);
             suspect_deadlines_.emplace(member.suspicion->deadline(), member.record.id);
@@ -167,8 +170,9 @@
     expected_tick_ = std::max(now, next_tick());
 }
 
-/// The last word before a death: some others are told of the suspicion, and whoever has heard a refutation
-/// answers with it. With many rumours about, one may come to a member seconds late.
+/// Tells some other members of a suspicion shortly before its deadline; those that know of a refutation
+/// answer with it. When many updates are queued, a refutation can take seconds to reach this member by
+/// gossip.
 void Fleet::send_final_checks(Time now) {
     for (const auto& [deadline, id] : suspect_deadlines_) {
         if (deadline - kFinalCheckLead > now) return;
@@ -183,7 +187,8 @@
     }
 }
 
-/// The process got no processor, or was stopped: what it did not hear in that time says nothing of others.
+/// Handles a stall of this process, which got no CPU time or was stopped: that it heard nothing meanwhile
+/// says nothing about other members.
 void Fleet::on_own_stall(Time now, Duration delay) {
     if (!options_.local_health) return;
     ++stats_.stalls;
@@ -202,7 +207,7 @@
     heard_since_stall_.clear();
     stalled_ms_ = static_cast<std::uint32_t>(std::min<std::int64_t>(delay / 1ms, 3'600'000));
     report_stall_until_ = now + kStallReportTime;
-    // The sooner it hears, the sooner it can judge.
+    // Probe at once, to end the recovery soon.
     probe_at_ = now;
     if (!leaving_) {
         for (Member* member : random_members(kRecoveryWitnesses, nullptr, true)) probe(now, *member);
@@ -217,8 +222,8 @@
         on_own_stall(now, now - expected_tick_);
     Message corrections;
     for (const MemberUpdate& update : message.updates) {
-        // Guards against one that missed a refutation and buries the refuter alone: nobody else minds what is
-        // older than what they know, its subject least of all.
+        // Corrects a sender that missed a refutation. Otherwise it alone would declare the member dead: other
+        // members, and the subject first of all, ignore updates that are older than what they know.
         if (update.state == State::Suspect || update.state == State::Dead) {
             const auto it = members_.find(update.id);
             const bool newer = it != members_.end() && it->second.record.state == State::Alive &&
@@ -228,9 +233,9 @@
                 corrections.updates.push_back(own ? own_update() : it->second.record);
         }
         MemberUpdate taken = update;
-        // Guards against two sides of a healed partition burying each other: what one holds dead the other
-        // suspects, and the suspect refutes.
-        // One that is not here stays so: what was forgotten here may be remembered there.
+        // The two sides of a healed partition must not declare each other dead by their lists: a member that
+        // the sender holds dead becomes a suspect here and can refute. A member that is not live here stays
+        // so, as it may have been forgotten here and be remembered there.
         if (message.kind == Message::Kind::MemberList && taken.state == State::Dead) {
             const auto held = members_.find(taken.id);
             if (held != members_.end() && held->second.ring_index != kNotInRing) taken.state = State::Suspect;
@@ -290,7 +295,7 @@
             if (message.want_list) send_member_list(now, address, from, false);
             break;
     }
-    // Whoever is not known, or is held to be gone, is told how it stands; it answers by what it is.
+    // An unknown sender gets a sync request; its answer tells its state.
     if (message.kind == Message::Kind::Ping || message.kind == Message::Kind::Gossip) {
         const auto now_known = members_.find(from);
         if (now_known == members_.end()) {
@@ -317,7 +322,7 @@
             if (probe.target != id) continue;
             probed = true;
             probe.evidence = std::max(probe.evidence, evidence);
-            // Nothing comes from there any more; helpers may still reach it.
+            // No direct answer can come any more, but helpers may reach the member.
             if (!probe.indirect_sent) send_ping_requests(now, seq, probe);
             if (evidence == Evidence::Gone)
                 probe.ends_at = std::min(probe.ends_at, now + scaled_by_health(options_.probe_timeout));
@@ -343,7 +348,7 @@
             if (now > member.last_probed + kMinReprobeInterval) probe(now, member);
             continue;
         }
-        // What was on the way went with the link.
+        // The ping in flight was lost with the link: send it again.
         Message ping;
         ping.kind = Message::Kind::Ping;
         ping.seq = running->first;
@@ -353,8 +358,9 @@
     expected_tick_ = std::max(now, next_tick());
 }
 
-/// Guards against a fleet in which each has room for few links and much to ask: a link that gives way to
-/// another, or is refused, would be one more silence to ask others about, over more links.
+/// The notice counts as an answer. In a fleet whose members have few links and many probes, links are often
+/// closed for others or refused. If that counted as silence, it would cause indirect probes over still more
+/// links.
 void Fleet::link_closed_by_peer(Time now, const Id& id) {
     if (!started_) return;
     if (expected_tick_ != Time{} && now > expected_tick_ + kStallThreshold)
@@ -457,7 +463,8 @@
 void Fleet::probe_next(Time now) {
     if (ring_.empty()) return;
     if (next_probe_ >= ring_.size()) {
-        // Round-robin over an order of chance: each is probed once in a bounded time (SWIM, section 4.3).
+        // Round-robin over a shuffled order, so that each member is probed within a bounded time (SWIM,
+        // section 4.3).
         next_probe_ = 0;
         for (std::size_t i = ring_.size(); i > 1; --i) {
             const std::size_t j = random_below(i);
@@ -505,7 +512,7 @@
 void Fleet::ack_received(Time now, const Id& from, const Message& message) {
     if (const auto relayed = relayed_probes_.find(message.seq); relayed != relayed_probes_.end()) {
         if (relayed->second.target == from) {
-            Message ack = message;  // passed on, with whom it is about
+            Message ack = message;  // forwarded, with the target's id
             ack.seq = relayed->second.requester_seq;
             ack.to = from;
             send(relayed->second.requester_address, relayed->second.requester, std::move(ack));
@@ -548,8 +555,8 @@
     if (recently_heard_.size() > kMaxRecentlyHeard) recently_heard_.pop_front();
 }
 
-/// Those that were heard lately, as far as there are such: one that can't be reached itself is no help, and
-/// its silence would be taken for a fault of this process.
+/// Prefers members that were heard lately. An unreachable helper is no help, and its missing nack would count
+/// against the health of this process.
 std::vector<Fleet::Member*> Fleet::choose_helpers(Time now, const Id& except) {
     std::vector<Member*> result;
     for (std::size_t i = recently_heard_.size(); i > 1; --i)
@@ -567,8 +574,8 @@
     return result;
 }
 
-/// One that is silent is often not alone: some that were not heard of late are asked out of turn, so that
-/// what went at once is told of at once.
+/// Members often fail together. After a death, probes out of turn some members that were not heard lately, so
+/// that a common failure is detected and reported as one.
 void Fleet::probe_unheard_members(Time now) {
     if (leaving_) return;
     for (Member* member : random_members(kExtraProbes, nullptr)) {
@@ -590,8 +597,8 @@
     if (stall_recovery_since_) return;
     const auto it = members_.find(probe.target);
     if (it == members_.end() || it->second.ring_index == kNotInRing) return;
-    // Helpers that say that they heard nothing either are a sign that this process is sound.
-    // Nor is it one of anything that someone who was never heard says nothing.
+    // Nacks from helpers show that this process is healthy, so only missing nacks raise its score. The
+    // silence of a member that was never heard says nothing about this process either.
     if (probe.evidence != Evidence::Gone && it->second.last_heard != Time{})
         degrade_health(
             probe.nacks_expected > 0
@@ -609,7 +616,7 @@
     apply_update(now, update);
 }
 
-// ---- what is claimed --------------------------------------------------------------------------------
+// ---- membership updates ---------------------------------------------------------------------------
 
 void Fleet::apply_update(Time now, const MemberUpdate& update) {
     if (update.id == self_.id) return apply_update_about_self(now, update);
@@ -623,11 +630,11 @@
             return;
         Member& member = members_[update.id];
         member.record = update;
-        member.record.state = State::Dead;  // it was not here: what follows tells how it is
+        member.record.state = State::Dead;  // placeholder; set_state() below treats it as new
         member.record.reported_by.clear();
         member.since = now;
         if (update.state == State::Dead || update.state == State::Left) {
-            // Kept, so that an old word that it lives does not bring it back.
+            // Remembered, so that an outdated alive update does not bring the member back.
             member.record = update;
             departed_.emplace_back(now, update.id);
             return;
@@ -653,7 +660,8 @@
                 std::erase_if(suspect_deadlines_,
                               [&](const auto& entry) { return entry.second == update.id; });
                 suspect_deadlines_.emplace(member.suspicion->deadline(), update.id);
-                // An independent word goes on, so that others' patience shortens too, behind what is new.
+                // An independent confirmation is gossiped on, so that the timeouts of others shrink too. It
+                // queues behind new updates.
                 gossip_queue_.add(without_details(update), transmit_limit() / 2);
                 return;
             }
@@ -661,8 +669,8 @@
             return;
         case State::Dead: {
             if (!present || i < j) return;
-            // Guards against one that hears nobody and buries all the others: each member waits for the
-            // least that a refutation takes before it takes a death from another.
+            // A member that receives nothing could declare all others dead. Hence a death reported by another
+            // member counts as a suspicion until the minimum time for a refutation has passed.
             if (old_state == State::Suspect && i == j && now >= member.suspicion->earliest_deadline())
                 return set_state(now, member, update);
             MemberUpdate as_suspect = update;
@@ -678,7 +686,7 @@
 void Fleet::apply_update_about_self(Time now, const MemberUpdate& update) {
     if (leaving_) return;
     if (update.state == State::Alive) {
-        // Its own word of before comes back; only a made-up one is ahead of it.
+        // Usually an echo of its own earlier update; only a forged one has a higher incarnation.
         if (update.incarnation > incarnation_) refute(now, update.incarnation);
         return;
     }
@@ -692,7 +700,8 @@
 void Fleet::refute(Time now, std::uint64_t above) {
     ++stats_.refutations;
     if (above + 1 >= kMaxIncarnation) {
-        // No number is left above it. Under a new boot id it is a new member, and the old one has left.
+        // Incarnations are exhausted. It continues as a new member with a new boot id, and the old id has
+        // left.
         MemberUpdate old = own_update(State::Left);
         old.incarnation = kMaxIncarnation;
         do self_.id.boot = random_();
@@ -719,7 +728,7 @@
     }
     const std::size_t before = ring_.size() + (was_present && !is_present ? 2 : 1);
     const MemberUpdate previous = std::exchange(member.record, update);
-    if (update.address.empty()) {  // only who is said to be alive is told of in full
+    if (update.address.empty()) {  // updates about others carry no details
         member.record.address = previous.address;
         member.record.zone = previous.zone;
         member.record.version = previous.version;
@@ -781,7 +790,8 @@
 }
 
 void Fleet::add_to_ring(Member& member) {
-    // At a place of chance in what is left of this round, so that a newcomer is probed within a round.
+    // Inserted at a random position in the rest of this round, so that a new member is probed within one
+    // round.
     member.ring_index = ring_.size();
     ring_.push_back(&member);
     by_address_[member.record.address].insert(member.record.id);
@@ -803,7 +813,7 @@
     const auto at_address = by_address_.find(member.record.address);
     at_address->second.erase(member.record.id);
     if (at_address->second.empty()) by_address_.erase(at_address);
-    // Whoever shared its name is alone with it again.
+    // A remaining member of the same name has no conflict any more.
     for (auto it = members_.lower_bound({member.record.id.name, 0});
          it != members_.end() && it->first.name == member.record.id.name; ++it)
         it->second.name_conflict = false;
@@ -816,8 +826,8 @@
         if (it->second.ring_index != kNotInRing) same.push_back(&it->second);
     }
     if (same.size() + (name == self_.id.name ? 1 : 0) < 2) return;
-    // Most often it is a restart whose former self is not yet known to be dead: only two that both answer
-    // from here on are a pair.
+    // Usually this is a restart whose former process is not yet known to be dead. There is a conflict only if
+    // both answer from now on.
     for (Member* each : same) {
         each->conflict_check_since = now;
         if (!leaving_) probe(now, *each);
@@ -846,12 +856,12 @@
     }
 }
 
-// ---- spreading --------------------------------------------------------------------------------------
+// ---- dissemination --------------------------------------------------------------------------------
 
 void Fleet::gossip(Time) {
     if (gossip_queue_.empty()) return;
-    // What is told over links that stand still reaches all: whom a probe comes to is a matter of chance, it
-    // carries news too, and its link stays.
+    // Gossip prefers open links and still reaches all members: probe targets are random, and probes carry
+    // updates too and leave their links open.
     for (Member* member : connected_first(options_.gossip_fanout)) {
         if (gossip_queue_.empty()) return;
         Message notice;
@@ -877,7 +887,7 @@
         }
         return;
     }
-    // It knows nobody who answers: the seeds in turn, and whoever it has heard of.
+    // Not joined yet: tries the seeds in turn, and members that it has heard of.
     const std::size_t attempt = join_attempts_++;
     const Duration pause =
         std::min(kJoinRetryStep * static_cast<int>(1 + attempt / (seeds_.size() + 1)), kMaxJoinRetryPause);
@@ -889,7 +899,7 @@
     }
     const std::string& seed = seeds_[(attempt + random_below(seeds_.size())) % seeds_.size()];
     if (seed == self_.address) {
-        // A seed that is the only one here has a fleet of one.
+        // A seed without other seeds is a fleet of one.
         joined_ = seeds_.size() == 1;
         return;
     }
@@ -897,7 +907,7 @@
 }
 
 void Fleet::send_member_list(Time now, const std::string& address, const Id& to, bool want_list) {
-    // Guards against one that asks for list after list, and against all of a fleet that starts.
+    // Limits the load when one member keeps asking for lists or a whole fleet starts.
     while (!member_lists_sent_.empty() && member_lists_sent_.front() + 1s <= now)
         member_lists_sent_.pop_front();
     if (member_lists_sent_.size() >= kMaxListsPerSecond) {
@@ -913,15 +923,16 @@
         Message entries;
         entries.kind = Message::Kind::MemberList;
         const std::size_t end = std::min(all.size(), at + kMaxUpdates);
-        entries.want_list =
-            want_list && end == all.size();  // with the last piece: one list back, not one a piece
+        // Only the last part asks for a list in return, so that one list comes back and not one for each
+        // part.
+        entries.want_list = want_list && end == all.size();
         entries.updates.assign(all.begin() + static_cast<std::ptrdiff_t>(at),
                                all.begin() + static_cast<std::ptrdiff_t>(end));
         send(address, to, std::move(entries));
     }
 }
 
-/// Calls one that is held dead, or a seed that is not here: a partition heals by somebody asking.
+/// Dials a dead member and a seed that is not a live member: partitions heal only if somebody dials.
 void Fleet::reconnect(Time) {
     if (leaving_) return;
     std::vector<std::string> where;
@@ -950,7 +961,7 @@
 void Fleet::remove_departed(Time now) {
     while (!departed_.empty() && departed_.front().first + options_.forget_after <= now) {
         const auto it = members_.find(departed_.front().second);
-        // It may have returned, and gone again later.
+        // It may have returned and departed again later.
         if (it != members_.end() && it->second.ring_index == kNotInRing &&
             it->second.since + options_.forget_after <= now) {
             gossip_queue_.remove(it->first);
@@ -962,7 +973,7 @@
 
 void Fleet::report_deaths(Time now) {
     if (unreported_deaths_.empty() || now < report_deaths_at_) return;
-    // Whoever is still suspected of before may belong to them: accusers come at different times.
+    // Members that were already suspected may belong to the same loss: suspicions start at different times.
     const bool more =
         std::any_of(suspect_deadlines_.begin(), suspect_deadlines_.end(), [this](const auto& entry) {
             return members_.at(entry.second).suspicion->since() <= last_death_at_ + kDeathSettleTime;
@@ -989,7 +1000,7 @@
     }
 }
 
-// ---- small things -----------------------------------------------------------------------------------
+// ---- helpers --------------------------------------------------------------------------------------
 
 void Fleet::add_event(FleetEvent::Kind kind, Time now, std::vector<Id> subjects, std::string detail,
                       std::size_t live_before) {
@@ -1008,7 +1019,7 @@
 void Fleet::attach_updates(Message& message, const Id* to) {
     message.updates = gossip_queue_.take(kUpdatesPerMessage, transmit_limit(), to);
     if (!to) return;
-    // Lifeguard's buddy system: whoever is not held to be alive hears of it with the next word to it.
+    // Lifeguard's buddy system: a member that is not held to be alive is told with the next message to it.
     const auto it = members_.find(*to);
     if (it == members_.end() || it->second.record.state == State::Alive) return;
     for (const MemberUpdate& update : message.updates) {
@@ -1029,7 +1040,7 @@
 
 std::vector<Fleet::Member*> Fleet::random_members(std::size_t count, const Id* except, bool only_heard) {
     std::vector<Member*> result;
-    // A few draws too many rather than a shuffle of all: the fleet may be large.
+    // A bounded number of random draws is cheaper than shuffling a large fleet.
     for (std::size_t tries = 0; tries < 4 * count && result.size() < std::min(count, ring_.size()); ++tries) {
         Member* member = ring_[random_below(ring_.size())];
         if ((except && member->record.id == *except) || (only_heard && member->last_heard == Time{}))
@@ -1076,7 +1087,7 @@
     health_score_ = std::clamp(health_score_ + steps, 0, kMaxHealthScore);
 }
 
-/// Alive and suspect are alike here: a suspicion is on its way anyhow.
+/// Alive and suspect hash alike: a suspicion is already being gossiped.
 std::uint64_t Fleet::hash_of(const MemberUpdate& update) {
     const std::uint64_t numbers[] = {update.id.boot, update.incarnation};
     return XXH64(numbers, sizeof numbers, XXH64(update.id.name.data(), update.id.name.size(), 0));
--- a/src/fleet/fleet.h
+++ b/src/fleet/fleet.h
@@ -1,9 +1,10 @@
-// Who of a fleet is alive, as one member sees it. Pure: time and messages come in, messages and changes go
-// out; no socket, clock or thread.
+// Failure detection and membership of a fleet, as seen by one member. No socket, clock or thread: the caller
+// passes in the time and received messages, and takes out messages to send and events.
 //
-// The protocol is SWIM's (Das, Gupta, Motivala 2002) with Lifeguard's three parts (Dadgar, Phillips, Currey
-// 2018): own health stretches own patience, suspicions shorten as independent accusers confirm, and a suspect
-// is told so by whoever probes it. What is added, and why, is in docs/fleet.md.
+// The protocol is SWIM (Das, Gupta, Motivala 2002) with the three extensions of Lifeguard (Dadgar, Phillips,
+// Currey 2018): a member in bad local health extends its own timeouts, suspicion timeouts shrink with
+// independent confirmations, and whoever probes a suspect tells it of the suspicion. Our own additions and
+// the reasons for them are in docs/fleet.md.
 #pragma once
 
 #include <cstddef>
@@ -28,15 +29,16 @@
 struct LocalMember {
     Id id;
     std::string address, zone, version;
-    bool successor = false;  ///< an earlier process of this name hands over to this one
+    bool successor = false;  ///< takes over from an earlier process of this name
 };
 
-/// What this member believes of another.
+/// The state of a member as shown to operators. It refines State by local observations.
 enum class ObservedState {
     Alive,
     Suspect,
-    Stalled,      ///< suspect, and its connection stands while nobody speaks on it
-    Unreachable,  ///< not from here, but others reach it
+    Stalled,  ///< suspect whose connection is open but carries no messages
+    /// Reachable through other members only.
+    Unreachable,
     Left,
     Dead
 };
@@ -48,32 +50,33 @@
     std::uint64_t incarnation = 0;
     ObservedState state = ObservedState::Alive;
     Time since{};
-    std::string reported_by;       ///< who said so; itself where it was heard
-    bool name_conflict = false;    ///< another live process has its name, and neither is the other's heir
-    std::uint32_t stalled_ms = 0;  ///< it said that its loop stood still for so long of late
+    std::string reported_by;  ///< the member that reported the state
+    /// Another live process has its name, and neither is the successor of the other.
+    bool name_conflict = false;
+    std::uint32_t stalled_ms = 0;  ///< length of its last event-loop stall, as it reported
 };
 
-/// Something to tell people.
+/// An event for operators' logs.
 struct FleetEvent {
     enum class Kind {
         Joined,
         Left,
-        Died,          ///< alone
-        MassLoss,      ///< several together: a partition, a zone, or a rollout that went wrong
-        Returned,      ///< it had been called dead, and was not
-        NameConflict,  ///< two live processes under one name
-        OwnStall,      ///< this process itself stood still
-        OwnSuspicion   ///< this process itself was suspected, and has refuted it
+        Died,          ///< one member died
+        MassLoss,      ///< several died together: a partition, a zone failure or a bad rollout
+        Returned,      ///< a member that was declared dead is alive
+        NameConflict,  ///< two live processes have the same name
+        OwnStall,      ///< this process stalled
+        OwnSuspicion   ///< this process was suspected and refuted it
     };
     Kind kind = Kind::Joined;
     Time at{};
     std::vector<Id> subjects;
-    std::size_t live_before = 0;  ///< LostAtOnce: members before
+    std::size_t live_before = 0;  ///< for MassLoss: live members before the loss
     std::string detail;
 };
 const char* name_of(FleetEvent::Kind kind);
 
-/// A state that this member now holds another in. At once, where a Change waits for what belongs together.
+/// A member's new state. Reported at once, whereas FleetEvents of deaths wait to be grouped.
 struct StateChange {
     Id id;
     State state = State::Alive;
@@ -81,12 +84,12 @@
 
 class Fleet {
   public:
-    /// Members held at most, the dead among them: three times the largest fleet that was played.
+    /// Limit on known members, dead ones included: three times the largest fleet that was simulated.
     static constexpr std::size_t kMaxMembers = 10'000;
 
     struct Outgoing {
         std::string address;
-        Id to;  ///< boot 0: whoever is there
+        Id to;  ///< boot 0: any process at the address
         Message message;
     };
     struct Stats {
@@ -98,36 +101,38 @@
           std::uint64_t seed);
 
     void start(Time now);
-    /// When tick() is wanted next.
+    /// The time at which tick() must be called next.
     Time next_tick() const;
     void tick(Time now);
-    /// `from` as its link's hello says, `address` where it says that it is reached.
+    /// `from` is the sender's id from the link's hello, `address` the address that it advertises there.
     void receive(Time now, const Id& from, const std::string& address, const Message& message);
-    /// A link can't be had.
+    /// A link to the address could not be established.
     void connect_failed(Time now, const std::string& address, Evidence evidence);
-    /// One that stood has ended, and nobody had said that it would: whoever is there is asked at once.
+    /// An established link ended without notice. Members at its address are probed at once.
     void link_lost(Time now, const std::string& address);
-    /// This one said that it ends the link, or that it has no room for one: it lives, and what was on the way
-    /// to it may be lost.
+    /// The peer announced that it closes the link or has no room for one. This proves that it is alive, but
+    /// messages in flight to it may be lost.
     void link_closed_by_peer(Time now, const Id& id);
-    /// There was no room for a link, and this message never left: its silence says nothing of anybody.
+    /// The message could not be sent because there was no room for another link. A probe that was never sent
+    /// says nothing about its target.
     void send_failed(Time now, const Message& message);
-    /// This one answered where this address was called: an address has one listener, so whoever was known
-    /// there before has gone.
+    /// A member with this id answered at the address. An address has one listener, so any other member known
+    /// there is dead.
     void peer_identified(Time now, const std::string& address, const Id& id);
-    /// A connection with it stands, or no longer does. Who is told of news is chosen among these first: on
-    /// links that come up for one message each, a fleet with much to say spends itself on dialling.
+    /// Records whether a link to the member is open. Gossip prefers members with an open link: with a link
+    /// opened for each message, a fleet that has much to gossip spends its time on dialling.
     void set_connected(const Id& id, bool connected);
-    /// Up to so many live others, by chance, those with a link first.
+    /// Returns up to `count` other live members in random order, those with an open link first.
     struct MemberAddress {
         Id id;
         std::string address;
     };
     std::vector<MemberAddress> sample_peers(std::size_t count);
-    /// Says so to some, and to the rest through them; nothing is probed from here on.
+    /// Announces to some members that this one leaves; gossip carries it to the others. Nothing is probed
+    /// afterwards.
     void leave(Time now);
 
-    /// What is to be sent, in order; emptied by the call.
+    /// Return what has accumulated since the last call, in order.
     std::vector<Outgoing> take_outgoing() { return std::exchange(outgoing_, {}); }
     std::vector<FleetEvent> take_events() { return std::exchange(events_, {}); }
 
@@ -135,16 +140,16 @@
 
     const LocalMember& self() const { return self_; }
     std::uint64_t incarnation() const { return incarnation_; }
-    /// Sorted by name, itself among them.
+    /// Sorted by name; includes this member.
     std::vector<MemberView> members() const;
     std::size_t live_count() const { return ring_.size() + 1; }
     bool joined() const { return joined_; }
-    /// 0: sound; up to kWorstHealth, by which its patience is stretched.
+    /// Lifeguard's local health: 0 is healthy, at most kMaxHealthScore. Timeouts are multiplied by 1 + score.
     int health_score() const { return health_score_; }
-    /// It stood still, and accuses nobody until it has heard from others.
+    /// Whether it has stalled and suspects nobody until it has heard from other members.
     bool recovering_from_stall() const { return stall_recovery_since_.has_value(); }
     const Stats& stats() const { return stats_; }
-    /// Of who is here, and by which incarnation; alike where two members know the same.
+    /// A hash over the live members and their incarnations; equal where two members know the same.
     std::uint64_t digest() const;
 
   private:
@@ -152,14 +157,15 @@
         MemberUpdate record;
         Time since{};
         std::optional<Suspicion> suspicion;
-        std::size_t ring_index = kNotInRing;  ///< in ring_
+        std::size_t ring_index = kNotInRing;  ///< index in ring_
         std::uint32_t stalled_ms = 0;
-        Time last_heard{};  ///< a word of its own, or an answer through a helper; zero: it is hearsay
+        /// Last message from it, direct or through a helper; zero while it is known from gossip only.
+        Time last_heard{};
         Time last_answered{}, last_probed{};
-        Time conflict_check_since{};        ///< another with its name is alive since then
-        std::uint32_t indirect_streak = 0;  ///< answers in a row that came through helpers alone
+        Time conflict_check_since{};        ///< another member with its name is live since then
+        std::uint32_t indirect_streak = 0;  ///< consecutive answers through helpers only
         bool name_conflict = false;
-        bool final_check_sent = false;  ///< before it is held dead
+        bool final_check_sent = false;  ///< see send_final_checks()
     };
     struct Probe {
         Id target;
@@ -168,7 +174,7 @@
         std::size_t nacks_expected = 0, nacks = 0;
         Evidence evidence = Evidence::Silent;
     };
-    struct RelayedProbe {  ///< a probe made for another
+    struct RelayedProbe {  ///< a probe on behalf of another member
         std::string requester_address;
         Id requester;
         Id target;
@@ -228,25 +234,25 @@
     Time report_stall_until_{};
 
     std::map<Id, Member> members_;
-    std::map<std::string, std::set<Id>> by_address_;  ///< those in the ring
-    std::vector<Member*> ring_;                       ///< alive or suspect, in an order of chance
-    std::size_t next_probe_ = 0;                      ///< of ring_: who is probed next
+    std::map<std::string, std::set<Id>> by_address_;  ///< live members only
+    std::vector<Member*> ring_;                       ///< alive and suspect members, shuffled
+    std::size_t next_probe_ = 0;                      ///< index in ring_ of the next member to probe
     std::map<std::uint64_t, Probe> probes_;
     std::map<std::uint64_t, RelayedProbe> relayed_probes_;
     std::set<std::pair<Time, Id>> suspect_deadlines_;
-    std::deque<std::pair<Time, Id>> departed_;  ///< dead or left, to be forgotten
+    std::deque<std::pair<Time, Id>> departed_;  ///< dead and left members, by the time of their departure
     GossipQueue gossip_queue_;
 
     Time probe_at_{}, gossip_at_{}, sync_at_{}, reconnect_at_{}, expected_tick_{};
     Duration reconnect_pause_{};
     std::optional<Time> stall_recovery_since_;
     std::set<Id> heard_since_stall_;
-    std::deque<Id> recently_heard_;  ///< heard last, the latest last
+    std::deque<Id> recently_heard_;  ///< most recent last
     std::set<Id> connected_;
     std::size_t join_attempts_ = 0;
     std::deque<Time> member_lists_sent_;
 
-    std::vector<Id> unreported_deaths_;  ///< died of late, not told of yet
+    std::vector<Id> unreported_deaths_;  ///< deaths that no event has reported yet
     Time first_death_at_{}, last_death_at_{}, report_deaths_at_{};
     std::size_t live_before_deaths_ = 0;
     std::size_t deaths_not_listening_ = 0;
--- a/src/fleet/gossip_queue.h
+++ b/src/fleet/gossip_queue.h
@@ -1,6 +1,6 @@
-// Claims that still have to be told: each goes out a number of times that grows with the logarithm of the
-// fleet, the least told first, and a newer one about the same member takes the place of the older. After Das,
-// Gupta, Motivala, "SWIM" (2002), section 4.1.
+// Membership updates that are still to be gossiped. Each is sent a number of times that grows with the
+// logarithm of the fleet size, the least sent first, and a newer update about a member replaces the older
+// one. After Das, Gupta, Motivala, "SWIM" (2002), section 4.1.
 #pragma once
 
 #include <cstddef>
@@ -16,10 +16,11 @@
 
 class GossipQueue {
   public:
-    /// Held at most; over it the most told goes first.
+    /// Size limit; beyond it the update that was sent most often is dropped.
     static constexpr std::size_t kMaxSize = 4096;
 
-    /// `told`: as though it had gone out so often already; behind what is new, and the sooner over.
+    /// `transmits` is the number of transmissions to count as already done: the update then queues behind new
+    /// ones and is dropped sooner.
     void add(const MemberUpdate& update, std::size_t transmits = 0) {
         remove(update.id);
         const Order order{transmits, ~++serial_};
@@ -27,8 +28,9 @@
         by_order_.emplace(order, update.id);
         if (entries_.size() > kMaxSize) remove(std::prev(by_order_.end())->second);
     }
-    /// Up to `most` of them for one message; `times`: how often each is told in all. The one about `first`
-    /// goes with them, told or not, so that whoever is suspected hears of it.
+    /// Returns up to `max_updates` for one message. `transmit_limit` is the number of times each update is
+    /// sent in all. An update about `first` is always included, however often it was sent, so that a suspect
+    /// hears of the suspicion.
     std::vector<MemberUpdate> take(std::size_t max_updates, std::size_t transmit_limit,
                                    const Id* first = nullptr) {
         std::vector<MemberUpdate> result;
@@ -62,7 +64,7 @@
     std::size_t size() const { return entries_.size(); }
 
   private:
-    /// Times told, then the newest first.
+    /// Number of transmissions, then newest first.
     using Order = std::pair<std::size_t, std::uint64_t>;
     struct Entry {
         MemberUpdate update;
--- a/src/fleet/options.h
+++ b/src/fleet/options.h
@@ -1,4 +1,4 @@
-// The section [fleet] of our own configuration.
+// The [fleet] section of the sidecar's own configuration.
 #pragma once
 
 #include <cstddef>
@@ -9,36 +9,38 @@
 
 namespace martenford::fleet {
 
-/// Of the protocol; the same at all members, or their bounds don't add up.
+/// Protocol parameters. They must be equal on all members, or the bounds on detection times don't hold.
 struct ProtocolOptions {
-    Duration probe_interval = 500ms;  ///< each member probes one other in this time
-    Duration probe_timeout = 200ms;   ///< for a direct answer; then helpers are asked until the period ends
+    Duration probe_interval = 500ms;  ///< time between probes of one member
+    /// Wait for a direct ack. After it, indirect probes are sent until the probe interval ends.
+    Duration probe_timeout = 200ms;
     std::size_t indirect_probes = 3;
     Duration gossip_interval = 200ms;
     std::size_t gossip_fanout = 3;
-    /// A member that is silent for less than this is never called dead: stalls of a loop, a collector or a
-    /// neighbour on the same core last so long.
+    /// A member that is silent for less than this is never declared dead. Event-loop stalls, garbage
+    /// collectors and noisy neighbours on the same core last that long.
     Duration stall_tolerance = 2s;
-    /// The same where nobody listens at its address any more: a process that stalls still listens.
+    /// The same for a member at whose address nobody listens any more: a stalled process still listens.
     Duration not_listening_tolerance = 700ms;
-    Duration sync_interval = 15s;  ///< digests are compared with one other
-    /// One that is dead is called: it may be a healed link. A seed that is not here too, more often at first.
+    Duration sync_interval = 15s;  ///< time between digest comparisons with a random member
+    /// How often a dead member is dialled, because its link may have healed. Seeds that are not live members
+    /// are dialled too, more often at first.
     Duration reconnect_interval = 3s;
-    /// Lifeguard's first part, and distrust of oneself after a stall; off only to measure what they are
-    /// worth.
+    /// Lifeguard's local health awareness, and the suspension of suspicions after a stall of this process.
+    /// Turned off only to measure their effect.
     bool local_health = true;
-    Duration forget_after = 120s;  ///< the dead and those that left
+    Duration forget_after = 120s;  ///< how long dead and left members are remembered
 };
 
 struct Options {
-    std::string name;                    ///< of the fleet; one of another name is not spoken to
-    std::string listen;                  ///< "127.0.0.1:7400"; port 0: any
-    std::string advertise;               ///< where the others reach it; empty: as it listens
-    std::vector<std::string> seeds;      ///< members to begin with; it may be one of them
-    std::vector<std::string> permitted;  ///< addresses, without ports, that may connect; none: loopback's
+    std::string name;                    ///< fleet name; members of other fleets are rejected
+    std::string listen;                  ///< such as "127.0.0.1:7400"; port 0: any free port
+    std::string advertise;               ///< address told to other members; empty: the listen address
+    std::vector<std::string> seeds;      ///< members to join through; may include this one
+    std::vector<std::string> permitted;  ///< IP addresses that may connect; empty: loopback only
     ProtocolOptions protocol;
-    std::size_t max_links = 32;                 ///< connections to and from others, beside those of clients
-    std::size_t max_queued_bytes = 256 * 1024;  ///< bytes that wait on one link
+    std::size_t max_links = 32;  ///< connections to and from other members, apart from client connections
+    std::size_t max_queued_bytes = 256 * 1024;  ///< limit on the send queue of one link
 };
 
 }  // namespace martenford::fleet
--- a/src/fleet/suspicion.h
+++ b/src/fleet/suspicion.h
@@ -1,6 +1,6 @@
-// How long a suspect has to refute. After Dadgar, Phillips, Currey, "Lifeguard: Local Health Awareness for
-// More Accurate Failure Detection" (2018), section III-B: long at first, and shorter as others say the same
-// by themselves.
+// The time that a suspect has to refute. After Dadgar, Phillips, Currey, "Lifeguard: Local Health Awareness
+// for More Accurate Failure Detection" (2018), section III-B: long at first, and shorter as other members
+// confirm the suspicion independently.
 #pragma once
 
 #include <algorithm>
@@ -16,25 +16,25 @@
 
 class Suspicion {
   public:
-    /// `accusers`: that shorten it to `least`; none: it is that short at once.
+    /// `confirmations_needed` confirmations shorten the timeout to `min`; with 0 it is `min` from the start.
     Suspicion(Time since, Duration min, Duration max, std::size_t confirmations_needed)
         : since_(since), min_(min), max_(std::max(min, max)), confirmations_needed_(confirmations_needed) {}
 
-    /// False: its word is known, or enough of them are.
+    /// Returns false if this member has confirmed it before or enough have.
     bool confirm(const std::string& name) {
         if (confirmed_by_.size() > confirmations_needed_) return false;
         return confirmed_by_.insert(name).second;
     }
-    /// Nobody listens there: what it has to wait for is shorter.
+    /// Lowers the bounds, as when nobody listens at the suspect's address any more.
     void tighten(Duration min, Duration max) {
         min_ = std::min(min_, min);
         max_ = std::max(min_, std::min(max_, max));
     }
-    /// This process stood still, in which the suspect could not be heard.
+    /// Moves the start: this process stalled for that time and could not hear the suspect.
     void postpone(Duration by) { since_ += by; }
 
     Time since() const { return since_; }
-    /// Before it nobody's word makes it dead.
+    /// No report from elsewhere makes the suspect dead before this.
     Time earliest_deadline() const { return since_ + min_; }
     std::size_t confirmations() const { return confirmed_by_.size(); }
     Time deadline() const {
--- a/src/fleet/wire.cpp
+++ b/src/fleet/wire.cpp
@@ -11,10 +11,10 @@
 
 using framing::FrameError;
 
-/// Names go into logs and answers to operators: printable, and of bounded length.
+/// Names appear in logs and in answers to operators, so they must be printable and of bounded length.
 const std::string& checked_name(const std::string& text, bool required = false) {
     if (!is_valid_name(text) || (required && text.empty()))
-        throw FrameError("a name of a member can't be used");
+        throw FrameError("invalid member name, address, zone or version");
     return text;
 }
 
@@ -33,7 +33,7 @@
 
 MemberUpdate read_update(const wire::Claim& from) {
     if (from.state() >= kStateCount || from.evidence() >= kEvidenceCount || from.boot() == 0)
-        throw FrameError("a claim can't be used");
+        throw FrameError("invalid membership update");
     return {{checked_name(from.name(), true), from.boot()},
             checked_name(from.address(), from.state() == static_cast<std::uint32_t>(State::Alive)),
             checked_name(from.zone()),
@@ -85,7 +85,7 @@
     const auto in = framing::parsed<wire::Frame>(bytes);
     if (in.has_hello()) {
         const auto& from = in.hello();
-        if (from.boot() == 0) throw FrameError("a hello can't be used");
+        if (from.boot() == 0) throw FrameError("hello without a boot id");
         return Hello{checked_name(from.fleet(), true),
                      {checked_name(from.name(), true), from.boot()},
                      checked_name(from.address(), true),
@@ -94,11 +94,11 @@
                      from.newest()};
     }
     if (in.has_state()) return Payload{in.state()};
-    if (!in.has_message()) throw FrameError("a message says nothing");
+    if (!in.has_message()) throw FrameError("frame without a hello, message or state");
     const auto& from = in.message();
-    if (from.kind() >= kMessageKindCount) throw FrameError("a message is of no known kind");
+    if (from.kind() >= kMessageKindCount) throw FrameError("unknown message kind");
     if (static_cast<std::size_t>(from.claims_size()) > kMaxUpdates)
-        throw FrameError("a message has too many claims");
+        throw FrameError("too many membership updates in a message");
     Message message{static_cast<Message::Kind>(from.kind()),
                     from.seq(),
                     {checked_name(from.to_name()), from.to_boot()},
--- a/src/fleet/wire.h
+++ b/src/fleet/wire.h
@@ -1,4 +1,4 @@
-// What members of a fleet say to each other, as values, and as bytes.
+// Messages between members of a fleet, and their encoding.
 #pragma once
 
 #include <compare>
@@ -11,32 +11,36 @@
 
 namespace martenford::fleet {
 
-/// Wire versions spoken. A link speaks the newest that both ends know.
+/// Supported wire versions. A link uses the newest version that both ends support.
 constexpr std::uint32_t kOldestWireVersion = 1, kNewestWireVersion = 1;
-constexpr std::size_t kMaxNameBytes = 64;  ///< bytes of a name, an address, a zone or a version
-constexpr std::size_t kMaxUpdates = 150;   ///< in one message: within a frame though all names are longest
-/// Refutations are counted from 0, one at most for each suspicion: what is above this was made up.
+constexpr std::size_t kMaxNameBytes = 64;  ///< of a member name, address, zone or version
+/// Per message; even with names of maximal length they fit in a frame.
+constexpr std::size_t kMaxUpdates = 150;
+/// Incarnations start at 0 and rise by one at most for each suspicion: a greater number is forged.
 constexpr std::uint64_t kMaxIncarnation = std::uint64_t{1} << 48;
 
-/// A process of the fleet. A name that returns has another boot id: it is another member.
+/// Identifies one process of the fleet. A restarted process has the same name and another boot id: it is
+/// another member.
 struct Id {
     std::string name;
-    std::uint64_t boot = 0;  ///< random, never 0
+    std::uint64_t boot = 0;  ///< random, not 0
     auto operator<=>(const Id&) const = default;
 };
 
 enum class State : std::uint8_t { Alive, Suspect, Left, Dead };
-/// Why a member is suspected, the weaker first.
+/// Why a member is suspected, from weakest to strongest.
 enum class Evidence : std::uint8_t {
-    Silent,   ///< nothing came back
-    Stalled,  ///< a connection came up or stood, and nobody spoke on it
-    Gone,     ///< nobody listens there, or a connection was reset before a word
+    Silent,  ///< no answer
+    /// A connection was established but carries no messages.
+    Stalled,
+    /// Nobody listens at its address, or a connection was reset before the hello.
+    Gone,
 };
 constexpr std::uint32_t kStateCount = 4, kEvidenceCount = 3;
 
 struct MemberUpdate {
     Id id;
-    std::string address, zone, version;  ///< empty where it is not said to be alive, but in lists
+    std::string address, zone, version;  ///< set for live members and in member lists; otherwise empty
     std::uint64_t incarnation = 0;
     State state = State::Alive;
     Evidence evidence = Evidence::Silent;
@@ -47,13 +51,13 @@
 struct Message {
     enum class Kind : std::uint8_t {
         Ping,         ///< answered by an Ack
-        PingRequest,  ///< ping `to` at `address` for me; answered by its Ack or by a Nack
+        PingRequest,  ///< asks a helper to ping `to` at `address`; answered by an Ack or a Nack
         Ack,
-        Nack,         ///< a helper heard nothing from the one it was asked about
-        Gossip,       ///< claims only
-        SyncRequest,  ///< a digest of who is here
-        MemberList,   ///< all that is known, in pieces; none: the digests agree
-        LinkClosing,  ///< this link ends, to make room for another: its end says nothing
+        Nack,         ///< the helper got no answer from the target
+        Gossip,       ///< updates only
+        SyncRequest,  ///< the sender's digest of the live members
+        MemberList,   ///< all members that the sender knows, in several messages; empty if the digests agree
+        LinkClosing,  ///< the sender closes this link to make room for another; it stays alive
     };
     Kind kind = Kind::Gossip;
     std::uint64_t seq = 0;
@@ -73,21 +77,22 @@
     std::uint32_t oldest = kOldestWireVersion, newest = kNewestWireVersion;
 };
 
-/// What another package says on the same link; not looked into here.
+/// A message of another package over the same link; its content is opaque here.
 struct Payload {
     std::string bytes;
 };
 
 using FrameBody = std::variant<Hello, Message, Payload>;
 
-/// A whole frame.
+/// Encodes a complete frame.
 std::string frame_of(const Hello& hello);
 std::string frame_of(const Message& message);
 std::string frame_of(const Payload& payload);
-/// Of a frame's message. Throws framing::FrameError where it is none, or is over a bound above.
+/// Decodes the body of a frame. Throws framing::FrameError if it is malformed or exceeds a limit above.
 FrameBody parse_frame_body(std::string_view bytes);
 
-/// Whether it may stand in a message: printable, without blanks, within kMostName.
+/// Whether the text can be a member name, address, zone or version: printable, without blanks, at most
+/// kMaxNameBytes long.
 bool is_valid_name(std::string_view text);
 const char* name_of(State state);
 const char* name_of(Evidence evidence);
--- a/tests/fleet/fleet_test.cpp
+++ b/tests/fleet/fleet_test.cpp
@@ -1,4 +1,5 @@
-// Who is alive, in virtual time: the program's own protocol over modelled links, each play from one seed.
+// Failure detection in virtual time: the real fleet::Fleet over simulated links, each run determined by a
+// seed.
 #include "fleet/fleet.h"
 
 #include <gtest/gtest.h>
@@ -18,7 +19,7 @@
 using fleet::ObservedState;
 using fleet::State;
 
-/// A member that another came to hold dead, in spite of its being up, reachable and awake all the while.
+/// Deaths reported of members that were up, reachable and running all the time.
 std::size_t false_deaths(const FleetModel& model, const std::set<std::size_t>& excused = {}) {
     return static_cast<std::size_t>(
         std::count_if(model.seen().begin(), model.seen().end(), [&](const auto& s) {
@@ -26,7 +27,7 @@
         }));
 }
 
-/// When the last of those that are up came to hold it dead; 0 where not all have.
+/// The time until the last running member declared it dead; 0 if not all did.
 Duration time_until_all_detected(const FleetModel& model, std::size_t subject, Time since) {
     std::set<std::size_t> observers;
     Time last = since;
@@ -57,7 +58,7 @@
     return options;
 }
 
-/// All started within 100 ms, and of one mind.
+/// Starts all members within 100 ms and waits until they agree.
 void settle(FleetModel& model) {
     model.start_all(100ms);
     model.run_until(model.now() + 100ms);
@@ -80,7 +81,8 @@
 }
 INSTANTIATE_TEST_SUITE_P(Fleet, FleetSize, ::testing::Values(2, 3, 5, 30, 300));
 
-// Each seed is joined by others before it has asked the other seed.
+// Each seed is joined by other members before it has contacted the other seed, so that the fleet begins in
+// two parts. They must find each other.
 TEST(Fleet, TwoSeedsThatStartAtOnceAreOneFleetSoon) {
     for (std::uint64_t seed = 1; seed <= 40; ++seed) {
         FleetModel::Options options = options_for(12, seed);
@@ -105,8 +107,8 @@
             return true;
         },
         12s));
-    EXPECT_GT(model.now() - cut, 2s);   // shorter stalls are borne
-    model.run_until(model.now() + 3s);  // until it is told of
+    EXPECT_GT(model.now() - cut, 2s);   // shorter stalls are tolerated
+    model.run_until(model.now() + 3s);  // until the loss is reported
     model.cut_apart({7}, false);
     EXPECT_TRUE(model.run_until([&] { return model.all_agree(); }, 20s));
     EXPECT_TRUE(event_reported(model, FleetEvent::Kind::Returned, 29));
@@ -143,7 +145,7 @@
     }
     model.run_until(model.now() + 10s);
     ASSERT_TRUE(model.run_until([&] { return model.all_agree(); }, 20s));
-    // Those that slept may be called dead; they call nobody so on waking.
+    // Those that were stopped may be declared dead; on waking they declare nobody dead.
     EXPECT_EQ(false_deaths(model, half), 0u);
     EXPECT_TRUE(event_reported(model, FleetEvent::Kind::OwnStall, 15));
     EXPECT_TRUE(event_reported(model, FleetEvent::Kind::MassLoss, 10, 12));
@@ -153,7 +155,7 @@
     FleetModel model(options_for(20, 8));
     settle(model);
     for (std::size_t i = 0; i < 20; ++i) {
-        if (i != 3) model.cut(i, 3);  // what it says still arrives
+        if (i != 3) model.cut(i, 3);  // what it sends still arrives
     }
     model.run_until(model.now() + 30s);
     for (const auto& seen : model.seen()) {
@@ -267,7 +269,8 @@
     EXPECT_TRUE(model.run_until([&] { return model.all_agree(); }, 30s));
 }
 
-/// Faults of every kind from one seed; then quiet, and all of one mind within a bound.
+/// Random faults of every kind, drawn from one seed. After they end, all members must agree within a bounded
+/// time.
 class FaultSchedules : public ::testing::TestWithParam<std::uint64_t> {};
 
 TEST_P(FaultSchedules, Converge) {
@@ -308,7 +311,7 @@
     for (std::size_t a = 0; a < 12; ++a) {
         for (std::size_t b = 0; b < 12; ++b) model.cut(a, b, false);
     }
-    model.run_until(model.now() + 5s);  // until the last stall and leave are over
+    model.run_until(model.now() + 5s);  // until the last stall and leave have ended
     for (std::size_t i = 0; i < 12; ++i) {
         if (!model.is_up(i)) model.start(i);
     }
--- a/tests/fleet/golden_test.cpp
+++ b/tests/fleet/golden_test.cpp
@@ -1,4 +1,4 @@
-// What members of a fleet say against bytes that an earlier commit wrote: tests/golden/README.md.
+// Fleet messages against bytes that an earlier commit wrote: tests/golden/README.md.
 #include "golden.h"
 
 #include <gtest/gtest.h>
@@ -13,7 +13,8 @@
     return std::string(GOLDEN_DIR) + "/fleet/" + name;
 }
 
-/// The fixture's message, after it was seen that both `now` and what was read are written as it is.
+/// Returns the message of the fixture. Checks that both `now` and the decoded message encode to the fixture's
+/// bytes.
 template <class Kind>
 Kind read_back(const std::string& file, const Kind& now) {
     const std::string bytes = golden::kept(path_of(file), frame_of(now));
--- a/tests/fleet/wire_test.cpp
+++ b/tests/fleet/wire_test.cpp
@@ -1,5 +1,5 @@
-// What members say, as bytes: it comes back as it was, and nothing that is not so does harm. What they claim:
-// against a plain model.
+// Encoding of fleet messages: round trips, and malformed input does no harm. Also the precedence of
+// membership updates against a reference model, and the send queue, suspicion and gossip queue.
 #include "fleet/wire.h"
 
 #include <gtest/gtest.h>
@@ -76,7 +76,7 @@
     }
 }
 
-/// The checksum does not stand in the way here: what is inside is damaged.
+/// Damages the body behind the frame's checksum, so that the damage reaches the decoder.
 RC_GTEST_PROP(FleetWire, DamagedMessagesAreRejectedOrWithinLimits, ()) {
     std::string frame = frame_of(any_message());
     std::string bytes = frame.substr(framing::kFrameHead);
@@ -122,13 +122,13 @@
     update.address = "a:1";
     message.updates = {update};
     EXPECT_THROW(read_back(frame_of(message)), framing::FrameError);
-    update.id.name = "a b";  // it would break the lines of the console
+    update.id.name = "a b";  // a blank would break the lines of the console
     message.updates = {update};
     EXPECT_THROW(read_back(frame_of(message)), framing::FrameError);
     update.id.name = "n";
     message.updates.assign(kMaxUpdates + 1, update);
     EXPECT_THROW(read_back(frame_of(message)), framing::FrameError);
-    // The longest message there is goes into one frame: nothing of the network may end the program.
+    // The longest valid message fits in one frame: no network input may end the program.
     const std::string longest(kMaxNameBytes, 'n');
     update.id = {longest, ~std::uint64_t{0}};
     update.address = update.zone = update.version = update.reported_by = longest;
@@ -140,7 +140,7 @@
     EXPECT_NO_THROW(read_back(frame_of(message)));
 }
 
-/// Which of two claims about one member stands, as a table.
+/// The rules by which an update supersedes the known state of a member.
 struct Held {
     State state;
     std::uint64_t incarnation;
@@ -151,7 +151,7 @@
         case State::Alive:
             return update.incarnation > held.incarnation && held.state != State::Left;
         case State::Suspect:
-        case State::Dead:  // heard from another, a death is a doubt at first
+        case State::Dead:  // a reported death is a suspicion at first
             return (here && update.incarnation >= held.incarnation &&
                     !(held.state == State::Suspect && update.incarnation == held.incarnation)) ||
                    (update.state == State::Suspect && held.state == State::Dead &&
@@ -249,7 +249,7 @@
     EXPECT_FALSE(suspicion.confirm("e"));
     suspicion.postpone(2s);
     EXPECT_EQ(suspicion.deadline(), since + 5s);
-    // With nobody else to ask it has the least.
+    // With nobody else to confirm, the timeout is the minimum.
     EXPECT_EQ(Suspicion(since, 3s, 9s, 0).deadline(), since + 3s);
 }
 
