--- a/src/peers/peers.cpp
+++ b/src/peers/peers.cpp
@@ -21,24 +21,24 @@
 
 namespace {
 
-constexpr Duration kConnectTimeout = 1s;  // for a link to come up: a path that drops packets says nothing
-constexpr Duration kHelloTimeout = 1s;    // for the other side's hello; a stalled process says nothing either
-constexpr Duration kFrameTimeout = 2s;    // for the rest of a frame: a damaged length would wait for ever
-constexpr Duration kUnresponsiveAfter =
-    5s;  // asked for so long without a byte in answer, a link is dialled anew
+constexpr Duration kConnectTimeout = 1s;  // to connect: a path that drops packets gives no error
+constexpr Duration kHelloTimeout = 1s;    // for the peer's hello: a stalled process gives no error either
+constexpr Duration kFrameTimeout = 2s;    // for the rest of a frame: with a corrupt length it may never come
+// A link on which a ping was unanswered for so long, without a byte received, is dialled anew.
+constexpr Duration kUnresponsiveAfter = 5s;
 constexpr Duration kListenRetryDelay = 1s;
-constexpr Duration kAcceptRetryDelay = 50ms;  // after running out of descriptors
+constexpr Duration kAcceptRetryDelay = 50ms;  // such as after running out of descriptors
 constexpr std::size_t kMaxWriteBytes = 64 * 1024;
-constexpr std::size_t kMaxMessagesPerSecond =
-    2000;                          // a second and link; a fleet of 300 that starts at once sends 50
-constexpr Duration kBanTime = 5s;  // whoever floods is not heard for so long
+// Per link. A fleet of 300 that starts at once sends 50.
+constexpr std::size_t kMaxMessagesPerSecond = 2000;
+constexpr Duration kBanTime = 5s;  // how long an address that floods is refused
 constexpr std::size_t kMaxBanned = 256;
-constexpr std::size_t kMaxEvents = 256;  // that can be read again
+constexpr std::size_t kMaxEvents = 256;  // kept for operators
 constexpr std::size_t kMaxStateChanges = 1024;
-constexpr std::size_t kMaxNamedMembers = 5;  // members by name in one line
-constexpr int kBacklog = 512;                // all of a fleet may dial one member at once
+constexpr std::size_t kMaxNamedMembers = 5;  // members named in one log line
+constexpr int kBacklog = 512;                // a whole fleet may dial one member at once
 
-/// What is no accident: whoever does so is not heard for a while.
+/// Thrown if a peer sends too many messages, which is no accident. Its address is banned for a while.
 struct MessageFlood : framing::FrameError {
     using FrameError::FrameError;
 };
@@ -89,7 +89,7 @@
                      [self = shared_from_this()] { self->close(Evidence::Silent); });
         error_code error;
         socket_.open(where.protocol(), error);
-        // From the address that it listens on, so that others can tell whose link this is.
+        // Connects from the listen address, so that peers can tell whose link this is.
         if (!error && !peers_.listens_on_any_address_) socket_.bind({peers_.listen_.address(), 0}, error);
         if (error) {
             timeout_.set(peers_.loop_.now(), [self = shared_from_this()] { self->close(Evidence::Silent); });
@@ -132,7 +132,7 @@
     void announce_and_close() {
         Message notice;
         notice.kind = Message::Kind::LinkClosing;
-        // At once, as far as the socket takes it: nothing waits for it.
+        // Written at once, as far as the socket accepts it: closing does not wait for the notice.
         const std::string frame = fleet::frame_of(notice);
         error_code ignored;
         if (phase_ == Phase::Up && !writing_) socket_.write_some(asio::buffer(frame), ignored);
@@ -157,7 +157,7 @@
     const Id& id() const { return id_; }
     const std::string& version() const { return version_; }
     Time last_used() const { return last_used_; }
-    /// Guards against a connection that stands and carries nothing, as after a machine's loss.
+    /// Whether the connection is open but dead, as after the loss of the peer's machine.
     bool unresponsive() const {
         return ping_unanswered_since_ != Time{} &&
                peers_.loop_.now() > ping_unanswered_since_ + kUnresponsiveAfter;
@@ -206,7 +206,7 @@
                 if (const auto* hello = std::get_if<fleet::Hello>(&body)) {
                     accept_hello(*hello);
                 } else {
-                    if (phase_ != Phase::Up) throw framing::FrameError("a message before the hello");
+                    if (phase_ != Phase::Up) throw framing::FrameError("message before the hello");
                     check_message_rate();
                     if (const auto* payload = std::get_if<fleet::Payload>(&body)) {
                         last_used_ = peers_.loop_.now();
@@ -232,7 +232,7 @@
             peers_.bad_links_.add();
             return close(Evidence::Stalled);
         } catch (const framing::FrameError&) {
-            // This link alone: what others say is not touched by it.
+            // Closes this link only; other links are not affected.
             peers_.bad_links_.add();
             return close(Evidence::Stalled);
         }
@@ -251,10 +251,10 @@
         read();
     }
     void accept_hello(const fleet::Hello& hello) {
-        if (phase_ != Phase::Handshaking) throw framing::FrameError("a second hello");
-        if (hello.fleet != peers_.options_.name) throw framing::FrameError("of another fleet");
+        if (phase_ != Phase::Handshaking) throw framing::FrameError("duplicate hello");
+        if (hello.fleet != peers_.options_.name) throw framing::FrameError("hello of another fleet");
         if (hello.newest < fleet::kOldestWireVersion || hello.oldest > fleet::kNewestWireVersion)
-            throw framing::FrameError("no wire version in common");
+            throw framing::FrameError("no common wire version");
         id_ = hello.id;
         version_ = hello.version;
         if (!outbound_) address_ = hello.address;
@@ -263,14 +263,14 @@
         peers_.hello_received(*this);
         flush();
     }
-    /// Guards against a peer that floods: it would take the time of the loop that serves requests.
+    /// Limits the message rate of a peer: a flood would take time from the loop that serves requests.
     void check_message_rate() {
         const Time now = peers_.loop_.now();
         if (now >= rate_window_start_ + 1s) {
             rate_window_start_ = now;
             messages_in_window_ = 0;
         }
-        if (++messages_in_window_ > kMaxMessagesPerSecond) throw MessageFlood("too many messages");
+        if (++messages_in_window_ > kMaxMessagesPerSecond) throw MessageFlood("message rate limit exceeded");
     }
 
     Peers& peers_;
@@ -325,7 +325,7 @@
 }
 
 Peers::~Peers() {
-    pumping_ = true;  // nothing is sent from here on
+    pumping_ = true;  // prevents further sends
     while (!links_.empty()) links_.front()->close(Evidence::Silent);
 }
 
@@ -339,21 +339,21 @@
     acceptor_.open(listen_.protocol(), error);
     if (!error) acceptor_.set_option(asio::socket_base::reuse_address(true), error);
     if (!error) acceptor_.bind(listen_, error);
-    // An upgrade's two halves are there at once, and the elder has the port.
+    // During a handover both processes run, and the old one holds the port.
     if (error && successor_) acceptor_.bind({listen_.address(), 0}, error);
     if (!error) acceptor_.listen(kBacklog, error);
     if (error) {
-        // Requests are served without a fleet: this is no reason not to start.
+        // Not fatal: requests are served without a fleet too.
         if (!std::exchange(listen_failure_logged_, true))
             martenford::tell(Event::FleetNoPlace,
-                             fmt::format("no place in the fleet: {}: {}", options_.listen, error.message()));
+                             fmt::format("fleet: can't listen at {}: {}", options_.listen, error.message()));
         error_code ignored;
         acceptor_.close(ignored);
         return listen_retry_.set(loop_.now() + kListenRetryDelay, [this] { listen(); });
     }
     acceptor_.non_blocking(true, error);
     const Address at = acceptor_.local_endpoint(error);
-    // An heir that found the port taken is advertised by the port that it has.
+    // A successor that found the port taken advertises the port that it got.
     const bool moved = listen_.port() != 0 && at.port() != listen_.port();
     std::string address = text_of(at);
     if (const auto advertised = parse_address(options_.advertise))
@@ -403,7 +403,8 @@
     });
 }
 
-/// Whoever finds no room is told that somebody is here: as far as the socket takes it, nothing waits for it.
+/// Tells a peer for which there is no room that this member is alive. Written as far as the socket accepts it
+/// at once; nothing waits for it.
 void Peers::reject(asio::ip::tcp::socket& socket) {
     const fleet::LocalMember& self = fleet_->self();
     Message notice;
@@ -417,7 +418,7 @@
     socket.shutdown(asio::ip::tcp::socket::shutdown_send, ignored);
 }
 
-/// The link that was idle longest makes room; one that has not come up yet does not.
+/// Closes the link that was idle longest, if the limit is reached. Links that are not yet up are kept.
 bool Peers::make_room() {
     if (links_.size() < options_.max_links) return true;
     std::shared_ptr<Link> idlest;
@@ -432,7 +433,7 @@
 }
 
 void Peers::pump() {
-    if (std::exchange(pumping_, true)) return;  // whoever is in it goes on
+    if (std::exchange(pumping_, true)) return;  // the outer call continues
     for (bool more = true; more;) {
         more = false;
         for (fleet::Fleet::Outgoing& each : fleet_->take_outgoing()) {
@@ -477,7 +478,8 @@
     if (const auto link = link_to(address)) link->put(fleet::Payload{std::move(bytes)});
 }
 
-/// Two that dialled each other at once have two links; when one ends the other is as good.
+/// Two members that dialled each other at the same time have two links. When one ends, the other serves as
+/// well.
 std::shared_ptr<Peers::Link> Peers::find_open_link(const std::string& address) {
     for (const auto& link : links_) {
         if (link->phase() != Link::Phase::Up || link->closing_announced() || link->address() != address)
@@ -524,7 +526,7 @@
     const bool written_to = it != by_address_.end() && it->second.lock() == self;
     if (written_to) by_address_.erase(it);
     if (fleet_ && link.phase_at_close() == Link::Phase::Up) {
-        // Two may dial each other at once: the other link stands.
+        // There may be a second link, if both members dialled at the same time.
         const bool other = std::any_of(links_.begin(), links_.end(), [&](const auto& each) {
             return each->phase() == Link::Phase::Up && each->id() == link.id();
         });
@@ -539,7 +541,7 @@
     pump();
 }
 
-// ---- what people are told ---------------------------------------------------------------------------
+// ---- reports to operators ---------------------------------------------------------------------------
 
 void Peers::report(const fleet::FleetEvent& fleet_event) {
     std::string who;
--- a/src/peers/peers.h
+++ b/src/peers/peers.h
@@ -1,5 +1,5 @@
-// Links between the sidecars of a fleet, over TCP, and this process's place in it. The only package that
-// holds sockets to other sidecars; who is alive is decided by fleet::Fleet.
+// TCP links between the sidecars of a fleet, and this process's membership in it. This is the only package
+// that holds sockets to other sidecars; fleet::Fleet decides who is alive.
 #pragma once
 
 #include <boost/asio/ip/tcp.hpp>
@@ -25,29 +25,27 @@
 
 class Peers {
   public:
-    /// Descriptors beside the links': the listener, and one that is accepted only to be told that there is no
-    /// room.
+    /// Descriptors apart from the links': the listener, and a connection that is accepted only to be rejected
+    /// for lack of room.
     static constexpr std::size_t kOtherSockets = 2;
 
-    /// `name`, `zone`: this sidecar's; `heir`: an earlier process of it hands over to this one. `options`
-    /// outlives it.
+    /// `name`, `zone` and `version` are this sidecar's. `options` must outlive this object.
     Peers(Loop& loop, const fleet::Options& options, std::string name, std::string zone, std::string version,
           Counters& counters);
     ~Peers();
 
     void start(bool successor);
-    /// Tells the others. The links stay until the process ends.
+    /// Announces that this member leaves. The links stay open until the process ends.
     void leave();
-    /// Calls of operators: "fleet members", "fleet links", "fleet events SINCE", "fleet
-    /// turns SINCE". Nothing where it is none of
-    /// these.
+    /// Answers the operators' commands "fleet members", "fleet links", "fleet events SINCE" and "fleet turns
+    /// SINCE". Returns nullopt for any other line.
     std::optional<std::string> answer(std::string_view line) const;
-    /// What another package says over the same links: `call` gets what comes, from whom, and where they are
-    /// reached. It throws framing::FrameError where it can't be read, and the link ends.
+    /// Sets the handler for messages of another package over the same links; it gets the sender's id, its
+    /// advertised address and the message. If it throws framing::FrameError, the link is closed.
     using PayloadHandler =
         std::function<void(const fleet::Id& from, const std::string& address, const std::string& bytes)>;
     void on_payload(PayloadHandler call) { on_payload_ = std::move(call); }
-    /// May be lost, as a link may be.
+    /// Sends a message of another package. It is lost if the link is.
     void send_payload(const std::string& address, std::string bytes);
     std::vector<fleet::Fleet::MemberAddress> sample_peers(std::size_t count) {
         return fleet_ ? fleet_->sample_peers(count) : std::vector<fleet::Fleet::MemberAddress>{};
@@ -87,10 +85,10 @@
     asio::ip::tcp::acceptor acceptor_;
     Timer tick_, listen_retry_, leave_;
     Links links_;
-    std::map<std::string, std::weak_ptr<Link>> by_address_;  ///< the link that is written to
-    /// Addresses whose links are refused for a while: floods.
+    std::map<std::string, std::weak_ptr<Link>> by_address_;  ///< the link used for sending
+    /// Addresses that are refused until the given time, because they flooded.
     std::map<asio::ip::address, Time> banned_;
-    /// What operators may read again, with a number each.
+    /// Recent events for operators, with consecutive numbers.
     std::deque<std::pair<std::uint64_t, std::string>> events_;
     std::uint64_t last_event_ = 0;
     struct NumberedStateChange {
--- a/src/peers/queue.h
+++ b/src/peers/queue.h
@@ -1,5 +1,5 @@
-// What waits to be written on one link: bounded in bytes, what is needed soonest first, and what a later
-// message replaces goes. Pure.
+// The send queue of one link: limited in bytes and ordered by urgency; a message that a later one supersedes
+// is removed. No I/O.
 #pragma once
 
 #include <array>
@@ -16,12 +16,12 @@
   public:
     explicit SendQueue(std::size_t max_bytes) : max_bytes_(max_bytes) {}
 
-    /// What can't be held is dropped: of what waits, the least urgent and oldest first.
+    /// If the queue exceeds its limit, the least urgent messages are dropped, the oldest of them first.
     void put(const fleet::Message& message) {
         using Kind = fleet::Message::Kind;
         const std::size_t priority = priority_of(message.kind);
         auto& queue = queues_[priority];
-        // A link that is pushed back: the later of these says all that the earlier did.
+        // The link is congested: a later message of these kinds supersedes the earlier one.
         if (message.kind == Kind::Ping || message.kind == Kind::SyncRequest) {
             for (auto it = queue.begin(); it != queue.end(); ++it) {
                 if (it->kind != message.kind) continue;
@@ -34,12 +34,12 @@
         queue.push_back({message.kind, fleet::frame_of(message)});
         enforce_limit(queue.back().frame.size());
     }
-    /// Behind all that is said of who is alive.
+    /// Queued behind all membership messages.
     void put(const fleet::Payload& payload) {
         queues_[kPriorities - 1].push_back({fleet::Message::Kind::Gossip, fleet::frame_of(payload)});
         enforce_limit(queues_[kPriorities - 1].back().frame.size());
     }
-    /// Up to about `most` bytes, whole frames, at least one where any waits.
+    /// Returns whole frames of up to `max` bytes in all, but at least one frame if any is queued.
     std::string take(std::size_t max) {
         std::string result;
         for (auto& queue : queues_) {
@@ -48,7 +48,7 @@
                 bytes_ -= queue.front().frame.size();
                 queue.pop_front();
             }
-            if (!queue.empty()) break;  // nothing less urgent slips past it
+            if (!queue.empty()) break;  // less urgent messages don't overtake it
         }
         return result;
     }
@@ -76,7 +76,7 @@
             case Kind::PingRequest:
             case Kind::Ack:
             case Kind::Nack:
-                return 0;  // whose lateness is held against somebody
+                return 0;  // a late one causes a false suspicion
             case Kind::Gossip:
             case Kind::LinkClosing:
                 return 1;
--- a/tests/peers/fleet_process_test.cpp
+++ b/tests/peers/fleet_process_test.cpp
@@ -1,5 +1,5 @@
-// Several processes of the program as one fleet, with faults in them and between them. Conditions are awaited
-// within a bound; checkers read the one history of a play.
+// A fleet of real processes, with faults in the processes and on the links between them. Conditions are
+// awaited with a timeout; checkers then read the history of the run.
 #include <gtest/gtest.h>
 #include <sys/socket.h>
 
@@ -17,13 +17,13 @@
 namespace martenford::emulator {
 namespace {
 
-/// Longer and larger plays are asked for by tests/long/fleet_schedules.sh.
+/// tests/long/fleet_schedules.sh asks for longer and larger runs.
 std::size_t number_from_environment(const char* name, std::size_t otherwise) {
     const char* value = std::getenv(name);
     return value ? std::strtoul(value, nullptr, 10) : otherwise;
 }
 
-constexpr Duration kTimeout = 30s;  // for what must come; nothing is asserted on how soon
+constexpr Duration kTimeout = 30s;  // for conditions that must come true; how soon is not checked
 
 class Folder {
   public:
@@ -64,7 +64,7 @@
     bool agrees() {
         return rig.await([&] { return rig.all_agree(); }, kTimeout);
     }
-    /// Whether the log of each of these says it.
+    /// Whether the log of each of these members contains the text.
     bool all_logged(const std::set<std::size_t>& who, const std::string& text) {
         return rig.await(
             [&] {
@@ -85,7 +85,7 @@
         return true;
     }
 
-    Folder folder;  // outlives the processes' files
+    Folder folder;  // outlives the processes, which have files in it
     Loop loop;
     FleetRig rig;
 };
@@ -161,12 +161,13 @@
 TEST(FleetProcesses, ANetworkPauseCausesNoReconnectStormWithFewLinks) {
     FleetOf fleet(24, 1, "links = 5\n");
     fleet.settle();
-    // All links at once, for longer than any patience: each is refused, evicted or dialled anew by all.
+    // Blocks all links for longer than any timeout. Each is then refused, evicted or dialled anew by all
+    // members.
     const Time until = fleet.loop.now() + 1500ms;
     while (fleet.loop.now() < until) std::this_thread::sleep_for(50ms);
     fleet.rig.run_for(3s);
     EXPECT_TRUE(fleet.agrees());
-    // On a loaded machine it stands for longer than the bound on stalls: who is called dead then is so for a
+    // On a loaded machine the pause exceeds the stall tolerance; then members may be declared dead for a
     // moment.
     EXPECT_EQ(joined(false_deaths(fleet.rig.history(), 2s, 0s)), "");
 }
@@ -186,7 +187,7 @@
     FleetOf fleet(7);
     fleet.settle();
     fleet.rig.net().each_pair(fleet.rig.others({2}), {2}, [](LinkFaults& f) { f.cut = true; });
-    // What it says still arrives; it must not make the others believe that they are dead.
+    // What it sends still arrives, and must not make the others declare each other dead.
     fleet.rig.run_for(10s);
     EXPECT_EQ(joined(false_deaths(fleet.rig.history(), 0s, 0s, {2})), "");
     fleet.rig.net().heal();
@@ -240,7 +241,7 @@
     ASSERT_TRUE(fleet.agrees());
     fleet.rig.net().each_pair(fleet.rig.all(), {7}, [](LinkFaults& f) { f.most_frame = 200; });
     fleet.rig.start(7);
-    // It can't be given the list; what it is told piece by piece still makes it one of them.
+    // The member list does not get through; single updates still make it a member.
     ASSERT_TRUE(fleet.rig.await([&] { return fleet.rig.holds_of(3, 7) == "alive"; }, kTimeout));
     fleet.rig.run_for(4s);
     EXPECT_EQ(joined(false_deaths(fleet.rig.history(), 0s, 0s)), "");
@@ -293,7 +294,7 @@
     ASSERT_TRUE(fleet.agrees());
     fleet.rig.start(5, "n2");
     EXPECT_TRUE(fleet.all_logged({0, 1, 2, 3, 4, 5}, "fleet: doubled n2,n2"));
-    // The pair is a pair for as long as both are there.
+    // The conflict lasts as long as both processes run.
     fleet.rig.kill(5);
     EXPECT_TRUE(fleet.rig.await(
         [&] {
@@ -309,7 +310,7 @@
     ASSERT_TRUE(fleet.agrees());
     fleet.rig.start(4, "n2");
     ASSERT_TRUE(fleet.all_logged({4}, "takes over from an earlier process"));
-    ASSERT_TRUE(fleet.agrees());  // five processes, two of them of one name
+    ASSERT_TRUE(fleet.agrees());  // five processes, two of them with the same name
     fleet.rig.run_for(3s);
     EXPECT_TRUE(fleet.none_logged("doubled"));
     fleet.rig.end(2);
@@ -321,7 +322,7 @@
     fleet.settle();
     const auto target = parse_address(fleet.rig.net().advertised(0));
     ASSERT_TRUE(target);
-    // Straight to the process, past the relay.
+    // Connects to the process directly, not through the relay.
     std::string log_line;
     for (const std::string& line : fleet.rig.log(0)) {
         if (line.find("': listens at ") != line.npos) log_line = line;
@@ -346,7 +347,7 @@
     for (const std::string& bytes : {flood, fleet::frame_of(foreign), torn, huge, fleet::frame_of(ping)}) {
         asio::io_context io;
         asio::ip::tcp::socket socket(io);
-        // Each from an address of its own: whoever says such things is shunned for a while.
+        // Each from its own address, because the address of a flood is banned for a while.
         static int from = 1;
         socket.open(asio::ip::tcp::v4());
         socket.bind({asio::ip::make_address("127.3.0." + std::to_string(from++)), 0});
@@ -369,7 +370,7 @@
 TEST(FleetProcesses, ClientConnectionsDoNotExhaustFleetLinks) {
     FleetOf fleet(6, 1, "links = 8\n", 96);
     fleet.settle();
-    // Many more than it has descriptors; it serves whom it can, and its links have their own.
+    // Many more than it has descriptors. It serves as many as it can, and descriptors for links are reserved.
     asio::io_context io;
     std::vector<asio::ip::tcp::socket> clients;
     for (int i = 0; i < 300; ++i) {
@@ -383,12 +384,13 @@
     EXPECT_EQ(joined(false_deaths(fleet.rig.history(), 0s, 0s)), "");
 }
 
-/// Faults of every kind from one seed on real processes; then quiet, and all of one mind.
+/// Random faults of every kind on real processes, drawn from one seed. After they end, all members must
+/// agree.
 class FleetSchedules : public testing::TestWithParam<std::uint64_t> {};
 
 TEST_P(FleetSchedules, Converge) {
     const std::size_t kMembers = number_from_environment("MARTENFORD_MEMBERS", 8);
-    // The rig has two descriptors for each link, and its own limit.
+    // The rig needs two descriptors for each link, and has a limit of its own.
     FleetOf fleet(kMembers, GetParam(), kMembers > 100 ? "links = 16\n" : "");
     fleet.settle();
     std::mt19937_64 random(GetParam());
