--- a/src/discovery/discovery.cpp
+++ b/src/discovery/discovery.cpp
@@ -17,20 +17,21 @@
 
 namespace {
 
-constexpr std::chrono::milliseconds kWatchTimeout = 20s;  // how long a watch may wait for news
-constexpr Duration kResponseGrace = 4s;                   // and how much longer discovery may take to say so
-constexpr Duration kConnectTimeout = 1500ms;  // for its connection: what does not come up so soon never may
-constexpr Duration kRequestJitter = 500ms;    // all sidecars may suspect a list at once
-constexpr Duration kBodyTimeout =
-    1500ms;  // for the rest of an answer that has begun: lists come in one piece, or stall
-constexpr Duration kInitialRetryDelay = 100ms,
-                   kMaxRetryDelay = 2s;  // an agent that does not answer is asked again
-constexpr std::size_t kMaxListBytes =
-    32 * 1024 * 1024;  // 100,000 endpoints at 200 bytes, and half as many again
+// How long discovery may hold a watch without changes.
+constexpr std::chrono::milliseconds kWatchTimeout = 20s;
+constexpr Duration kResponseGrace = 4s;       // time to answer beyond that
+constexpr Duration kConnectTimeout = 1500ms;  // to connect; what takes longer may never come up
+constexpr Duration kRequestJitter = 500ms;    // as all sidecars may suspect their list at once
+// For the rest of an answer that has begun: lists arrive in one piece or stall.
+constexpr Duration kBodyTimeout = 1500ms;
+// Retry delays after an agent failed.
+constexpr Duration kInitialRetryDelay = 100ms, kMaxRetryDelay = 2s;
+// 100,000 endpoints of 200 bytes, and half as much again.
+constexpr std::size_t kMaxListBytes = 32 * 1024 * 1024;
 
-constexpr std::size_t kLargeListBytes = 64 * 1024;  // what changes bring is much less
+constexpr std::size_t kLargeListBytes = 64 * 1024;  // deltas are much smaller
 
-/// When the Unix epoch was, on the loop's clock.
+/// The time of the Unix epoch on the loop's clock.
 Time unix_epoch() {
     const auto wall = std::chrono::system_clock::now().time_since_epoch();
     return Loop::monotonic() - std::chrono::duration_cast<Duration>(wall);
@@ -38,7 +39,8 @@
 
 }  // namespace
 
-/// A connection to discovery and the call on it. Handlers hold it, so it may be dropped at any time.
+/// A connection to discovery and the request on it. Handlers share its ownership, so it may be dropped at any
+/// time.
 struct Discovery::Exchange {
     explicit Exchange(Loop& loop) : socket(loop.io()), limit(loop) {}
     asio::ip::tcp::socket socket;
@@ -101,10 +103,10 @@
     if (address == address_) return;
     close_exchange(old_exchange_);
     tell(martenford::Event::DiscoveryMoves,
-         "discovery: moves to " + address.address().to_string() + ":" + std::to_string(address.port()));
+         "discovery: switching to " + address.address().to_string() + ":" + std::to_string(address.port()));
     address_ = address;
-    // Guards against a revision that means something else to the new agent: it is asked for the whole list,
-    // and changes from it are no use before that.
+    // A revision means something else to the new agent: it is asked for the full list, and its deltas are
+    // rejected until then.
     membership_.reset_revision();
     restart_request();
 }
@@ -129,7 +131,7 @@
     exchange->call.set(http::field::host, "discovery");
     exchange->answer.emplace();
     exchange->answer->body_limit(kMaxListBytes);
-    // By address: the exchange's own timer must not keep it.
+    // A raw pointer: the exchange's own timer must not keep it alive.
     const auto fail = [this, own = exchange.get()](const std::string& why) {
         if (own == old_exchange_.get()) {
             close_exchange(old_exchange_);
@@ -137,7 +139,7 @@
             request_failed(why);
         }
     };
-    exchange->limit.set(Loop::monotonic() + kConnectTimeout, [fail] { fail("no connection in time"); });
+    exchange->limit.set(Loop::monotonic() + kConnectTimeout, [fail] { fail("connect timed out"); });
     const auto is_current = [this, exchange, fail](const error_code& error, const char* what) {
         if (exchange_ != exchange && old_exchange_ != exchange) return false;
         if (error) fail(std::string(what) + ": " + error.message());
@@ -148,7 +150,7 @@
         const auto answer = exchange->answer->release();
         if (answer.result_int() != 200) return fail("status " + std::to_string(answer.result_int()));
         if (exchange == old_exchange_)
-            std::swap(exchange_, old_exchange_);  // it spoke after all, and is the watch again
+            std::swap(exchange_, old_exchange_);  // it answered after all and becomes the watch again
         close_exchange(old_exchange_);
         if (!answer.keep_alive()) exchange_.reset();
         exchange->buffer.shrink_to_fit();
@@ -156,19 +158,18 @@
     };
     const auto written = [exchange, is_current, fail, read](const error_code& error, std::size_t) {
         if (!is_current(error, "write")) return;
-        // Guards against a list that breaks off in silence: what it has to tell would be missed until the
-        // watch's end, while a fresh call brings it at once.
+        // A list may break off silently. Without the shorter timeout its changes would be missed until the
+        // watch ends, while a new request gets them at once.
         exchange->socket.async_wait(
             asio::ip::tcp::socket::wait_read, [exchange, is_current, fail, read](const error_code& e) {
                 if (!is_current(e, "wait")) return;
-                exchange->limit.set(Loop::monotonic() + kBodyTimeout,
-                                    [fail] { fail("an answer stopped half way"); });
+                exchange->limit.set(Loop::monotonic() + kBodyTimeout, [fail] { fail("incomplete answer"); });
                 http::async_read(exchange->socket, exchange->buffer, *exchange->answer, read);
             });
     };
     const auto write = [exchange, fail, written] {
         exchange->limit.set(Loop::monotonic() + kWatchTimeout + kResponseGrace,
-                            [fail] { fail("no answer in time"); });
+                            [fail] { fail("request timed out"); });
         http::async_write(exchange->socket, exchange->call, written);
     };
     if (!new_connection) return write();
@@ -186,11 +187,12 @@
     random_ = random.next();
     abandon_timer_.set(Loop::monotonic() + scaled(kRequestJitter, random.unit()), [this] {
         if (!exchange_) return;
-        tell(martenford::Event::DiscoveryAnew, "discovery: endpoints are not as listed; asked anew");
+        tell(martenford::Event::DiscoveryAnew,
+             "discovery: endpoints are not as listed; requesting the list again");
         watches_abandoned_.add();
-        // The old watch is heard on until the fresh call is answered. Guards against losing what discovery
-        // has just written to it: that counts as told, and the fresh call may wait its turn for longer than
-        // a drain's grace.
+        // The old watch is kept until the new request is answered. Discovery may just have written changes to
+        // it, which then count as delivered, and the new request may be held for longer than a drain's grace:
+        // closing the old watch would lose them.
         close_exchange(old_exchange_);
         old_exchange_ = std::exchange(exchange_, nullptr);
         restart_request();
@@ -209,7 +211,8 @@
     tell(martenford::Event::DiscoveryTrouble, "discovery: " + why);
     close_exchange(exchange_);
     if (config_.settings.subscribe) return engine_.tell({Discovered::Kind::Failed, nullptr});
-    // The module asks only where lists must be asked for. Jitter: all sidecars may have failed at once.
+    // The decision module asks again only if lists must be requested. Jitter: all sidecars may have failed at
+    // once.
     retry_delay_ = std::clamp(retry_delay_ * 2, kInitialRetryDelay, kMaxRetryDelay);
     Random random(random_);
     random_ = random.next();
@@ -225,16 +228,16 @@
         request_full_list_ = false;
         auto update = membership_.apply_list(list, false, Loop::monotonic(), unix_epoch());
         if (update.discovered.kind == Discovered::Kind::Failed) {
-            return request_failed("an answer was skipped: " + update.log_text);
+            return request_failed("answer rejected: " + update.log_text);
         }
         received_list_ = true;
         abandon_timer_.cancel();
         staleness_.discovery_answered(!list.targets.empty(), Loop::monotonic());
         apply(std::move(update));
-        // The parser keeps some ten times the longest text that it has read.
+        // The parser keeps about ten times the size of the longest text that it has read.
         if (body.size() > kLargeListBytes) parser_ = simdjson::dom::parser();
     } catch (const json::FieldError& error) {
-        return request_failed("an answer was skipped: " + std::string(error.what()));
+        return request_failed("answer rejected: " + std::string(error.what()));
     }
     retry_delay_ = Duration{};
     send_request();
--- a/src/discovery/discovery.h
+++ b/src/discovery/discovery.h
@@ -1,4 +1,4 @@
-// Asks discovery for the list of endpoints and keeps watching it; what a list means is the membership's.
+// Requests the list of endpoints from discovery and watches it for changes; Membership interprets it.
 #pragma once
 
 #include <boost/beast/core/flat_buffer.hpp>
@@ -25,29 +25,31 @@
               const Membership::Options& options, Counters& counters);
     ~Discovery();
 
-    /// Tells the module what the configuration knew. Where lists are pushed, starts to watch.
+    /// Passes the list of the configuration to the decision module. If lists are pushed, starts to watch.
     void start();
-    /// Starts to watch, unless it does already. A failure is told to the module, which asks again.
+    /// Starts the watch unless it runs. If it fails, the decision module is told, which asks again.
     void subscribe();
-    /// Goes on at another address, at once; what is known stays until the agent there has told its list.
+    /// Switches to another address at once. Known endpoints stay until the agent there has delivered its
+    /// list.
     void set_address(const Address& address);
-    /// How an attempt ended: where a watch is silent and endpoints are not as listed, discovery is asked
-    /// anew.
+    /// Records the result of an attempt. If the watch is silent and endpoints are not as listed, discovery is
+    /// asked anew.
     void attempt_ended(EndpointId id, decision::Status status);
-    /// What others than discovery say of an endpoint.
+    /// Sets what sources other than discovery say about an endpoint.
     void set_endpoint_override(const std::string& uid,
                                const Membership::EndpointOverride& endpoint_override) {
         apply(membership_.set_endpoint_override(uid, endpoint_override));
     }
-    /// Called with each endpoint that discovery no longer lists as ready, and the list's revision.
+    /// Sets the function to be called with each endpoint that discovery no longer lists as ready, and the
+    /// list's revision.
     void on_drained(std::function<void(const Membership::Drained&, std::uint64_t)> call) {
         on_drained_ = std::move(call);
     }
     std::optional<EndpointId> id_of(const std::string& uid) const { return membership_.id_of(uid); }
     std::optional<std::string> uid_of(EndpointId id) const { return membership_.uid_of(id); }
-    /// Whether any endpoint is known to serve.
+    /// Whether any endpoint is listed as ready.
     bool has_ready() const { return membership_.has_ready(); }
-    /// Whether discovery itself has told a list since the start.
+    /// Whether discovery has delivered a list since the start.
     bool received_list() const { return received_list_; }
 
   private:
@@ -68,14 +70,15 @@
     Membership membership_;
     std::shared_ptr<Exchange> exchange_;  // the connection, while watching
     std::shared_ptr<Exchange>
-        old_exchange_;  // and one whose watch seems silent, until the fresh call is answered
+        // An older connection whose watch seems dead, kept until the new request is answered.
+        old_exchange_;
     Staleness staleness_;
     std::function<void(const Membership::Drained&, std::uint64_t)> on_drained_;
     Counter& watches_abandoned_;
     Timer retry_timer_, removal_timer_, abandon_timer_;
     Duration retry_delay_{};
     bool received_list_ = false;
-    bool request_full_list_ = false;  // the next call asks for the whole list
+    bool request_full_list_ = false;  // the next request asks for the full list
     std::uint64_t random_;
     simdjson::dom::parser parser_;
 };
--- a/src/membership/membership.cpp
+++ b/src/membership/membership.cpp
@@ -10,10 +10,11 @@
 using decision::EndpointList;
 
 namespace {
-constexpr Duration kIdReuseDelay = 60s;  // longer than any attempt that may still bear the id
-/// Others' word takes at most this part of the ready away: all that are wrong together leave half.
+constexpr Duration kIdReuseDelay = 60s;  // longer than any attempt that may still refer to the id
+/// Hints may take out of use at most the ready endpoints divided by this: however many sidecars are wrong,
+/// half remain.
 constexpr std::size_t kHintedDivisor = 2;
-constexpr std::size_t kMaxReservedIds = 200'000;  // a fleet of 10,000 replaced every 3 s
+constexpr std::size_t kMaxReservedIds = 200'000;  // 10,000 endpoints replaced every 3 s
 }  // namespace
 
 std::uint32_t uid_hash(const std::string& uid) {
@@ -48,14 +49,14 @@
     return std::nullopt;
 }
 
-/// By the uid alone, as far as two don't meet. Of two uids with one hash the one that came second hashes on,
-/// with the number of the try behind its name: which of them came first may differ between sidecars, and then
-/// those two stand elsewhere in their rings; nothing else does.
+/// The id is the uid's hash. If two uids collide, the one that came second hashes its uid with the number of
+/// the attempt appended. Which one came first may differ between sidecars; then these two endpoints have
+/// other places in their rings, and nothing else changes.
 EndpointId Membership::assign_id(const std::string& uid) {
     if (const auto reserved = reserved_ids_.find(uid); reserved != reserved_ids_.end()) {
         const EndpointId id = reserved->second.id;
         reserved_ids_.erase(reserved);
-        return id;  // still taken
+        return id;  // still in used_ids_
     }
     std::uint32_t id = uid_hash(uid);
     for (int attempt = 1; !used_ids_.insert(id); ++attempt) {
@@ -71,7 +72,7 @@
         const auto [until, uid] = std::move(reservation_ends_.front());
         reservation_ends_.pop_front();
         const auto it = reserved_ids_.find(uid);
-        // It may have come back, and gone again with a later end.
+        // The uid may have returned and gone again, with a later end.
         if (it == reserved_ids_.end() || it->second.until != until) continue;
         if (until > now) ++stats_.early_id_releases;
         used_ids_.erase(static_cast<std::uint32_t>(it->second.id));
@@ -93,8 +94,8 @@
     if (was_ready) --ready_;
     known.endpoint = target.endpoint;
     known.endpoint.id = known.id;
-    // Converted once a start, so that the module does not take a second reading of the clocks for a new
-    // start.
+    // Converted once per start: another reading of the two clocks would give another time, which the decision
+    // module would take for a new start.
     if (is_new || known.boot_ms != target.boot_ms) {
         known.boot_ms = target.boot_ms;
         if (target.boot_ms) known.endpoint.started = epoch + std::chrono::milliseconds(target.boot_ms);
@@ -111,7 +112,7 @@
     add_change(it->first, known, changes, update);
 }
 
-/// `uid` is a key of known_: it stays until the next list.
+/// `uid` must be a key of known_: the update refers to it until the next list.
 void Membership::add_change(const std::string& uid, const KnownEndpoint& known, EndpointList& changes,
                             Update& update) {
     const decision::Endpoint endpoint = effective(uid, known);
@@ -202,28 +203,30 @@
     const bool full = list.all || cached;
     if (!full && !revision_) {
         update.need_full_list = true;
-        update.log_text = "changes came where no list is held";
+        update.log_text = "a delta came without a current list";
         return update;
     }
-    // An answer that was overtaken, or a discovery that counts anew: what it says is not newer than what is
-    // held.
+    // An outdated answer, or a discovery that restarted its revisions: it is not newer than the current list.
     if (!full && list.revision < *revision_) {
         ++stats_.stale_lists;
         update.need_full_list = true;
-        update.log_text = "changes of revision " + std::to_string(list.revision) + " came after " +
-                          std::to_string(*revision_) + "; the whole list is asked for";
+        update.log_text = "delta of revision " + std::to_string(list.revision) +
+                          " is older than the current revision " + std::to_string(*revision_) +
+                          "; the full list is requested";
         revision_.reset();
         return update;
     }
 
-    std::vector<std::string> removals;  // in rising order: what follows must not go by a hash table's
+    std::vector<std::string>
+        // Sorted, so that the result does not depend on the order of a hash table.
+        removals;
     if (full) {
         std::unordered_set<std::string_view> listed;
         listed.reserve(list.targets.size() + list.unreadable.size());
         for (const Target& target : list.targets) {
             if (target.endpoint.availability != Availability::Gone) listed.insert(target.uid);
         }
-        // An entry that can't be read leaves the endpoint as it was.
+        // Unreadable entries leave their endpoints unchanged.
         for (const std::string& uid : list.unreadable) listed.insert(uid);
         for (const auto& [uid, known] : known_) {
             if (!listed.contains(uid)) removals.push_back(uid);
@@ -238,7 +241,7 @@
     std::sort(removals.begin(), removals.end());
     removals.erase(std::unique(removals.begin(), removals.end()), removals.end());
 
-    // A second whole list that says the same settles it; changes can only add to the doubt.
+    // A second full list with the same removals confirms them; deltas can only add to the pending ones.
     bool delay_removals = false;
     if (!(full && removals_due_)) {
         const auto serving = static_cast<std::size_t>(
@@ -251,11 +254,11 @@
     if (delay_removals) {
         ++stats_.delayed_lists;
         update.need_full_list = true;
-        update.log_text = "a list takes away " + std::to_string(removals.size()) + " of " +
-                          std::to_string(ready_) + " endpoints; it is doubted for " +
+        update.log_text = "a list removes " + std::to_string(removals.size()) + " of " +
+                          std::to_string(ready_) + " endpoints; the removals are delayed for " +
                           std::to_string(options_.removal_delay / 1ms) + " ms";
         pending_removals_.insert(removals.begin(), removals.end());
-        // Never later than the first removal's: no endpoint is used for longer than was promised.
+        // Never later than the due time of the first removals: no endpoint is used longer than promised.
         removals_due_ = std::min(removals_due_.value_or(Time::max()), now + options_.removal_delay);
     }
 
@@ -268,7 +271,8 @@
         for (const std::string& uid : removals) {
             if (!delay_removals) remove(uid, now, *changes, update);
         }
-        // A whole list replaces the module's: those that are doubted, or could not be read, are to be in it.
+        // A full list replaces the decision module's, so it must contain endpoints with pending removals and
+        // those whose entries were unreadable.
         std::vector<std::string> kept(list.unreadable);
         if (delay_removals) kept.insert(kept.end(), removals.begin(), removals.end());
         for (const std::string& uid : kept) {
@@ -284,7 +288,7 @@
         pending_removals_.clear();
         removals_due_.reset();
     }
-    // Discovery has told what is as new as the others' word: it goes by itself again.
+    // Discovery's list is now as new as the hint: discovery decides again.
     for (const std::string& uid : previously_hinted) {
         const auto it = known_.find(uid);
         if (it == known_.end() || !hinted_.contains(uid) ||
@@ -309,7 +313,7 @@
     std::sort(removals.begin(), removals.end());
     auto changes = std::make_shared<EndpointList>();
     for (const std::string& uid : removals) remove(uid, now, *changes, update);
-    update.log_text = std::to_string(removals.size()) + " endpoints that were doubted are gone";
+    update.log_text = std::to_string(removals.size()) + " endpoints removed after the delay";
     update.discovered.kind = Discovered::Kind::Delta;
     update.discovered.endpoints = std::move(changes);
     return update;
--- a/src/membership/staleness.cpp
+++ b/src/membership/staleness.cpp
@@ -8,18 +8,18 @@
 
 namespace {
 
-constexpr int kMinConnectFailures = 2;  // in a row: a process that listens refuses nobody
-constexpr int kMinRejections = 4;       // in a row: a full queue turns some away, a drain all
-constexpr Duration kMinRunDuration =
-    200ms;                              // that a run must last: a restart is over sooner than a list can tell
-constexpr Duration kRunExpiry = 10s;    // after which a run that nothing was added to says no more
-constexpr Duration kMinQuietTime = 2s;  // since discovery's last answer: news of the day is under way
-constexpr Duration kInitialWait = 2s;   // between two asks, doubled each time that brought nothing
-constexpr Duration kMaxWait = 16s;      // the longest, unless the replicas alone need more
-constexpr Duration kWaitPerReplica =
-    100ms;  // of discovery's time, so that a fleet of one mind does not crowd it
-constexpr std::size_t kMaxRuns =
-    256;  // endpoints looked at; more that fail at once are no matter of the list
+constexpr int kMinConnectFailures = 2;  // consecutive; a listening process refuses no connection
+constexpr int kMinRejections = 4;  // consecutive; a full queue rejects some requests, a draining endpoint all
+// Minimum length of a run: a restart ends before a list could report it.
+constexpr Duration kMinRunDuration = 200ms;
+constexpr Duration kRunExpiry = 10s;    // a run without further failures expires
+constexpr Duration kMinQuietTime = 2s;  // since discovery's last answer; an ordinary change may be under way
+constexpr Duration kInitialWait = 2s;   // between two requests; doubled each time that brings no change
+constexpr Duration kMaxWait = 16s;      // the maximum, unless the replicas need more
+// Share of discovery's time for each replica, so that a fleet that reacts together does not overload it.
+constexpr Duration kWaitPerReplica = 100ms;
+// Endpoints tracked; if more fail at once, the list is not the cause.
+constexpr std::size_t kMaxRuns = 256;
 
 }  // namespace
 
@@ -30,7 +30,8 @@
     if (now - run.since < kMinRunDuration) return false;
     if (run.connect_failures < kMinConnectFailures && run.connect_failures + run.rejections < kMinRejections)
         return false;
-    // Where others serve no more either, or turn as much away, it is load or the network, and no list helps.
+    // If other endpoints don't serve either, or reject as much, the cause is load or the network, and a new
+    // list does not help.
     const auto own = static_cast<std::uint64_t>(run.rejections);
     const std::uint64_t others = rejected_ - run.rejections_at_start - own;
     const bool served_elsewhere = served_ > run.served_at_start;
@@ -40,8 +41,8 @@
 bool Staleness::attempt_ended(EndpointId id, Status status, Time now) {
     if (status == Status::Ok) ++served_;
     if (status != Status::ConnectFailed && status != Status::Full) {
-        // Whatever else came shows that it takes requests; of what was ended here or never sent nothing is
-        // known.
+        // Any other answer shows that the endpoint accepts requests. An attempt that was cancelled here or
+        // never sent shows nothing.
         if (status == Status::Ok || status == Status::Error) runs_.erase(id);
         return false;
     }
--- a/src/membership/staleness.h
+++ b/src/membership/staleness.h
@@ -1,5 +1,5 @@
-// Whether the list of endpoints looks older than what attempts meet. Pure: outcomes, lists and times come in,
-// the wish to ask discovery again goes out. docs/daily-running.md has the reasons.
+// Detects that the list of endpoints is outdated, by the results of attempts. No I/O: results, lists and
+// times come in, requests to ask discovery again go out. The reasons are in docs/daily-running.md.
 #pragma once
 
 #include <cstddef>
@@ -11,29 +11,29 @@
 
 namespace martenford {
 
-/// A watch that has gone silent looks like one with nothing to tell. What tells them apart is endpoints that
-/// are listed as ready and take nothing any more, while others serve as ever.
+/// A dead watch looks like one without changes. The difference is that endpoints listed as ready accept no
+/// requests any more while others serve as before.
 class Staleness {
   public:
-    /// `replicas`: sidecars that may come to the same conclusion at one time; discovery must bear them all.
+    /// `replicas` is the number of sidecars that may ask discovery at the same time; it must bear them all.
     explicit Staleness(std::uint32_t replicas);
 
-    /// How an attempt at a listed endpoint ended. True: discovery is worth asking again, not before `told`
-    /// has been silent for a while and no oftener than every 2 s to 16 s.
+    /// Records the result of an attempt at a listed endpoint. Returns true if discovery should be asked
+    /// again: only if it has been silent for a while, and at most every 2 s to 16 s.
     bool attempt_ended(decision::EndpointId id, decision::Status status, Time now);
-    /// Discovery has answered; `changed`: with news.
+    /// Discovery has answered; `changed`: the list changed.
     void discovery_answered(bool changed, Time now);
 
     std::size_t suspects() const { return runs_.size(); }
 
   private:
-    /// Attempts in a row that an endpoint took nothing of, with what the others did meanwhile.
+    /// Consecutive attempts that an endpoint did not accept, and what other endpoints did meanwhile.
     struct FailureRun {
         Time since{};
         Time last{};
-        int connect_failures = 0;                                    // connections that did not come up
-        int rejections = 0;                                          // answered so, without having run
-        std::uint64_t served_at_start = 0, rejections_at_start = 0;  // by all, when the run began
+        int connect_failures = 0;  // connections that failed
+        int rejections = 0;        // requests that it rejected without running them
+        std::uint64_t served_at_start = 0, rejections_at_start = 0;  // totals when the run began
     };
     bool indicates_stale_list(const FailureRun& run, Time now) const;
 
@@ -41,7 +41,7 @@
     Duration wait_;
     Time last_answer_at_{}, last_request_at_{};
     bool requested_ = false;
-    std::uint64_t served_ = 0, rejected_ = 0;  // by all
+    std::uint64_t served_ = 0, rejected_ = 0;  // totals of all endpoints
     std::unordered_map<decision::EndpointId, FailureRun> runs_;
 };
 
--- a/src/membership/target.h
+++ b/src/membership/target.h
@@ -1,4 +1,4 @@
-// An endpoint as discovery lists it.
+// An endpoint as listed by discovery.
 #pragma once
 
 #include <cstdint>
@@ -13,15 +13,15 @@
 struct Target {
     std::string uid;
     Address address;
-    decision::Endpoint endpoint;  ///< its id and start are left to the membership
-    std::int64_t boot_ms = 0;     ///< Unix time; 0: long ago
+    decision::Endpoint endpoint;  ///< id and start are set by Membership
+    std::int64_t boot_ms = 0;     ///< Unix time in ms; 0: long ago
 };
 
 struct TargetList {
     std::uint64_t revision = 0;
     bool all = false;
     std::vector<Target> targets;
-    /// Uids of entries that were skipped; empty where that is wrong too.
+    /// Uids of entries that were skipped as unreadable; empty if the uid is unreadable too.
     std::vector<std::string> unreadable;
 };
 
--- a/tests/discovery/discovery_test.cpp
+++ b/tests/discovery/discovery_test.cpp
@@ -1,4 +1,4 @@
-// Lists of endpoints, the watch on them, and moving to another discovery.
+// Endpoint lists, the watch on them, and switching to another discovery agent.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -28,7 +28,7 @@
         200, list(43, false,
                   target("s-1", first.address(), "Terminating") + "," + target("s-2", second.address()))));
     EXPECT_TRUE(watch.receive().starts_with("GET /api/targets?since=43&timeout_ms="));
-    EXPECT_TRUE(at_first.ends());  // the idle connection to what drains is closed
+    EXPECT_TRUE(at_first.ends());  // the idle connection to the draining endpoint is closed
     client.send(look("r2"));
     Peer at_second = second.accept();
     at_second.receive();
@@ -49,7 +49,7 @@
     }
     Peer watch = discovery.accept();
     watch.receive();
-    // The whole list, with an entry for the known endpoint that can't be read: it stays as it was.
+    // A full list with an unreadable entry for the known endpoint, which stays unchanged.
     watch.send(answer(200, list(45, true, R"({"uid":"s-1","state":"Odd"},7,)" + target("s-2", "elsewhere"))));
     EXPECT_TRUE(has(watch.receive(), "since=45&"));
     Peer client = sidecar.client();
@@ -68,7 +68,7 @@
         Peer watch = discovery.accept();
         watch.receive();
         watch.send(whole.substr(0, part));
-        EXPECT_TRUE(watch.ends());  // this waits 20 s at most, a watch 24
+        EXPECT_TRUE(watch.ends());  // ends() waits 20 s at most, a watch 24 s
     }
     Peer watch = discovery.accept();
     watch.receive();
@@ -79,8 +79,8 @@
     EXPECT_TRUE(has(second.accept().receive(), "X-Request-ID: r1"));
 }
 
-/// One endpoint is gone, another serves, the watch says nothing. Then either the fresh call is answered or
-/// the old watch after all: whichever speaks first goes on as the watch, and the other is closed.
+/// One endpoint is gone, another serves, and the watch is silent. Then either the new request or the old
+/// watch is answered: the first that is becomes the watch, and the other connection is closed.
 void silent_watch(bool old_watch_answers) {
     Listener discovery, gone, healthy;
     Sidecar sidecar(config(discovery.address(),
@@ -89,7 +89,7 @@
     Peer watch = discovery.accept();
     EXPECT_TRUE(has(watch.receive(), "since=41&"));
     gone.close();
-    // Eight at a time, so that the sound one never looks idle beside the one that is gone.
+    // Eight requests at a time, so that the healthy endpoint never looks idle beside the one that is gone.
     std::vector<Peer> clients, at_healthy;
     for (int i = 0; i < 8; ++i) clients.push_back(sidecar.client());
     int rounds = 0;
@@ -126,7 +126,7 @@
     }
     ASSERT_LT(rounds, 300);
     Peer new_request = discovery.accept();
-    EXPECT_TRUE(has(new_request.receive(), "since=41&")) << "what it missed is told at once";
+    EXPECT_TRUE(has(new_request.receive(), "since=41&")) << "the new request asks for what was missed";
     Peer &first = old_watch_answers ? watch : new_request, &second = old_watch_answers ? new_request : watch;
     first.send(answer(200, list(43, false, target("s-1", gone.address(), "Terminating"))));
     EXPECT_TRUE(has(first.receive(), "since=43&"));
@@ -138,8 +138,8 @@
 }
 
 TEST(Discovery, AnAnswerOnTheOldWatchBeforeTheNewRequestIsAnsweredIsNotLost) {
-    // Guards against: it was closed as soon as it was doubted, and news that discovery had just written to it
-    // counted as told.
+    // The old watch used to be closed as soon as it was suspected. Changes that discovery had just written to
+    // it were lost, because discovery counted them as delivered.
     silent_watch(true);
 }
 
@@ -156,11 +156,11 @@
     sidecar.reload(config(moved.address(), known, "automatic"));
     EXPECT_TRUE(old_watch.ends());
     Peer watch = moved.accept();
-    // The old revision may mean anything to the new agent.
+    // The old revision has no meaning to the new agent.
     EXPECT_TRUE(watch.receive().starts_with("GET /api/targets HTTP/1.1\r\n"));
-    at_first.send(answer(200, "1"));  // what was under way goes on
+    at_first.send(answer(200, "1"));  // a request in flight continues
     EXPECT_EQ(body_of(client.receive()), "1");
-    client.send(look("r2"));  // and the list and the connections stay
+    client.send(look("r2"));  // and the list and the connections are kept
     EXPECT_TRUE(has(at_first.receive(), "X-Request-ID: r2"));
     at_first.send(answer(200, "2"));
     EXPECT_EQ(body_of(client.receive()), "2");
@@ -206,14 +206,14 @@
         sidecar.reload(text);
         EXPECT_TRUE(has(sidecar.await_log("the old configuration stays"), word));
     }
-    sidecar.reload(good);  // names the same address: nothing moves
+    sidecar.reload(good);  // same address: nothing changes
     EXPECT_TRUE(watch.silent());
     EXPECT_TRUE(moved.untouched());
     watch.send(answer(200, list(45, false, "")));
     EXPECT_TRUE(has(watch.receive(), "since=45&"));
 }
 
-/// Twelve entries for one address.
+/// Twelve entries with the same address.
 std::string twelve_targets(const Listener& at) {
     std::string result;
     for (int i = 0; i < 12; ++i) result += (i ? "," : "") + target("s-" + std::to_string(i), at.address());
@@ -227,8 +227,8 @@
     Peer client = sidecar.client();
     Peer watch = discovery.accept();
     EXPECT_TRUE(has(watch.receive(), "since=41&"));
-    watch.send(answer(200, list(42, true, "")));  // cut off, or a fleet that is gone?
-    EXPECT_TRUE(has(sidecar.await_log("doubted"), "12 of 12"));
+    watch.send(answer(200, list(42, true, "")));  // truncated, or a fleet that is gone?
+    EXPECT_TRUE(has(sidecar.await_log("removals are delayed"), "12 of 12"));
     EXPECT_TRUE(watch.receive().starts_with("GET /api/targets HTTP/1.1\r\n"));
     watch.send(answer(200, list(42, true, known)));
     EXPECT_TRUE(has(watch.receive(), "since=42&"));
@@ -237,7 +237,7 @@
     at_endpoint.receive();
     at_endpoint.send(answer(200, "1"));
     EXPECT_EQ(body_of(client.receive()), "1");
-    // Said twice it is so.
+    // A second list with the same removals confirms them.
     watch.send(answer(200, list(43, true, "")));
     EXPECT_TRUE(watch.receive().starts_with("GET /api/targets HTTP/1.1\r\n"));
     watch.send(answer(200, list(43, true, "")));
@@ -255,8 +255,8 @@
     Peer watch = discovery.accept();
     watch.receive();
     watch.send(answer(200, list(42, true, "")));
-    watch.receive();  // and discovery says no more
-    sidecar.await_log("12 endpoints that were doubted are gone");
+    watch.receive();  // and discovery answers no more
+    sidecar.await_log("12 endpoints removed after the delay");
     client.send("GET /-/ready HTTP/1.1\r\nHost: a\r\n\r\n");
     EXPECT_EQ(status_of(client.receive()), 503);
 }
--- a/tests/discovery/doubted_watch_test.cpp
+++ b/tests/discovery/doubted_watch_test.cpp
@@ -1,6 +1,6 @@
-// A watch that is doubted while discovery speaks: every order of what comes on the elder call and on the
-// fresh one, also in the very turn of the loop in which the fresh one is asked. Discovery's own package on a
-// loop, without a process.
+// A watch is abandoned while discovery answers: every order of answers on the old connection and on the new
+// request, also in the same loop turn in which the new request is sent. An answer on the old connection must
+// not be lost, and one watch must remain. Runs src/discovery on a loop, without a process.
 #include <gtest/gtest.h>
 
 #include <thread>
@@ -20,7 +20,7 @@
 enum class When { InTheSameTurn, BeforeTheAnswer, AfterTheAnswer };
 enum class NewRequest { Silent, Change, Nothing, BreaksOff, Closes };
 
-constexpr std::uint64_t kEarlySeed = 214;  // a seed by which a doubted list is asked for within some 20 ms
+constexpr std::uint64_t kEarlySeed = 214;  // with this seed the new request is sent within some 20 ms
 
 struct NoBack : Back {
     Handle send(EndpointId, std::shared_ptr<const Message>, Time, Done) override { return {}; }
@@ -33,7 +33,7 @@
     std::map<EndpointId, bool> ready;
 };
 
-/// A discovery whose list changes once. Calls that come after that are answered at once with what is new.
+/// A discovery whose list changes once. Later requests are answered at once with the change.
 class Script {
   public:
     Script(OldWatch old_watch, When when, NewRequest new_request)
@@ -65,10 +65,10 @@
         loop_.run();
     }
     bool drain_applied = false;
-    std::size_t open = 0;  // connections that the sidecar still holds
+    std::size_t open = 0;  // connections that the sidecar has open
 
   private:
-    /// Each millisecond: what has come to discovery, and whether all is over.
+    /// Checks every millisecond which requests have arrived and whether the script is over.
     void poll() {
         while (!listener_.untouched()) calls_.push_back(listener_.accept());
         for (std::size_t i = 0; i < calls_.size(); ++i) {
@@ -76,7 +76,8 @@
         }
         drain_applied = placed_.ready.contains(drained()) && !placed_.ready.at(drained());
         if (drain_applied && script_done()) {
-            if (!stop_at_) stop_at_ = Loop::monotonic() + 30ms;  // what is to be closed is, by then
+            if (!stop_at_)
+                stop_at_ = Loop::monotonic() + 30ms;  // connections to be closed are closed by then
             if (Loop::monotonic() >= *stop_at_) {
                 open = 0;
                 for (std::size_t i = 0; i < calls_.size(); ++i) open += closed_[i] ? 0 : 1;
@@ -91,7 +92,7 @@
     void received(std::size_t i, const std::string& call) {
         if (call.empty()) {
             closed_[i] = true;
-            if (i != 0 && new_request_at_ == 0) new_request_at_ = i;  // given up before it had asked
+            if (i != 0 && new_request_at_ == 0) new_request_at_ = i;  // closed before it sent a request
             return;
         }
         if (i == 0 && new_request_at_ == 0 && !asked_) {
@@ -99,7 +100,7 @@
             return abandon_watch();
         }
         const bool is_new_request = i != 0 && new_request_at_ == 0;
-        if (!is_new_request) {  // an ordinary call, once there is something new
+        if (!is_new_request) {  // an ordinary request after the change
             if (has_change_ && call.find("since=43") == std::string::npos)
                 answer_call(i, list(43, false, gone()));
             return;
@@ -128,13 +129,13 @@
         has_change_ = true;
     }
 
-    /// Two refused connections with answers of another between them, as a drained endpoint's look.
+    /// Two refused connections with answers of another endpoint between them, as a drained endpoint causes.
     void abandon_watch() {
         discovery_->attempt_ended(drained(), decision::Status::ConnectFailed);
         discovery_->attempt_ended(EndpointId{uid_hash("s-2")}, decision::Status::Ok);
         trigger_.set(Loop::monotonic() + 210ms, [this] {
             discovery_->attempt_ended(drained(), decision::Status::ConnectFailed);
-            // Due before the fresh call, in the same turn: by then no socket is read any more.
+            // Due before the new request, in the same loop turn; sockets are not read again before it.
             if (when_ == When::InTheSameTurn) trigger_.set(Loop::monotonic(), [this] { old_watch_speaks(); });
             std::this_thread::sleep_for(std::chrono::milliseconds(25));
         });
@@ -193,10 +194,10 @@
 
 TEST_P(AbandonedWatch, LosesNoUpdateAndLeavesOneWatch) {
     const auto [old_watch, when, new_request] = GetParam();
-    // Discovery that answers nobody and says nothing on the elder call has told nothing.
+    // No change is delivered if discovery never answers the new request and sends none on the old connection.
     if (new_request == NewRequest::Silent && old_watch != OldWatch::Change) GTEST_SKIP();
-    // Said on a call that was given up for an answer on the other: discovery has not told it to this
-    // sidecar's next call.
+    // The change was sent on a connection that had been given up for an answer on the other: discovery has
+    // not delivered it to this sidecar's next request.
     if (new_request == NewRequest::Silent && when == When::AfterTheAnswer) GTEST_SKIP();
     const Script script(old_watch, when, new_request);
     EXPECT_TRUE(script.drain_applied);
--- a/tests/membership/membership_test.cpp
+++ b/tests/membership/membership_test.cpp
@@ -63,7 +63,7 @@
     EXPECT_NE(*a, *b);
     EXPECT_EQ(static_cast<std::uint32_t>(*a), uid_hash(first));
     EXPECT_EQ(membership.stats().hash_collisions, 1u);
-    // The first goes and comes back: neither takes the other's id.
+    // The first goes and returns: neither gets the other's id.
     auto next = membership.apply_list(list(2, false, {target(first, Availability::Gone)}), false, kStart + 1s,
                                       Time{});
     ASSERT_EQ(next.removed, std::vector{*a});
@@ -80,7 +80,7 @@
     membership.apply_list(list(1, true, {target(first)}), false, kStart, Time{});
     const auto id = membership.id_of(first);
     membership.apply_list(list(2, false, {target(first, Availability::Gone)}), false, kStart, Time{});
-    // An attempt at the first may still bear the id.
+    // An attempt at the first may still refer to the id.
     membership.apply_list(list(3, false, {target(second)}), false, kStart + 59s, Time{});
     EXPECT_NE(membership.id_of(second), id);
     membership.apply_list(list(4, false, {target(second, Availability::Gone)}), false, kStart + 59s, Time{});
@@ -100,7 +100,7 @@
     };
     const auto first = started(1, 5'000, Time{});
     EXPECT_EQ(first, Time{5s});
-    // The two clocks drift against one another: that is no new start.
+    // The two clocks drift apart: that is not a new start.
     EXPECT_EQ(started(2, 5'000, Time{3ms}), first);
     EXPECT_EQ(started(3, 6'000, Time{3ms}), Time{6s} + 3ms);
 }
@@ -112,14 +112,14 @@
     EXPECT_TRUE(update.need_full_list);
     EXPECT_EQ(membership.size(), 0u);
     membership.apply_list(list(5, true, fleet(0, 3)), false, kStart, Time{});
-    // Overtaken on the way, or from a discovery that began to count anew.
+    // Outdated on arrival, or from a discovery that restarted its revisions.
     update = membership.apply_list(list(4, false, gone(0, 3)), false, kStart, Time{});
     EXPECT_EQ(update.discovered.kind, Discovered::Kind::Failed);
     EXPECT_TRUE(update.need_full_list);
     EXPECT_FALSE(membership.revision());
     EXPECT_EQ(membership.size(), 3u);
     EXPECT_EQ(membership.stats().stale_lists, 1u);
-    // The same once more changes nothing.
+    // The same revision again changes nothing.
     membership.apply_list(list(5, true, fleet(0, 3)), false, kStart, Time{});
     update = membership.apply_list(list(5, false, fleet(0, 2)), false, kStart, Time{});
     EXPECT_TRUE(update.removed.empty());
@@ -146,7 +146,7 @@
     EXPECT_EQ(membership.ready(), 100u);
     EXPECT_EQ(membership.pending_removals(), 60u);
     EXPECT_EQ(membership.next_due(), kStart + 1400ms);
-    // Nobody contradicts: it is believed, within the time.
+    // Not contradicted: applied when the delay ends.
     EXPECT_EQ(membership.apply_due_removals(kStart + 1399ms).discovered.kind, Discovered::Kind::Failed);
     const auto later = membership.apply_due_removals(kStart + 1400ms);
     EXPECT_EQ(later.discovered.kind, Discovered::Kind::Delta);
@@ -159,7 +159,7 @@
     auto update = membership.apply_list(list(2, true, {}), false, kStart, Time{});
     EXPECT_TRUE(update.need_full_list);
     EXPECT_EQ(update.discovered.kind, Discovered::Kind::Full);
-    // A whole list replaces the module's: those that are doubted are in it.
+    // A full list replaces the decision module's, so it contains the endpoints with pending removals.
     EXPECT_EQ(update.discovered.endpoints->size(), 100u);
     update = membership.apply_list(list(2, true, {}), false, kStart + 20ms, Time{});
     EXPECT_FALSE(update.need_full_list);
@@ -194,7 +194,7 @@
     EXPECT_FALSE(update.need_full_list);
     EXPECT_EQ(membership.ready(), 0u);
     for (const auto& placed : update.placed) EXPECT_FALSE(placed.ready);
-    // And who drains may go without any doubt.
+    // And draining endpoints are removed without delay.
     EXPECT_EQ(membership.apply_list(list(3, false, gone(0, 100)), false, kStart, Time{}).removed.size(),
               100u);
 }
@@ -204,13 +204,13 @@
     EXPECT_EQ(membership.stats().delayed_lists, 0u);
 }
 
-/// Random lists against a plain map. Whatever comes, what the module has been told is what the map says, but
-/// for removals in doubt, and no removal is put off for longer than the caution.
+/// Random lists against a reference model. The decision module always has what the model has, apart from
+/// pending removals, and no removal is delayed for longer than removal_delay.
 TEST(Membership, MatchesAModelUnderRandomLists) {
     std::mt19937_64 random(11);
     const Duration removal_delay = 400ms;
     Membership membership({0.5, 10, removal_delay});
-    std::map<std::string, Availability> listed;  // what discovery last said
+    std::map<std::string, Availability> listed;  // as discovery last listed
     std::map<EndpointId, Availability> module;
     std::map<std::string, Time> removed_at;
     Time now = kStart;
@@ -233,7 +233,7 @@
             apply(membership.apply_due_removals(now));
         std::vector<Target> targets;
         const bool all = !membership.revision() || random() % 8 == 0;
-        const bool mass = random() % 30 == 0;  // most go at once
+        const bool mass = random() % 30 == 0;  // removes most at once
         const int many = mass ? 300 : random() % 10 == 0 ? 60 : 4;
         std::set<std::string> touched;
         for (int i = 0; i < many; ++i) {
--- a/tests/membership/staleness_test.cpp
+++ b/tests/membership/staleness_test.cpp
@@ -1,4 +1,4 @@
-// When a silent watch is not believed any more.
+// Detection of an outdated endpoint list by failing attempts.
 #include "membership/staleness.h"
 
 #include <gtest/gtest.h>
@@ -21,9 +21,9 @@
                 {'m', kGone, Status::NotSent},       {'O', kSound, Status::Ok},
                 {'T', kSound, Status::Full}};
 
-/// Plays one letter each 100 ms: c, t: the first endpoint refuses the connection, turns the request away; e,
-/// o: it fails, serves; m: never sent; O, T: the other serves, turns away; '.': nothing; n, w:
-/// discovery says something new, nothing new. Gives back how often it was to be asked.
+/// Performs one step each 100 ms. c, t: the first endpoint refuses the connection, rejects the request; e, o:
+/// it fails, serves; m: an attempt was never sent; O, T: the other endpoint serves, rejects; '.': nothing; n,
+/// w: discovery answers with changes, without. Returns the number of requests to ask discovery again.
 int count_requests(const std::string& steps, std::uint32_t replicas = 2) {
     Staleness staleness(replicas);
     Time now{1h};
@@ -44,18 +44,18 @@
         int requests;
         const char* why;
     } table[] = {
-        {"cOcOc", 1, "it refuses connections, another serves"},
-        {"tOtOtOt", 1, "it turns all away, another serves"},
-        {"tOcOt", 0, "neither often enough"},
+        {"cOcOc", 1, "refuses connections while another serves"},
+        {"tOtOtOt", 1, "rejects all while another serves"},
+        {"tOcOt", 0, "too few of either"},
         {"cOc", 1, "200 ms after the first"},
-        {"cc", 0, "too soon: a restart is over before a list could tell"},
-        {"c.c.c.c", 0, "nobody serves: that is the network, or all"},
-        {"cOoOcO", 0, "it served between"},
-        {"cOeOcO", 0, "an error shows that it takes requests"},
-        {"tOTtOTtOTtOTtOT", 0, "others turn as much away: load"},
+        {"cc", 0, "too soon: a restart ends before a list could report it"},
+        {"c.c.c.c", 0, "nobody serves: the network, or all endpoints"},
+        {"cOoOcO", 0, "it served in between"},
+        {"cOeOcO", 0, "an error shows that it accepts requests"},
+        {"tOTtOTtOTtOTtOT", 0, "others reject as much: load"},
         {"mOmOmOmOmO", 0, "what was never sent shows nothing"},
         {"wcOcOcOcOc", 0, "discovery has answered within 2 s"},
-        {"ncOtOnOcO", 0, "news ends a run"},
+        {"ncOtOnOcO", 0, "a changed list ends a run"},
         {"cOcOcOcOcOcOcOcOcOcO", 1, "not again within 2 s"},
     };
     for (const auto& row : table)
