--- a/src/discovery/discovery.h
+++ b/src/discovery/discovery.h
@@ -69,9 +69,8 @@
     Address address_;
     Membership membership_;
     std::shared_ptr<Exchange> exchange_;  // the connection, while watching
-    std::shared_ptr<Exchange>
-        // An older connection whose watch seems dead, kept until the new request is answered.
-        old_exchange_;
+    // An older connection whose watch seems dead, kept until the new request is answered.
+    std::shared_ptr<Exchange> old_exchange_;
     Staleness staleness_;
     std::function<void(const Membership::Drained&, std::uint64_t)> on_drained_;
     Counter& watches_abandoned_;
--- a/src/fleet/fleet.cpp
+++ b/src/fleet/fleet.cpp
@@ -22,8 +22,8 @@
 constexpr std::size_t kTransmitMultiplier = 4;  // SWIM's lambda, applied to the base-10 logarithm
 constexpr std::size_t kMaxRelayedProbes = 256;  // in flight on behalf of others; further ones are ignored
 constexpr std::size_t kMaxProbes = 64;          // own probes in flight: one per interval and unscheduled ones
-constexpr std::size_t kMaxListsPerSecond =
-    20;                                     // member lists sent; spreads them when 300 members start at once
+// Member lists sent; spreads them when 300 members start at once.
+constexpr std::size_t kMaxListsPerSecond = 20;
 constexpr Duration kJoinRetryStep = 300ms;  // between join attempts; grows with each round of seeds
 constexpr Duration kMaxJoinRetryPause = 3s;
 // Pause before a seed that is not a live member is first dialled; it doubles up to reconnect_interval. It
--- a/src/membership/membership.cpp
+++ b/src/membership/membership.cpp
@@ -217,9 +217,8 @@
         return update;
     }
 
-    std::vector<std::string>
-        // Sorted, so that the result does not depend on the order of a hash table.
-        removals;
+    // Sorted, so that the result does not depend on the order of a hash table.
+    std::vector<std::string> removals;
     if (full) {
         std::unordered_set<std::string_view> listed;
         listed.reserve(list.targets.size() + list.unreadable.size());
--- a/src/membership/membership.h
+++ b/src/membership/membership.h
@@ -144,12 +144,12 @@
     // Attempts in flight may still refer to an id that was released. It is reserved for a while: only its
     // former uid can get it back at once.
     std::unordered_map<std::string, IdReservation> reserved_ids_;
-    std::deque<std::pair<Time, std::string>>
-        reservation_ends_;  // by end; entries of ids that are in use again are skipped
+    // By end; entries of ids that are in use again are skipped.
+    std::deque<std::pair<Time, std::string>> reservation_ends_;
     std::size_t ready_ = 0;
     std::optional<std::uint64_t> revision_;
-    std::unordered_set<std::string>
-        pending_removals_;  // removed when the delay ends, unless listed again before
+    // Removed when the delay ends, unless listed again before.
+    std::unordered_set<std::string> pending_removals_;
     std::optional<Time> removals_due_;
     std::unordered_map<std::string, EndpointOverride> endpoint_overrides_;
     std::unordered_set<std::string> hinted_;  // currently kept out of use by a hint
