--- a/emulator/state_model.cpp
+++ b/emulator/state_model.cpp
@@ -8,7 +8,7 @@
 using replica::Replica;
 
 namespace {
-constexpr replica::Wall kEpoch = 1'800'000'000'000;  // of the wall clocks, in milliseconds
+constexpr replica::WallTime kEpoch = 1'800'000'000'000;  // of the wall clocks, in milliseconds
 }
 
 StateModel::StateModel(const Options& options) : options_(options), random_(options.seed) {
@@ -19,7 +19,7 @@
     }
 }
 
-std::vector<replica::Other> StateModel::Member::some(std::size_t count) {
+std::vector<replica::Peer> StateModel::Member::sample(std::size_t count) {
     std::vector<std::size_t> picked;
     const std::size_t n = model->members_.size();
     if (4 * count >= n) {
@@ -31,7 +31,7 @@
             if (std::find(picked.begin(), picked.end(), one) == picked.end()) picked.push_back(one);
         }
     }
-    std::vector<replica::Other> result;
+    std::vector<replica::Peer> result;
     for (const std::size_t one : picked) {
         if (result.size() >= count) break;
         if (one != number && model->reaches(one, number)) result.push_back(model->other(one));
@@ -39,17 +39,18 @@
     return result;
 }
 
-std::size_t StateModel::Member::live() const {
+std::size_t StateModel::Member::live_count() const {
     std::size_t live = 0;
     for (std::size_t i = 0; i < model->members_.size(); ++i) live += model->reaches(i, number) ? 1 : 0;
     return live;
 }
 
-replica::Other StateModel::other(std::size_t member) const {
+replica::Peer StateModel::other(std::size_t member) const {
     return {members_[member]->copy->self(), std::to_string(member)};
 }
 
-void StateModel::start(std::size_t member, replica::Stamp horizon, std::vector<replica::Named> entries) {
+void StateModel::start(std::size_t member, replica::Timestamp horizon,
+                       std::vector<replica::NamedEntry> entries) {
     Member& m = *members_[member];
     ++m.starts;
     m.copy = std::make_unique<Replica>(options_.pace, fleet::Id{"n" + std::to_string(member), random_() | 1},
@@ -69,9 +70,9 @@
 }
 
 void StateModel::restart_with_disk(std::size_t member) {
-    std::vector<replica::Named> kept;
-    const replica::Stamp horizon = copy(member).horizon();
-    copy(member).each("", [&](const replica::Name& name, const replica::Entry& entry) {
+    std::vector<replica::NamedEntry> kept;
+    const replica::Timestamp horizon = copy(member).horizon();
+    copy(member).for_each("", [&](const replica::EntryName& name, const replica::Entry& entry) {
         kept.push_back({name, entry});
     });
     kill(member);
@@ -82,8 +83,9 @@
     apart_ = group;
 }
 
-replica::Wall StateModel::wall(std::size_t member) const {
-    return kEpoch + static_cast<replica::Wall>(now_.time_since_epoch() / 1ms + members_[member]->ahead_ms);
+replica::WallTime StateModel::wall(std::size_t member) const {
+    return kEpoch +
+           static_cast<replica::WallTime>(now_.time_since_epoch() / 1ms + members_[member]->ahead_ms);
 }
 
 void StateModel::add(Time when, std::size_t member, std::function<void()> what) {
@@ -92,7 +94,7 @@
 
 void StateModel::pump(std::size_t member) {
     Member& m = *members_[member];
-    for (Replica::Send& send : m.copy->take_sends()) {
+    for (Replica::Outgoing& send : m.copy->take_outgoing()) {
         const std::size_t to = std::stoul(send.to.address);
         ++figures_.messages;
         if (options_.count_bytes) {
@@ -115,7 +117,7 @@
         }
     }
     for (const Replica::Outcome& outcome : m.copy->take_outcomes()) m.outcomes.push_back(outcome);
-    m.copy->take_changes();
+    m.copy->take_changed_names();
     const std::uint64_t serial = ++m.tick_serial;
     add(std::max(now_, m.copy->next()), member, [this, member, serial] {
         if (members_[member]->tick_serial != serial) return;
@@ -145,7 +147,8 @@
 }
 
 Replica::Ticket StateModel::put(std::size_t member, const std::string& table, const std::string& key,
-                                const std::string& text, const replica::Reach& reach, replica::Wall expires) {
+                                const std::string& text, const replica::WriteConcern& reach,
+                                replica::WallTime expires) {
     std::string error;
     replica::Write write;
     write.name = {table, key};
@@ -154,7 +157,8 @@
     return this->write(member, std::move(write), reach);
 }
 
-Replica::Ticket StateModel::write(std::size_t member, replica::Write write, const replica::Reach& reach) {
+Replica::Ticket StateModel::write(std::size_t member, replica::Write write,
+                                  const replica::WriteConcern& reach) {
     const auto ticket = copy(member).write(now_, wall(member), std::move(write), reach);
     pump(member);
     return ticket;
--- a/emulator/state_model.h
+++ b/emulator/state_model.h
@@ -20,7 +20,7 @@
     struct Options {
         std::size_t members = 5;
         std::uint64_t seed = 1;
-        replica::Pace pace;
+        replica::ReplicationSettings pace;
         Duration delay_least = 200us, delay_most = 2ms;  ///< one way
         double drop = 0.0, duplicate = 0.0;              ///< shares of messages
         bool count_bytes = false;                        ///< by making each message's bytes, and reading them
@@ -33,7 +33,7 @@
 
     void start(std::size_t member) { start(member, 0, {}); }
     /// From a disk that kept these.
-    void start(std::size_t member, replica::Stamp horizon, std::vector<replica::Named> entries);
+    void start(std::size_t member, replica::Timestamp horizon, std::vector<replica::NamedEntry> entries);
     void start_all();
     /// With all that it held.
     void kill(std::size_t member);
@@ -49,15 +49,15 @@
     bool run_until(const std::function<bool()>& so, Duration most);
 
     Time now() const { return now_; }
-    replica::Wall wall(std::size_t member) const;
+    replica::WallTime wall(std::size_t member) const;
     replica::Replica& copy(std::size_t member) { return *members_[member]->copy; }
     bool is_up(std::size_t member) const { return members_[member]->copy != nullptr; }
     std::size_t size() const { return members_.size(); }
     replica::Replica::Ticket put(std::size_t member, const std::string& table, const std::string& key,
-                                 const std::string& text, const replica::Reach& reach = {},
-                                 replica::Wall expires = 0);
+                                 const std::string& text, const replica::WriteConcern& reach = {},
+                                 replica::WallTime expires = 0);
     replica::Replica::Ticket write(std::size_t member, replica::Write write,
-                                   const replica::Reach& reach = {});
+                                   const replica::WriteConcern& reach = {});
     replica::Replica::Ticket remove(std::size_t member, const std::string& table, const std::string& key);
     /// In words; "-" where there is none.
     std::string get(std::size_t member, const std::string& table, const std::string& key);
@@ -67,7 +67,7 @@
     const Figures& figures() const { return figures_; }
 
   private:
-    struct Member : replica::Company {
+    struct Member : replica::PeerDirectory {
         StateModel* model = nullptr;
         std::size_t number = 0;
         std::unique_ptr<replica::Replica> copy;
@@ -75,9 +75,9 @@
         std::int64_t ahead_ms = 0;
         std::vector<replica::Replica::Outcome> outcomes;
 
-        std::vector<replica::Other> some(std::size_t count) override;
-        std::size_t live() const override;
-        std::size_t known() const override { return model->members_.size(); }
+        std::vector<replica::Peer> sample(std::size_t count) override;
+        std::size_t live_count() const override;
+        std::size_t known_count() const override { return model->members_.size(); }
     };
     struct Event {
         Time at{};
@@ -92,7 +92,7 @@
     bool reaches(std::size_t a, std::size_t b) const {
         return is_up(a) && is_up(b) && apart_.contains(a) == apart_.contains(b);
     }
-    replica::Other other(std::size_t member) const;
+    replica::Peer other(std::size_t member) const;
     void add(Time when, std::size_t member, std::function<void()> what);
     void pump(std::size_t member);
     double chance() { return static_cast<double>(random_() >> 11) * 0x1p-53; }
--- a/src/assembly/features.cpp
+++ b/src/assembly/features.cpp
@@ -143,15 +143,15 @@
 replica::Options read_state(Table& from, bool fleet) {
     replica::Options result;
     if (!fleet) from.fail("needs [fleet]: there is nobody to share state with");
-    replica::Pace& pace = result.pace;
+    replica::ReplicationSettings& pace = result.replication;
     from.span("push_every", pace.push_every, true);
     from.whole("push_to", pace.push_to, 1, 16);
     from.whole("push_times", pace.push_times, 1, 8);
     from.span("compare_every", pace.compare_every, true);
     from.span("tombstones", pace.tombstones, true);
-    std::size_t kb = pace.bytes_a_second / 1024;
+    std::size_t kb = pace.bytes_per_second / 1024;
     from.whole("kb_a_second", kb, 64, 64 * 1024);
-    pace.bytes_a_second = kb * 1024;
+    pace.bytes_per_second = kb * 1024;
     from.text("registry", result.registry);
     from.text("directory", result.directory);
     from.text("helper", result.helper);
--- a/src/command/ledger.cpp
+++ b/src/command/ledger.cpp
@@ -360,12 +360,12 @@
         ->check(CLI::Range(0, 36'500));
     prune_command->callback([&] { result = prune(q, keep_days, keep_archive_days); });
     command("stats", "how much it holds, and which starts")->callback([&] { result = stats(q); });
-    replica::ShelfOptions shelf;
+    replica::SnapshotWriterOptions shelf;
     auto* shelf_command = command("shelf", "started by the sidecar itself, for the shared state");
     shelf_command->group("");
     shelf_command->callback([&] {
         shelf.directory = q.directory;
-        result = replica::run_shelf(shelf);
+        result = replica::run_snapshot_writer(shelf);
     });
     auto* writer_command = command("writer", "started by the sidecar itself");
     writer_command->group("");
--- a/src/handover/handover.cpp
+++ b/src/handover/handover.cpp
@@ -21,25 +21,25 @@
 
 namespace {
 
-constexpr Duration kAnswerTime = 1s;  // for an earlier process to hand over its listener
-constexpr char kListener = 'L', kReady = 'R';
+constexpr Duration kAnswerTimeout = 1s;  // for an earlier process to hand over its listener
+constexpr char kListenerMessage = 'L', kReadyMessage = 'R';
 
 /// Guards against a stranger's process where the directory is not as private as it should be.
-bool of_same_user(int socket) {
+bool is_same_user(int socket) {
     ucred peer{};
     socklen_t size = sizeof peer;
     return getsockopt(socket, SOL_SOCKET, SO_PEERCRED, &peer, &size) == 0 && peer.uid == geteuid();
 }
 
 bool send_descriptor(int socket, int descriptor) {
-    char byte = kListener;
+    char byte = kListenerMessage;
     iovec data{&byte, 1};
-    alignas(cmsghdr) char room[CMSG_SPACE(sizeof(int))] = {};
+    alignas(cmsghdr) char control[CMSG_SPACE(sizeof(int))] = {};
     msghdr message{};
     message.msg_iov = &data;
     message.msg_iovlen = 1;
-    message.msg_control = room;
-    message.msg_controllen = sizeof room;
+    message.msg_control = control;
+    message.msg_controllen = sizeof control;
     cmsghdr* header = CMSG_FIRSTHDR(&message);
     header->cmsg_level = SOL_SOCKET;
     header->cmsg_type = SCM_RIGHTS;
@@ -51,13 +51,13 @@
 std::optional<int> receive_descriptor(int socket) {
     char byte = 0;
     iovec data{&byte, 1};
-    alignas(cmsghdr) char room[CMSG_SPACE(sizeof(int))] = {};
+    alignas(cmsghdr) char control[CMSG_SPACE(sizeof(int))] = {};
     msghdr message{};
     message.msg_iov = &data;
     message.msg_iovlen = 1;
-    message.msg_control = room;
-    message.msg_controllen = sizeof room;
-    if (recvmsg(socket, &message, MSG_DONTWAIT | MSG_CMSG_CLOEXEC) != 1 || byte != kListener)
+    message.msg_control = control;
+    message.msg_controllen = sizeof control;
+    if (recvmsg(socket, &message, MSG_DONTWAIT | MSG_CMSG_CLOEXEC) != 1 || byte != kListenerMessage)
         return std::nullopt;
     const cmsghdr* header = CMSG_FIRSTHDR(&message);
     if (!header || header->cmsg_type != SCM_RIGHTS || header->cmsg_len != CMSG_LEN(sizeof(int)))
@@ -73,7 +73,7 @@
     : loop_(loop),
       directory_(::open(directory.c_str(), O_PATH | O_DIRECTORY | O_CLOEXEC)),
       name_("martenford-" + name),
-      limit_(loop) {
+      timer_(loop) {
     // It names a file, whatever the configuration says.
     std::replace_if(
         name_.begin(), name_.end(), [](char c) { return !std::isalnum(static_cast<unsigned char>(c)); }, '-');
@@ -89,47 +89,47 @@
     return "/proc/self/fd/" + std::to_string(directory_) + "/" + name;
 }
 
-void Handover::look(std::function<void(std::optional<int>)> found) {
-    found_ = std::move(found);
-    if (directory_ < 0) return this->found(std::nullopt);
+void Handover::find_earlier(std::function<void(std::optional<int>)> found) {
+    on_found_ = std::move(found);
+    if (directory_ < 0) return this->finish_search(std::nullopt);
     earlier_ = std::make_shared<Local::socket>(loop_.io());
-    limit_.set(Loop::monotonic() + kAnswerTime, [this] { this->found(std::nullopt); });
+    timer_.set(Loop::monotonic() + kAnswerTimeout, [this] { this->finish_search(std::nullopt); });
     earlier_->async_connect(Local::endpoint(path(name_)), [this, socket = earlier_](const error_code& error) {
-        if (!found_) return;
-        if (error || !of_same_user(socket->native_handle())) return this->found(std::nullopt);
+        if (!on_found_) return;
+        if (error || !is_same_user(socket->native_handle())) return this->finish_search(std::nullopt);
         await_listener();
     });
 }
 
 void Handover::await_listener() {
     earlier_->async_wait(Local::socket::wait_read, [this, socket = earlier_](const error_code& error) {
-        if (!found_) return;
-        this->found(error ? std::nullopt : receive_descriptor(socket->native_handle()));
+        if (!on_found_) return;
+        this->finish_search(error ? std::nullopt : receive_descriptor(socket->native_handle()));
     });
 }
 
-void Handover::found(std::optional<int> listener) {
-    limit_.cancel();
-    const auto tell = std::exchange(found_, nullptr);
-    if (!tell) return;
+void Handover::finish_search(std::optional<int> listener) {
+    timer_.cancel();
+    const auto callback = std::exchange(on_found_, nullptr);
+    if (!callback) return;
     if (listener) {
         await_earlier();
     } else if (earlier_) {
         error_code ignored;
         std::exchange(earlier_, nullptr)->close(ignored);
     }
-    tell(listener);
-    if (listener && changed_) changed_(true);
+    callback(listener);
+    if (listener && on_changed_) on_changed_(true);
 }
 
 /// It says nothing more: the connection ends with it.
 void Handover::await_earlier() {
-    earlier_->async_read_some(asio::buffer(&byte_, 1),
+    earlier_->async_read_some(asio::buffer(&earlier_byte_, 1),
                               [this, socket = earlier_](const error_code& error, std::size_t) {
                                   if (error == asio::error::operation_aborted || socket != earlier_) return;
                                   if (!error) return await_earlier();
                                   earlier_.reset();
-                                  if (changed_) changed_(has_company());
+                                  if (on_changed_) on_changed_(has_other_process());
                               });
 }
 
@@ -137,15 +137,15 @@
     listener_ = std::move(listener);
     if (earlier_) {
         error_code ignored;
-        earlier_->write_some(asio::buffer(&kReady, 1), ignored);
+        earlier_->write_some(asio::buffer(&kReadyMessage, 1), ignored);
     }
     if (directory_ < 0) return;
     // Under another name first: the name is never without a socket while one is replaced by the next.
-    const std::string fresh = name_ + "." + std::to_string(::getpid());
+    const std::string temporary_name = name_ + "." + std::to_string(::getpid());
     try {
-        ::unlinkat(directory_, fresh.c_str(), 0);
-        acceptor_.emplace(loop_.io(), Local::endpoint(path(fresh)), false);
-        if (::renameat(directory_, fresh.c_str(), directory_, name_.c_str()) != 0) {
+        ::unlinkat(directory_, temporary_name.c_str(), 0);
+        acceptor_.emplace(loop_.io(), Local::endpoint(path(temporary_name)), false);
+        if (::renameat(directory_, temporary_name.c_str(), directory_, name_.c_str()) != 0) {
             throw boost::system::system_error(error_code(errno, boost::system::system_category()));
         }
         accept();
@@ -158,21 +158,21 @@
 void Handover::accept() {
     acceptor_->async_accept([this](const error_code& error, Local::socket socket) {
         if (error == asio::error::operation_aborted) return;
-        if (!error) welcome(std::move(socket));
+        if (!error) hand_over_to(std::move(socket));
         // Guards against spinning where there is no descriptor for it: it is asked for again in time.
-        if (error) return limit_.set(Loop::monotonic() + kAnswerTime, [this] { accept(); });
+        if (error) return timer_.set(Loop::monotonic() + kAnswerTimeout, [this] { accept(); });
         accept();
     });
 }
 
-void Handover::welcome(Local::socket socket) {
-    if (!of_same_user(socket.native_handle())) return;
+void Handover::hand_over_to(Local::socket socket) {
+    if (!is_same_user(socket.native_handle())) return;
     const int listener = listener_();
     if (listener < 0 || !send_descriptor(socket.native_handle(), listener)) return;
     // A second later process takes the place of the first, which must have failed.
     later_ = std::make_shared<Local::socket>(std::move(socket));
     later_ready_ = false;
-    if (changed_) changed_(true);
+    if (on_changed_) on_changed_(true);
     await_later();
 }
 
@@ -181,12 +181,12 @@
                             [this, socket = later_](const error_code& error, std::size_t) {
                                 if (error == asio::error::operation_aborted || socket != later_) return;
                                 if (!error) {
-                                    later_ready_ = later_byte_ == kReady;
+                                    later_ready_ = later_byte_ == kReadyMessage;
                                     return await_later();
                                 }
                                 later_.reset();
                                 later_ready_ = false;
-                                if (changed_) changed_(has_company());
+                                if (on_changed_) on_changed_(has_other_process());
                             });
 }
 
--- a/src/handover/handover.h
+++ b/src/handover/handover.h
@@ -21,24 +21,24 @@
 
     /// Looks for an earlier process and calls `found` once: with a descriptor of its listener, which is the
     /// callee's to close, or with nothing where none answers.
-    void look(std::function<void(std::optional<int>)> found);
+    void find_earlier(std::function<void(std::optional<int>)> found);
     /// Lets a later process find this one, which listens at `listener`, and tells the earlier one to go by
     /// that.
     void announce(std::function<int()> listener);
     /// Called whenever the other process comes or goes.
-    void on_company(std::function<void(bool)> changed) { changed_ = std::move(changed); }
+    void on_other_process_changed(std::function<void(bool)> changed) { on_changed_ = std::move(changed); }
     /// Whether another process of this sidecar is there.
-    bool has_company() const { return earlier_ || later_; }
+    bool has_other_process() const { return earlier_ || later_; }
     /// Whether a later process accepts from the same listener.
     bool replaced() const { return later_ && later_ready_; }
 
   private:
     using Local = asio::local::stream_protocol;
 
-    void found(std::optional<int> listener);
+    void finish_search(std::optional<int> listener);
     void await_listener();
     void accept();
-    void welcome(Local::socket socket);
+    void hand_over_to(Local::socket socket);
     void await_later();
     void await_earlier();
     std::string path(const std::string& name) const;
@@ -46,13 +46,13 @@
     Loop& loop_;
     int directory_ = -1;
     std::string name_;
-    std::function<void(std::optional<int>)> found_;
+    std::function<void(std::optional<int>)> on_found_;
     std::function<int()> listener_;
-    std::function<void(bool)> changed_;
+    std::function<void(bool)> on_changed_;
     std::optional<Local::acceptor> acceptor_;
     std::shared_ptr<Local::socket> earlier_, later_;
-    Timer limit_;
-    char byte_ = 0;
+    Timer timer_;
+    char earlier_byte_ = 0;
     bool later_ready_ = false;
     char later_byte_ = 0;
 };
--- a/src/ledger/archive.cpp
+++ b/src/ledger/archive.cpp
@@ -25,7 +25,7 @@
 
 namespace martenford::ledger {
 
-using store::Fault;
+using store::ErrorKind;
 using store::StoreError;
 
 namespace {
@@ -54,7 +54,8 @@
 }
 
 [[noreturn]] void fail(const std::string& path) {
-    throw StoreError(errno == ENOSPC ? Fault::Full : Fault::ReadOnly, path + ": " + std::strerror(errno));
+    throw StoreError(errno == ENOSPC ? ErrorKind::Full : ErrorKind::ReadOnly,
+                     path + ": " + std::strerror(errno));
 }
 
 /// On disk under this name, whole, or not at all.
@@ -140,9 +141,9 @@
     const std::string text = read_file(path(kManifest));
     if (text.empty()) return result;
     if (!google::protobuf::util::JsonStringToMessage(text, &result).ok())
-        throw StoreError(Fault::Corrupt, path(kManifest) + ": can't be read");
+        throw StoreError(ErrorKind::Corrupt, path(kManifest) + ": can't be read");
     if (result.version() > kManifestVersion)
-        throw StoreError(Fault::Newer, path(kManifest) + ": written by a later version of this program");
+        throw StoreError(ErrorKind::Newer, path(kManifest) + ": written by a later version of this program");
     return result;
 }
 
@@ -151,7 +152,7 @@
     google::protobuf::util::JsonPrintOptions pretty;
     pretty.add_whitespace = true;
     if (!google::protobuf::util::MessageToJsonString(manifest, &text, pretty).ok())
-        throw StoreError(Fault::Other, path(kManifest) + ": can't be written as JSON");
+        throw StoreError(ErrorKind::Other, path(kManifest) + ": can't be written as JSON");
     write_durably(path(kManifest), text);
 }
 
@@ -171,7 +172,8 @@
     }
     std::string packed(ZSTD_compressBound(raw.size()), '\0');
     const std::size_t size = ZSTD_compress(packed.data(), packed.size(), raw.data(), raw.size(), kZstdLevel);
-    if (ZSTD_isError(size)) throw StoreError(Fault::Other, std::string("zstd: ") + ZSTD_getErrorName(size));
+    if (ZSTD_isError(size))
+        throw StoreError(ErrorKind::Other, std::string("zstd: ") + ZSTD_getErrorName(size));
     packed.resize(size);
     info.set_sha256(sha256(packed));
     info.set_filter_sha256(sha256(filter.bytes()));
--- a/src/ledger/book.cpp
+++ b/src/ledger/book.cpp
@@ -92,7 +92,7 @@
     if (for_writing) {
         database_.migrate(kSchema);
     } else if (database_.version() > static_cast<int>(kSchema.size())) {
-        throw store::StoreError(store::Fault::Newer,
+        throw store::StoreError(store::ErrorKind::Newer,
                                 directory + ": written by a later version of this program");
     }
 }
--- a/src/ledger/writer.cpp
+++ b/src/ledger/writer.cpp
@@ -46,7 +46,8 @@
 class Lock {
   public:
     explicit Lock(const std::string& path) : file_(::open(path.c_str(), O_CREAT | O_RDWR | O_CLOEXEC, 0600)) {
-        if (file_ < 0) throw store::StoreError(store::Fault::ReadOnly, path + ": " + std::strerror(errno));
+        if (file_ < 0)
+            throw store::StoreError(store::ErrorKind::ReadOnly, path + ": " + std::strerror(errno));
     }
     Lock(const Lock&) = delete;
     Lock& operator=(const Lock&) = delete;
@@ -118,7 +119,7 @@
     }
     store::Options store_options() const {
         store::Options result;
-        result.most_bytes = options_.most_bytes;
+        result.max_bytes = options_.most_bytes;
         return result;
     }
 
@@ -171,9 +172,10 @@
                 say(error.what());
                 // After a failed sync nothing that the kernel holds of the file is to be trusted: opening it
                 // anew reads what is there and writes it again before anything is acknowledged.
-                if (error.fault != store::Fault::Full && error.fault != store::Fault::Busy) book_.reset();
-                if (error.fault == store::Fault::Corrupt || error.fault == store::Fault::Newer) throw;
-                tell(Trouble{std::string(store::name_of(error.fault)) + ": " + error.what()});
+                if (error.kind != store::ErrorKind::Full && error.kind != store::ErrorKind::Busy)
+                    book_.reset();
+                if (error.kind == store::ErrorKind::Corrupt || error.kind == store::ErrorKind::Newer) throw;
+                tell(Trouble{std::string(store::name_of(error.kind)) + ": " + error.what()});
                 if (gone()) throw;
                 wait(kTryAgain);
             }
@@ -226,7 +228,7 @@
             }
         } catch (const store::StoreError& error) {
             say(error.what());
-            if (error.fault != store::Fault::Full && error.fault != store::Fault::Busy) book_.reset();
+            if (error.kind != store::ErrorKind::Full && error.kind != store::ErrorKind::Busy) book_.reset();
             wait(kTryAgain);
         }
     }
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -113,8 +113,8 @@
                                                       MARTENFORD_VERSION, counters_)
                      : nullptr),
           keeper_(peers_ && features.state
-                      ? std::make_unique<replica::Keeper>(loop_, *features.state, *peers_,
-                                                          features.fleet->name, counters_)
+                      ? std::make_unique<replica::ReplicationService>(loop_, *features.state, *peers_,
+                                                                      features.fleet->name, counters_)
                       : nullptr),
           discovery_(loop_, telemetry_ ? static_cast<Placement&>(telemetry_->tap) : placement(), engine_,
                      config, membership_options(features, config.settings), counters_),
@@ -126,7 +126,7 @@
         if (keeper_) {
             keeper_->on_endpoint_override(
                 [this](const std::string& uid, const replica::EndpointOverride& endpoint_override) {
-                    Membership::EndpointOverride to{endpoint_override.away, endpoint_override.weight, {}};
+                    Membership::EndpointOverride to{endpoint_override.excluded, endpoint_override.weight, {}};
                     if (endpoint_override.drains)
                         to.drains = {endpoint_override.drains->revision, endpoint_override.drains->boot_ms};
                     discovery_.set_endpoint_override(uid, to);
@@ -168,8 +168,8 @@
         const char* directory = std::getenv("TMPDIR");
         if (directory && *directory) {
             handover_.emplace(loop_, directory, config_.name);
-            handover_->on_company([this](bool company) { share_limits(company); });
-            handover_->look([this](std::optional<int> listener) { start(listener); });
+            handover_->on_other_process_changed([this](bool company) { share_limits(company); });
+            handover_->find_earlier([this](std::optional<int> listener) { start(listener); });
         } else {
             start(std::nullopt);
         }
@@ -329,7 +329,7 @@
     Engine engine_;
     std::unique_ptr<Telemetry> telemetry_;
     std::unique_ptr<peers::Peers> peers_;
-    std::unique_ptr<replica::Keeper> keeper_;
+    std::unique_ptr<replica::ReplicationService> keeper_;
     Discovery discovery_;
     HttpListener front_;
     std::optional<Console> console_;
--- a/src/replica/endpoint_overrides.cpp
+++ b/src/replica/endpoint_overrides.cpp
@@ -7,13 +7,13 @@
 namespace {
 
 /// Lowers `expires` to the version's expiry, if it has one.
-void note_expiry(const Version& version, std::optional<Wall>& expires) {
+void note_expiry(const Version& version, std::optional<WallTime>& expires) {
     if (version.expires) expires = std::min(expires.value_or(version.expires), version.expires);
 }
 
 }  // namespace
 
-std::optional<std::string> EndpointOverrides::endpoint_of(const Name& name) {
+std::optional<std::string> EndpointOverrides::endpoint_of(const EntryName& name) {
     if (name.table == "overrides") return name.key;
     if (name.table == "drains") return name.key.substr(0, name.key.rfind('/'));
     return std::nullopt;
@@ -25,34 +25,36 @@
     return std::min(kMinWitnesses, others);
 }
 
-EndpointOverride EndpointOverrides::of(const std::string& uid, Wall wall, std::size_t live) {
+EndpointOverride EndpointOverrides::override_of(const std::string& uid, WallTime wall_time,
+                                                std::size_t live) {
     EndpointOverride result;
-    std::optional<Wall> expires;
-    if (const Version* version = copy_.get({"overrides", uid}, wall)) {
+    std::optional<WallTime> expires;
+    if (const Version* version = replica_.get({"overrides", uid}, wall_time)) {
         note_expiry(*version, expires);
         if (const auto by_operator = read_override(version->value)) {
-            result.away = by_operator->what == Override::What::Exclude;
-            if (by_operator->what == Override::What::Weight) result.weight = by_operator->percent / 100.0;
+            result.excluded = by_operator->kind == Override::Kind::Exclude;
+            if (by_operator->kind == Override::Kind::Weight) result.weight = by_operator->percent / 100.0;
         }
     }
-    result.drains = confirmed_drain(uid, wall, live, expires);
+    result.drains = confirmed_drain(uid, wall_time, live, expires);
     set_expiry(uid, expires);
     return result;
 }
 
 /// Of the lowest revision that its witnesses tell: one that makes up a high revision would outlast what this
 /// sidecar's own discovery says.
-std::optional<Drain> EndpointOverrides::confirmed_drain(const std::string& uid, Wall wall, std::size_t live,
-                                                        std::optional<Wall>& expires) const {
+std::optional<Drain> EndpointOverrides::confirmed_drain(const std::string& uid, WallTime wall_time,
+                                                        std::size_t live,
+                                                        std::optional<WallTime>& expires) const {
     std::map<std::int64_t, Witnesses> by_boot_time;
     for (std::size_t slot = 0; slot < kDrainSlots; ++slot) {
-        const Version* version = copy_.get({"drains", slot_key(uid, slot)}, wall);
+        const Version* version = replica_.get({"drains", slot_key(uid, slot)}, wall_time);
         if (!version) continue;
         const auto drain = read_drain(version->value);
         if (!drain || drain->source != source_) continue;
         note_expiry(*version, expires);
         Witnesses& witnesses = by_boot_time[drain->boot_ms];
-        witnesses.names.insert(version->by);
+        witnesses.names.insert(version->written_by);
         if (!witnesses.oldest || drain->revision < witnesses.oldest->revision) witnesses.oldest = drain;
     }
     std::optional<Drain> confirmed;
@@ -62,7 +64,7 @@
     return confirmed;
 }
 
-void EndpointOverrides::set_expiry(const std::string& uid, std::optional<Wall> expires) {
+void EndpointOverrides::set_expiry(const std::string& uid, std::optional<WallTime> expires) {
     if (const auto it = expiry_of_.find(uid); it != expiry_of_.end()) {
         expiries_.erase({it->second, uid});
         expiry_of_.erase(it);
@@ -72,28 +74,29 @@
     expiry_of_.emplace(uid, *expires);
 }
 
-bool EndpointOverrides::ejected_by_others(const std::string& uid, Wall wall, std::size_t live) const {
+bool EndpointOverrides::ejected_by_others(const std::string& uid, WallTime wall_time,
+                                          std::size_t live) const {
     std::set<std::string> witnesses;
-    copy_.each_under({"verdicts", uid + '/'}, [&](const Name& name, const Entry& entry) {
-        const Version* version = entry.resolve(wall);
-        if (!version || name.key.rfind('/') != uid.size() || version->by == name_) return;
+    replica_.for_each_with_prefix({"verdicts", uid + '/'}, [&](const EntryName& name, const Entry& entry) {
+        const Version* version = entry.resolve(wall_time);
+        if (!version || name.key.rfind('/') != uid.size() || version->written_by == name_) return;
         const auto verdict = read_verdict(version->value);
-        if (verdict && verdict->what == Verdict::What::Failing) witnesses.insert(version->by);
+        if (verdict && verdict->kind == Verdict::Kind::Failing) witnesses.insert(version->written_by);
     });
     return witnesses.size() >= required_witnesses(live);
 }
 
-Write EndpointOverrides::verdict(const std::string& uid, std::uint32_t failed, Wall wall) const {
+Write EndpointOverrides::verdict(const std::string& uid, std::uint32_t failed, WallTime wall_time) const {
     Write write;
     write.name = {"verdicts", uid + '/' + name_};
-    write.value = {bytes_of(Verdict{Verdict::What::Failing, failed, failed}), 0};
-    write.expires = wall + static_cast<Wall>(kVerdictTtl / 1ms);
+    write.value = {bytes_of(Verdict{Verdict::Kind::Failing, failed, failed}), 0};
+    write.expires = wall_time + static_cast<WallTime>(kVerdictTtl / 1ms);
     return write;
 }
 
-std::vector<std::string> EndpointOverrides::take_expired(Wall wall) {
+std::vector<std::string> EndpointOverrides::take_expired(WallTime wall_time) {
     std::vector<std::string> result;
-    while (!expiries_.empty() && expiries_.begin()->first <= wall) {
+    while (!expiries_.empty() && expiries_.begin()->first <= wall_time) {
         result.push_back(expiries_.begin()->second);
         set_expiry(result.back(), std::nullopt);
     }
@@ -118,23 +121,24 @@
     return when;
 }
 
-EndpointOverrides::Slots EndpointOverrides::slots_of(const std::string& uid, const Drain& drain, Wall wall) {
+EndpointOverrides::Slots EndpointOverrides::slots_of(const std::string& uid, const Drain& drain,
+                                                     WallTime wall_time) {
     Slots result;
     const std::size_t first = random_() % kDrainSlots;
     for (std::size_t i = 0; i < kDrainSlots; ++i) {
         const std::size_t slot = (first + i) % kDrainSlots;
-        const Version* version = copy_.get({"drains", slot_key(uid, slot)}, wall);
+        const Version* version = replica_.get({"drains", slot_key(uid, slot)}, wall_time);
         const auto held = version ? read_drain(version->value) : std::nullopt;
         const bool is_same = held && held->source == source_ && held->boot_ms == drain.boot_ms;
         if (!is_same && !result.free) result.free = slot;
-        if (is_same && version->by == name_) result.has_own = true;
+        if (is_same && version->written_by == name_) result.has_own = true;
     }
     return result;
 }
 
 /// A witness checks its slot again after each write: another may have written to the same slot concurrently,
 /// and then the later entry alone stands.
-std::vector<Write> EndpointOverrides::writes(Time now, Wall wall) {
+std::vector<Write> EndpointOverrides::writes(Time now, WallTime wall_time) {
     std::vector<Write> result;
     for (auto it = observations_.begin(); it != observations_.end();) {
         auto& [uid, observation] = *it;
@@ -142,7 +146,7 @@
             ++it;
             continue;
         }
-        const Slots slots = slots_of(uid, observation.drain, wall);
+        const Slots slots = slots_of(uid, observation.drain, wall_time);
         if (slots.has_own || !slots.free || observation.writes == kMaxWrites) {
             it = observations_.erase(it);
             continue;
@@ -150,7 +154,7 @@
         Write write;
         write.name = {"drains", slot_key(uid, *slots.free)};
         write.value = {bytes_of(observation.drain), 0};
-        write.expires = wall + static_cast<Wall>(kDrainTtl / 1ms);
+        write.expires = wall_time + static_cast<WallTime>(kDrainTtl / 1ms);
         result.push_back(std::move(write));
         ++observation.writes;
         observation.check_at = now + kSettleTime + random_write_delay();
--- a/src/replica/endpoint_overrides.h
+++ b/src/replica/endpoint_overrides.h
@@ -17,7 +17,7 @@
 
 /// What operators and other sidecars say of an endpoint.
 struct EndpointOverride {
-    bool away = false;            ///< an operator has excluded it
+    bool excluded = false;        ///< an operator has excluded it
     double weight = 1.0;          ///< an operator's, beside discovery's
     std::optional<Drain> drains;  ///< enough other sidecars were told that it drains
 };
@@ -43,27 +43,27 @@
 
     /// @param name this sidecar's
     /// @param source the discovery that it asks; drains of another source are ignored
-    EndpointOverrides(const Replica& copy, std::string name, std::string source, std::uint64_t seed)
-        : copy_(copy), name_(std::move(name)), source_(std::move(source)), random_(seed) {}
+    EndpointOverrides(const Replica& replica, std::string name, std::string source, std::uint64_t seed)
+        : replica_(replica), name_(std::move(name)), source_(std::move(source)), random_(seed) {}
 
     /// Returns the endpoint that an entry of this name is about, if its table is one of endpoints.
-    static std::optional<std::string> endpoint_of(const Name& name);
+    static std::optional<std::string> endpoint_of(const EntryName& name);
     /// Returns what holds of an endpoint now, and notes when that changes without a further entry.
     /// @param live members of the fleet, this one among them
-    EndpointOverride of(const std::string& uid, Wall wall, std::size_t live);
+    EndpointOverride override_of(const std::string& uid, WallTime wall_time, std::size_t live);
     /// Whether enough other sidecars have ejected the endpoint of late.
-    bool ejected_by_others(const std::string& uid, Wall wall, std::size_t live) const;
+    bool ejected_by_others(const std::string& uid, WallTime wall_time, std::size_t live) const;
     /// Returns the entry by which this sidecar tells that it has ejected the endpoint.
-    Write verdict(const std::string& uid, std::uint32_t failed, Wall wall) const;
+    Write verdict(const std::string& uid, std::uint32_t failed, WallTime wall_time) const;
     /// Returns the endpoints of which an entry has expired since the last call.
-    std::vector<std::string> take_expired(Wall wall);
+    std::vector<std::string> take_expired(WallTime wall_time);
 
     /// This sidecar's discovery says that the endpoint drains. writes() tells what is to be written.
     void drained(const std::string& uid, const Drain& drain, Time now);
     /// When writes() is to be called next.
     std::optional<Time> next() const;
     /// Returns the entries that this sidecar, as a witness of drains, is to write now.
-    std::vector<Write> writes(Time now, Wall wall);
+    std::vector<Write> writes(Time now, WallTime wall_time);
 
   private:
     /// What this sidecar's discovery has told of a drain, until it needs no further writes.
@@ -86,18 +86,18 @@
         return uid + '/' + std::to_string(slot);
     }
     static std::size_t required_witnesses(std::size_t live);
-    std::optional<Drain> confirmed_drain(const std::string& uid, Wall wall, std::size_t live,
-                                         std::optional<Wall>& expires) const;
-    Slots slots_of(const std::string& uid, const Drain& drain, Wall wall);
+    std::optional<Drain> confirmed_drain(const std::string& uid, WallTime wall_time, std::size_t live,
+                                         std::optional<WallTime>& expires) const;
+    Slots slots_of(const std::string& uid, const Drain& drain, WallTime wall_time);
     Duration random_write_delay();
-    void set_expiry(const std::string& uid, std::optional<Wall> expires);
+    void set_expiry(const std::string& uid, std::optional<WallTime> expires);
 
-    const Replica& copy_;
+    const Replica& replica_;
     const std::string name_, source_;
     std::mt19937_64 random_;
     // The next expiry of each endpoint, once: entries that are written anew with other expiries add nothing.
-    std::set<std::pair<Wall, std::string>> expiries_;
-    std::map<std::string, Wall> expiry_of_;
+    std::set<std::pair<WallTime, std::string>> expiries_;
+    std::map<std::string, WallTime> expiry_of_;
     std::map<std::string, Observation> observations_;  // by the endpoint's uid
 };
 
--- a/src/replica/holding.h
+++ b/src/replica/holding.h
@@ -12,53 +12,55 @@
 
 namespace martenford::replica {
 
-class Holding {
+class EntryStore {
   public:
-    struct Held {
+    struct StoredEntry {
         Entry entry;
-        std::uint64_t place = 0, hash = 0;
+        std::uint64_t position = 0, hash = 0;
     };
-    using Entries = std::map<Name, Held>;
-    using Places = std::map<std::uint64_t, Entries::iterator>;
+    using Entries = std::map<EntryName, StoredEntry>;
+    using Positions = std::map<std::uint64_t, Entries::iterator>;
 
-    Holding() = default;
-    Holding(const Holding& other) : entries_(other.entries_), sizes_(other.sizes_), digests_(other.digests_) {
-        for (auto it = entries_.begin(); it != entries_.end(); ++it) places_.emplace(it->second.place, it);
+    EntryStore() = default;
+    EntryStore(const EntryStore& other)
+        : entries_(other.entries_), sizes_(other.sizes_), digests_(other.digests_) {
+        for (auto it = entries_.begin(); it != entries_.end(); ++it)
+            positions_.emplace(it->second.position, it);
     }
-    Holding& operator=(const Holding&) = delete;
+    EntryStore& operator=(const EntryStore&) = delete;
 
     /// `entry` has versions, and its place is free or its own.
-    void put(const Name& name, Entry entry) {
-        const auto [it, fresh] = entries_.try_emplace(name);
-        Held& held = it->second;
-        if (fresh) {
-            held.place = place_of(name);
-            places_.emplace(held.place, it);
+    void put(const EntryName& name, Entry entry) {
+        const auto [it, inserted] = entries_.try_emplace(name);
+        StoredEntry& stored = it->second;
+        if (inserted) {
+            stored.position = position_of(name);
+            positions_.emplace(stored.position, it);
             ++sizes_[name.table];
         } else {
-            digests_.remove(held.place, held.hash);
+            digests_.remove(stored.position, stored.hash);
         }
-        held.entry = std::move(entry);
-        held.hash = hash_of(held.entry);
-        digests_.add(held.place, held.hash);
+        stored.entry = std::move(entry);
+        stored.hash = hash_of(stored.entry);
+        digests_.add(stored.position, stored.hash);
     }
-    void erase(const Name& name) {
+    void erase(const EntryName& name) {
         const auto it = entries_.find(name);
         if (it == entries_.end()) return;
-        digests_.remove(it->second.place, it->second.hash);
-        places_.erase(it->second.place);
+        digests_.remove(it->second.position, it->second.hash);
+        positions_.erase(it->second.position);
         if (--sizes_[name.table] == 0) sizes_.erase(name.table);
         entries_.erase(it);
     }
     /// Only what is overwritten is forgotten: the sums stay.
-    void forget(const Name& name, Entry entry) { entries_.at(name).entry = std::move(entry); }
+    void replace_context(const EntryName& name, Entry entry) { entries_.at(name).entry = std::move(entry); }
 
-    const Held* find(const Name& name) const {
+    const StoredEntry* find(const EntryName& name) const {
         const auto it = entries_.find(name);
         return it == entries_.end() ? nullptr : &it->second;
     }
     const Entries& entries() const { return entries_; }
-    const Places& places() const { return places_; }
+    const Positions& positions() const { return positions_; }
     std::size_t size_of(const std::string& table) const {
         const auto it = sizes_.find(table);
         return it == sizes_.end() ? 0 : it->second;
@@ -67,7 +69,7 @@
 
   private:
     Entries entries_;
-    Places places_;
+    Positions positions_;
     std::map<std::string, std::size_t> sizes_;
     Digests digests_;
 };
--- a/src/replica/keeper.cpp
+++ b/src/replica/keeper.cpp
@@ -15,22 +15,22 @@
 
 namespace {
 
-constexpr Duration kLookAgain = 50ms;    // until there is a place in the fleet
-constexpr Duration kRoundEvery = 500ms;  // for the roster, and for what expires
-constexpr std::size_t kMostOutcomes = 256;
-constexpr Wall kLeastLife = 10'000;           // milliseconds: an operator's word lasts so long at least,
-constexpr Wall kMostLife = 24 * 3'600'000;    // and at most: what is forgotten ends by itself
-constexpr std::int64_t kMostWithin = 60'000;  // milliseconds that a write may wait for others
-constexpr std::size_t kMostUnsaid = 4096;     // answers that wait for the disk; the oldest then are not given
-constexpr std::size_t kMostRoster = 20'000;
+constexpr Duration kStartRetryInterval = 50ms;  // until there is a place in the fleet
+constexpr Duration kPeriodicInterval = 500ms;   // for the roster, and for what expires
+constexpr std::size_t kMaxOutcomes = 256;
+constexpr WallTime kMinTtlMs = 10'000;          // milliseconds: an operator's word lasts so long at least,
+constexpr WallTime kMaxTtlMs = 24 * 3'600'000;  // and at most: what is forgotten ends by itself
+constexpr std::int64_t kMaxTimeoutMs = 60'000;  // milliseconds that a write may wait for others
+constexpr std::size_t kMaxDeferred = 4096;  // answers that wait for the disk; the oldest then are not given
+constexpr std::size_t kMaxKnownMembers = 20'000;
 
 std::uint64_t random_seed() {
     std::random_device random;
     return static_cast<std::uint64_t>(random()) << 32 | random();
 }
 
-Wall wall_now() {
-    return static_cast<Wall>(wall_ms());
+WallTime wall_time_now() {
+    return static_cast<WallTime>(wall_ms());
 }
 
 std::optional<std::uint64_t> number_of(std::string_view text) {
@@ -46,249 +46,259 @@
 
 }  // namespace
 
-Keeper::Keeper(Loop& loop, const Options& options, peers::Peers& peers, const std::string& fleet,
-               Counters& counters)
+ReplicationService::ReplicationService(Loop& loop, const Options& options, peers::Peers& peers,
+                                       const std::string& fleet, Counters& counters)
     : loop_(loop),
       options_(options),
       peers_(peers),
-      tick_(loop),
-      round_(loop),
+      replica_timer_(loop),
+      periodic_timer_(loop),
       bytes_out_(counters.counter("state.bytes_out", "bytes of shared state given to other sidecars")),
-      bad_(counters.counter("state.bad", "messages of shared state that could not be read")) {
-    const auto enter = [&](const char* name, const char* help, auto read) {
-        counters.gauge(name, help, [this, read] { return copy_ ? static_cast<double>(read(*copy_)) : 0.0; });
+      unreadable_(counters.counter("state.bad", "messages of shared state that could not be read")) {
+    const auto add_gauge = [&](const char* name, const char* help, auto read) {
+        counters.gauge(name, help,
+                       [this, read] { return replica_ ? static_cast<double>(read(*replica_)) : 0.0; });
     };
     using Copy = const Replica&;
-    enter("state.entries", "entries held, of all tables", [](Copy c) { return c.size(); });
-    enter("state.caught_up", "1: it has had all that another had",
-          [](Copy c) { return c.caught_up() ? 1 : 0; });
-    enter("state.writes", "writes of this sidecar", [](Copy c) { return c.figures().writes; });
-    enter("state.merged", "entries that others brought", [](Copy c) { return c.figures().merged; });
-    enter("state.repairs", "entries given to one that lacked them",
-          [](Copy c) { return c.figures().repairs; });
-    enter("state.full", "entries refused because a table was full", [](Copy c) { return c.figures().full; });
-    enter("state.ahead", "messages refused because a clock was ahead",
-          [](Copy c) { return c.figures().ahead; });
-    enter("state.skipped", "messages that had to wait for bytes", [](Copy c) { return c.figures().skipped; });
+    add_gauge("state.entries", "entries held, of all tables", [](Copy c) { return c.size(); });
+    add_gauge("state.caught_up", "1: it has had all that another had",
+              [](Copy c) { return c.caught_up() ? 1 : 0; });
+    add_gauge("state.writes", "writes of this sidecar", [](Copy c) { return c.stats().writes; });
+    add_gauge("state.merged", "entries that others brought", [](Copy c) { return c.stats().merged; });
+    add_gauge("state.repairs", "entries given to one that lacked them",
+              [](Copy c) { return c.stats().repairs; });
+    add_gauge("state.full", "entries refused because a table was full",
+              [](Copy c) { return c.stats().table_full; });
+    add_gauge("state.ahead", "messages refused because a clock was ahead",
+              [](Copy c) { return c.stats().ahead; });
+    add_gauge("state.skipped", "messages that had to wait for bytes",
+              [](Copy c) { return c.stats().throttled; });
     counters.gauge("state.kept", "1 while what is written here is made durable",
-                   [this] { return shelf_ && shelf_->works() ? 1.0 : 0.0; });
+                   [this] { return snapshot_ && snapshot_->available() ? 1.0 : 0.0; });
     peers_.on_carried([this](const fleet::Id& from, const std::string& address, const std::string& bytes) {
-        arrived(from, address, bytes);
+        handle_message(from, address, bytes);
     });
     if (!options_.directory.empty()) {
-        shelf_.emplace(loop_, options_.helper, options_.directory, fleet, options_.pace.tombstones,
-                       ShelfLink::Calls{[this](ShelfLink::Loaded&& loaded) {
-                                            if (copy_) return absorb(std::move(loaded));
-                                            loaded_ = std::move(loaded);
-                                            look();
-                                        },
-                                        [this](std::uint64_t seq) { kept(seq); }});
-        shelf_->start();
+        snapshot_.emplace(loop_, options_.helper, options_.directory, fleet, options_.replication.tombstones,
+                          SnapshotClient::Callbacks{[this](SnapshotClient::Loaded&& loaded) {
+                                                        if (replica_) return merge_loaded(std::move(loaded));
+                                                        loaded_ = std::move(loaded);
+                                                        wait_for_fleet();
+                                                    },
+                                                    [this](std::uint64_t seq) { on_persisted(seq); }});
+        snapshot_->start();
     }
-    look();
+    wait_for_fleet();
 }
 
-Keeper::~Keeper() {
+ReplicationService::~ReplicationService() {
     peers_.on_carried({});
 }
 
-std::vector<Other> Keeper::some(std::size_t count) {
-    std::vector<Other> result;
-    for (auto& place : peers_.near(count)) result.push_back({std::move(place.id), std::move(place.address)});
+std::vector<Peer> ReplicationService::sample(std::size_t count) {
+    std::vector<Peer> result;
+    for (auto& peer : peers_.near(count)) result.push_back({std::move(peer.id), std::move(peer.address)});
     return result;
 }
 
-std::size_t Keeper::live() const {
+std::size_t ReplicationService::live_count() const {
     return peers_.fleet() ? peers_.fleet()->live() : 1;
 }
 
-void Keeper::look() {
-    if (!begin()) return tick_.set(loop_.now() + kLookAgain, [this] { look(); });
-    look_round();
-    pump();
+void ReplicationService::wait_for_fleet() {
+    if (!start_replica())
+        return replica_timer_.set(loop_.now() + kStartRetryInterval, [this] { wait_for_fleet(); });
+    run_periodic();
+    run_replica();
 }
 
-bool Keeper::begin() {
-    if (copy_) return true;
-    if (!peers_.fleet() || (shelf_ && !loaded_)) return false;
-    copy_.emplace(options_.pace, peers_.fleet()->self().id, static_cast<Company&>(*this), random_seed());
-    endpoint_overrides_.emplace(*copy_, peers_.fleet()->self().id.name, options_.registry, random_seed());
-    began_ = loop_.now();
+bool ReplicationService::start_replica() {
+    if (replica_) return true;
+    if (!peers_.fleet() || (snapshot_ && !loaded_)) return false;
+    replica_.emplace(options_.replication, peers_.fleet()->self().id, static_cast<PeerDirectory&>(*this),
+                     random_seed());
+    endpoint_overrides_.emplace(*replica_, peers_.fleet()->self().id.name, options_.registry, random_seed());
+    started_at_ = loop_.now();
     if (loaded_) {
         from_disk_ = !loaded_->entries.empty();
-        copy_->restore(loaded_->horizon, std::move(loaded_->entries), wall_now());
+        replica_->restore(loaded_->horizon, std::move(loaded_->entries), wall_time_now());
         loaded_.reset();
-        if (shelf_->works()) keep_all();  // without what was damaged, or is over
+        if (snapshot_->available()) persist_all();  // without what was damaged, or is over
     }
-    copy_->tick(began_, wall_now());
+    replica_->tick(started_at_, wall_time_now());
     return true;
 }
 
-void Keeper::look_round() {
-    round_.set(loop_.now() + kRoundEvery, [this] {
-        look_round();
-        pump();
+void ReplicationService::run_periodic() {
+    periodic_timer_.set(loop_.now() + kPeriodicInterval, [this] {
+        run_periodic();
+        run_replica();
     });
     const Time now = loop_.now();
     for (const fleet::View& view : peers_.fleet()->members()) {
         if (view.sight == fleet::Sight::Left) {
-            roster_.erase(view.id.name);
+            last_alive_.erase(view.id.name);
         } else if (view.sight != fleet::Sight::Dead) {
-            if (roster_.size() < kMostRoster || roster_.contains(view.id.name)) roster_[view.id.name] = now;
+            if (last_alive_.size() < kMaxKnownMembers || last_alive_.contains(view.id.name))
+                last_alive_[view.id.name] = now;
         }
     }
-    std::erase_if(roster_, [now](const auto& entry) { return entry.second + kMayReturn < now; });
+    std::erase_if(last_alive_, [now](const auto& entry) { return entry.second + kMaxAbsence < now; });
     if (on_endpoint_override_) {
-        for (const std::string& uid : endpoint_overrides_->take_expired(wall_now()))
-            on_endpoint_override_(uid, endpoint_overrides_->of(uid, wall_now(), live()));
+        for (const std::string& uid : endpoint_overrides_->take_expired(wall_time_now()))
+            on_endpoint_override_(uid, endpoint_overrides_->override_of(uid, wall_time_now(), live_count()));
     }
 }
 
-void Keeper::arrived(const fleet::Id& from, const std::string& address, const std::string& bytes) {
-    if (!begin()) return;
+void ReplicationService::handle_message(const fleet::Id& from, const std::string& address,
+                                        const std::string& bytes) {
+    if (!start_replica()) return;
     const Message message = read_message(bytes);  // what can't be read ends the link
-    copy_->receive(loop_.now(), wall_now(), {from, address}, message);
-    pump();
+    replica_->receive(loop_.now(), wall_time_now(), {from, address}, message);
+    run_replica();
 }
 
-void Keeper::pump() {
-    if (!copy_ || std::exchange(pumping_, true)) return;
+void ReplicationService::run_replica() {
+    if (!replica_ || std::exchange(running_, true)) return;
     const Time now = loop_.now();
-    if (copy_->next() <= now) copy_->tick(now, wall_now());
+    if (replica_->next() <= now) replica_->tick(now, wall_time_now());
     if (const auto due = endpoint_overrides_->next(); due && *due <= now) {
-        for (Write& write : endpoint_overrides_->writes(now, wall_now()))
-            copy_->write(now, wall_now(), std::move(write));
-        copy_->tick(now, wall_now());  // what is new goes out at once
+        for (Write& write : endpoint_overrides_->writes(now, wall_time_now()))
+            replica_->write(now, wall_time_now(), std::move(write));
+        replica_->tick(now, wall_time_now());  // what is new goes out at once
     }
-    const std::set<Name> changes = copy_->take_changes();
-    if (shelf_) keep(changes);
-    const auto when_kept = [this](std::function<void()> what) {
-        if (!shelf_ || kept_ >= last_keep_) return what();
-        unsaid_.emplace_back(last_keep_, std::move(what));
-        if (unsaid_.size() > kMostUnsaid) unsaid_.pop_front();
+    const std::set<EntryName> changes = replica_->take_changed_names();
+    if (snapshot_) persist(changes);
+    const auto when_persisted = [this](std::function<void()> action) {
+        if (!snapshot_ || persisted_ >= last_persist_) return action();
+        deferred_.emplace_back(last_persist_, std::move(action));
+        if (deferred_.size() > kMaxDeferred) deferred_.pop_front();
     };
-    for (Replica::Send& send : copy_->take_sends()) {
+    for (Replica::Outgoing& send : replica_->take_outgoing()) {
         std::string bytes = bytes_of(send.message);
-        const auto carry = [this, address = send.to.address, bytes = std::move(bytes)] {
+        const auto send_bytes = [this, address = send.to.address, bytes = std::move(bytes)] {
             bytes_out_.add(bytes.size());
             peers_.carry(address, bytes);
         };
         // Whoever is told that it is held here may count on it after a crash.
-        send.message.kind == Message::Kind::Got ? when_kept(carry) : carry();
+        send.message.kind == Message::Kind::Ack ? when_persisted(send_bytes) : send_bytes();
     }
-    for (const Replica::Outcome& outcome : copy_->take_outcomes()) {
-        when_kept([this, outcome] {
+    for (const Replica::Outcome& outcome : replica_->take_outcomes()) {
+        when_persisted([this, outcome] {
             outcomes_[outcome.ticket] = outcome;
-            if (outcomes_.size() > kMostOutcomes) outcomes_.erase(outcomes_.begin());
+            if (outcomes_.size() > kMaxOutcomes) outcomes_.erase(outcomes_.begin());
         });
     }
     notify_endpoint_overrides(changes);
-    if (copy_->caught_up() && !std::exchange(told_caught_up_, true))
-        tell(Event::StateCaughtUp, fmt::format("state: caught up, {} entries", copy_->size()),
-             {{"ms", std::to_string((loop_.now() - began_) / 1ms)}});
-    pumping_ = false;
-    Time when = copy_->next();
+    if (replica_->caught_up() && !std::exchange(reported_caught_up_, true))
+        tell(Event::StateCaughtUp, fmt::format("state: caught up, {} entries", replica_->size()),
+             {{"ms", std::to_string((loop_.now() - started_at_) / 1ms)}});
+    running_ = false;
+    Time when = replica_->next();
     if (const auto due = endpoint_overrides_->next()) when = std::min(when, *due);
-    tick_.set(std::max(when, now), [this] { pump(); });
+    replica_timer_.set(std::max(when, now), [this] { run_replica(); });
 }
 
-void Keeper::keep(const std::set<Name>& names) {
+void ReplicationService::persist(const std::set<EntryName>& names) {
     if (names.empty()) return;
-    std::vector<Named> entries;
-    std::vector<Name> gone;
-    for (const Name& name : names) {
-        if (const Entry* entry = copy_->find(name)) {
+    std::vector<NamedEntry> entries;
+    std::vector<EntryName> erased;
+    for (const EntryName& name : names) {
+        if (const Entry* entry = replica_->find(name)) {
             entries.push_back({name, *entry});
         } else {
-            gone.push_back(name);
+            erased.push_back(name);
         }
     }
-    last_keep_ = shelf_->keep(copy_->horizon(), entries, gone);
+    last_persist_ = snapshot_->persist(replica_->horizon(), entries, erased);
 }
 
 /// A helper was lost and is there again, or is there for the first time after all.
-void Keeper::absorb(ShelfLink::Loaded&& loaded) {
-    copy_->absorb(wall_now(), loaded.horizon, loaded.entries);
-    keep_all();
-    pump();
+void ReplicationService::merge_loaded(SnapshotClient::Loaded&& loaded) {
+    replica_->merge_from_disk(wall_time_now(), loaded.horizon, loaded.entries);
+    persist_all();
+    run_replica();
 }
 
 /// The helper is new, or what it has is not all that is here.
-void Keeper::keep_all() {
-    if (!copy_) return;
-    std::vector<Named> entries;
-    copy_->each("", [&](const Name& name, const Entry& entry) { entries.push_back({name, entry}); });
-    last_keep_ = shelf_->keep(copy_->horizon(), entries, {}, true);
+void ReplicationService::persist_all() {
+    if (!replica_) return;
+    std::vector<NamedEntry> entries;
+    replica_->for_each("", [&](const EntryName& name, const Entry& entry) {
+        entries.push_back({name, entry});
+    });
+    last_persist_ = snapshot_->persist(replica_->horizon(), entries, {}, true);
 }
 
-void Keeper::kept(std::uint64_t seq) {
-    kept_ = std::max(kept_, seq);
-    while (!unsaid_.empty() && unsaid_.front().first <= kept_) {
-        const auto say = std::move(unsaid_.front().second);
-        unsaid_.pop_front();
-        say();
+void ReplicationService::on_persisted(std::uint64_t seq) {
+    persisted_ = std::max(persisted_, seq);
+    while (!deferred_.empty() && deferred_.front().first <= persisted_) {
+        const auto action = std::move(deferred_.front().second);
+        deferred_.pop_front();
+        action();
     }
 }
 
-void Keeper::notify_endpoint_overrides(const std::set<Name>& names) {
+void ReplicationService::notify_endpoint_overrides(const std::set<EntryName>& names) {
     if (on_ejected_by_others_) {
         std::set<std::string> accused;
-        for (const Name& name : names) {
+        for (const EntryName& name : names) {
             if (name.table == "verdicts") accused.insert(name.key.substr(0, name.key.rfind('/')));
         }
         for (const std::string& uid : accused) {
-            if (endpoint_overrides_->ejected_by_others(uid, wall_now(), live())) on_ejected_by_others_(uid);
+            if (endpoint_overrides_->ejected_by_others(uid, wall_time_now(), live_count()))
+                on_ejected_by_others_(uid);
         }
     }
     if (!on_endpoint_override_) return;
     std::set<std::string> uids;
-    for (const Name& name : names) {
+    for (const EntryName& name : names) {
         if (auto uid = EndpointOverrides::endpoint_of(name)) uids.insert(std::move(*uid));
     }
     for (const std::string& uid : uids)
-        on_endpoint_override_(uid, endpoint_overrides_->of(uid, wall_now(), live()));
+        on_endpoint_override_(uid, endpoint_overrides_->override_of(uid, wall_time_now(), live_count()));
 }
 
-void Keeper::ejected(const std::string& uid, std::uint32_t failed) {
-    if (!begin() || uid.size() + 1 + copy_->self().name.size() > kMostKey) return;
-    copy_->write(loop_.now(), wall_now(), endpoint_overrides_->verdict(uid, failed, wall_now()));
-    pump();
+void ReplicationService::ejected(const std::string& uid, std::uint32_t failed) {
+    if (!start_replica() || uid.size() + 1 + replica_->self().name.size() > kMaxKeyBytes) return;
+    replica_->write(loop_.now(), wall_time_now(), endpoint_overrides_->verdict(uid, failed, wall_time_now()));
+    run_replica();
 }
 
-void Keeper::drained(const std::string& uid, const Drain& drain) {
-    if (!begin() || uid.size() + 2 > kMostKey) return;
+void ReplicationService::drained(const std::string& uid, const Drain& drain) {
+    if (!start_replica() || uid.size() + 2 > kMaxKeyBytes) return;
     endpoint_overrides_->drained(uid, drain, loop_.now());
-    pump();
+    run_replica();
 }
 
 // ---- what operators ask ---------------------------------------------------------------------------------
 
-std::optional<std::string> Keeper::answer(std::string_view line) {
+std::optional<std::string> ReplicationService::answer(std::string_view line) {
     if (!line.starts_with("state ")) return std::nullopt;
-    if (!begin()) return refused("no place in the fleet yet");
-    const auto [what, rest] = first_word(line.substr(6));
-    if (what == "put" || what == "delete") return put(rest, what == "delete");
-    if (what == "tables") return tables();
-    if (what == "get") return entries(unescaped(rest).value_or(""), false);
-    if (what == "conflicts") return entries("", true);
-    if (what == "history") return history();
-    if (what == "self") return self();
-    if (what == "outcome") return outcome(number_of(rest).value_or(0));
+    if (!start_replica()) return refused("no place in the fleet yet");
+    const auto [verb, rest] = first_word(line.substr(6));
+    if (verb == "put" || verb == "delete") return put(rest, verb == "delete");
+    if (verb == "tables") return tables();
+    if (verb == "get") return entries(unescaped(rest).value_or(""), false);
+    if (verb == "conflicts") return entries("", true);
+    if (verb == "history") return history();
+    if (verb == "self") return self();
+    if (verb == "outcome") return outcome(number_of(rest).value_or(0));
     return std::nullopt;
 }
 
 /// TABLE KEY VALUE [others=N|majority] [within=MS] [expires=MS] [reason=TEXT]; a deletion has no value.
-std::string Keeper::put(std::string_view words, bool deleted) {
+std::string ReplicationService::put(std::string_view words, bool deleted) {
     Write write;
-    Reach reach;
-    std::vector<std::string> plain;
+    WriteConcern concern;
+    std::vector<std::string> positional;
     while (!words.empty()) {
         const auto [word, rest] = first_word(words);
         words = rest;
         const auto text = unescaped(word);
         if (!text) return refused("a word can't be read");
-        if (plain.size() < (deleted ? 2 : 3)) {
-            plain.push_back(*text);
+        if (positional.size() < (deleted ? 2 : 3)) {
+            positional.push_back(*text);
             continue;
         }
         const auto equals = text->find('=');
@@ -296,112 +306,113 @@
         const std::string value = equals == text->npos ? "" : text->substr(equals + 1);
         const auto number = number_of(value);
         if (name == "others" && number) {
-            reach.others = *number;
+            concern.acks = *number;
         } else if (name == "majority") {
-            reach.majority = true;
+            concern.majority = true;
         } else if (name == "within" && number) {
-            reach.within = std::chrono::milliseconds(std::min<std::int64_t>(
-                static_cast<std::int64_t>(std::min<std::uint64_t>(*number, kMostWithin)), kMostWithin));
+            concern.timeout = std::chrono::milliseconds(std::min<std::int64_t>(
+                static_cast<std::int64_t>(std::min<std::uint64_t>(*number, kMaxTimeoutMs)), kMaxTimeoutMs));
         } else if (name == "expires" && number) {
-            write.expires = wall_now() + std::clamp<Wall>(*number, kLeastLife, kMostLife);
+            write.expires = wall_time_now() + std::clamp<WallTime>(*number, kMinTtlMs, kMaxTtlMs);
         } else if (name == "reason") {
             write.reason = value;
         } else {
             return refused(fmt::format("'{}' says nothing here", *text));
         }
     }
-    if (plain.size() < (deleted ? 2 : 3)) return refused("a table, a key and a value are wanted");
-    write.name = {plain[0], plain[1]};
+    if (positional.size() < (deleted ? 2 : 3)) return refused("a table, a key and a value are wanted");
+    write.name = {positional[0], positional[1]};
     write.deleted = deleted;
     if (!deleted) {
         std::string error;
-        const auto value = read_value(plain[0], plain[2], error);
+        const auto value = read_value(positional[0], positional[2], error);
         if (!value) return refused(error);
         write.value = *value;
-        if (plain[0] == "overrides" && write.expires == 0)
+        if (positional[0] == "overrides" && write.expires == 0)
             return refused("an override has an end: expires=MILLISECONDS");
     }
-    const auto ticket = copy_->write(loop_.now(), wall_now(), std::move(write), reach);
-    if (ticket.refusal != Refusal::None) return refused(text_of(ticket.refusal));
-    copy_->tick(loop_.now(), wall_now());
-    pump();
+    const auto ticket = replica_->write(loop_.now(), wall_time_now(), std::move(write), concern);
+    if (ticket.error != WriteError::None) return refused(text_of(ticket.error));
+    replica_->tick(loop_.now(), wall_time_now());
+    run_replica();
     return fmt::format("ticket={}\n", ticket.number);
 }
 
-std::string Keeper::tables() const {
+std::string ReplicationService::tables() const {
     std::map<std::string, std::size_t> sizes;
-    for (const Table& table : kTables) sizes[table.name] = copy_->size_of(table.name);
-    copy_->each("", [&](const Name& name, const Entry&) {
-        sizes.try_emplace(name.table, copy_->size_of(name.table));
+    for (const Table& table : kTables) sizes[table.name] = replica_->size_of(table.name);
+    replica_->for_each("", [&](const EntryName& name, const Entry&) {
+        sizes.try_emplace(name.table, replica_->size_of(name.table));
     });
     std::string text;
     for (const auto& [name, size] : sizes) {
-        const Table* table = table_named(name);
-        text +=
-            fmt::format("table={} rule={} entries={} most={}\n", name,
-                        table ? name_of(table->rule) : "unknown", size, table ? table->most : kMostOfUnknown);
+        const Table* table = find_table(name);
+        text += fmt::format("table={} rule={} entries={} most={}\n", name,
+                            table ? name_of(table->rule) : "unknown", size,
+                            table ? table->max_entries : kMaxUnknownTableEntries);
     }
     return text;
 }
 
-std::string Keeper::entries(const std::string& table, bool conflicts) const {
+std::string ReplicationService::entries(const std::string& table, bool conflicts) const {
     std::string text;
-    const Wall wall = wall_now();
-    copy_->each(table, [&](const Name& name, const Entry& entry) {
-        if (conflicts && !entry.conflicting(wall)) return;
-        const Version* word = entry.resolve(wall);
+    const WallTime wall_time = wall_time_now();
+    replica_->for_each(table, [&](const EntryName& name, const Entry& entry) {
+        if (conflicts && !entry.conflicting(wall_time)) return;
+        const Version* winner = entry.resolve(wall_time);
         for (const Version& version : entry.versions) {
-            const bool has_word = word && word->dot == version.dot;
-            if (!has_word && !conflicts && word) continue;
-            const Wall written = wall_of(version.stamp);
+            const bool is_winner = winner && winner->dot == version.dot;
+            if (!is_winner && !conflicts && winner) continue;
+            const WallTime written = wall_time_of(version.timestamp);
             text += fmt::format(
                 "table={} key={} value={} standing={} by={} age_s={} expires_s={} writer={:016x} count={} "
                 "versions={} reason={}\n",
                 name.table, escaped(name.key),
-                version.deleted ? "-" : escaped(text_of(name.table, version.value)), has_word ? 1 : 0,
-                escaped(version.by), wall > written ? (wall - written) / 1000 : 0,
-                version.expires == 0     ? "never"
-                : version.expires > wall ? std::to_string((version.expires - wall) / 1000)
-                                         : "over",
+                version.deleted ? "-" : escaped(text_of(name.table, version.value)), is_winner ? 1 : 0,
+                escaped(version.written_by), wall_time > written ? (wall_time - written) / 1000 : 0,
+                version.expires == 0          ? "never"
+                : version.expires > wall_time ? std::to_string((version.expires - wall_time) / 1000)
+                                              : "over",
                 version.dot.writer, version.dot.count, entry.versions.size(), escaped(version.reason));
         }
     });
     return text;
 }
 
-std::string Keeper::history() const {
-    constexpr const char* kWhats[] = {"written", "deleted", "beside", "dropped"};
+std::string ReplicationService::history() const {
+    constexpr const char* kKindNames[] = {"written", "deleted", "beside", "dropped"};
     std::string text;
-    for (const Replica::Learnt& each : copy_->learnt())
-        text +=
-            fmt::format("at_ms={} what={} table={} key={} value={} by={} reason={}\n", each.at,
-                        kWhats[static_cast<std::size_t>(each.what)], each.name.table, escaped(each.name.key),
-                        escaped(each.text), escaped(each.by), escaped(each.reason));
+    for (const Replica::HistoryRecord& record : replica_->history())
+        text += fmt::format("at_ms={} what={} table={} key={} value={} by={} reason={}\n", record.at,
+                            kKindNames[static_cast<std::size_t>(record.kind)], record.name.table,
+                            escaped(record.name.key), escaped(record.text), escaped(record.written_by),
+                            escaped(record.reason));
     return text;
 }
 
-std::string Keeper::outcome(std::uint64_t ticket) const {
+std::string ReplicationService::outcome(std::uint64_t ticket) const {
     const auto it = outcomes_.find(ticket);
     if (it == outcomes_.end()) return fmt::format("ticket={} waits=1\n", ticket);
-    return fmt::format("ticket={} got={} wanted={} reached={}\n", ticket, it->second.got, it->second.wanted,
-                       it->second.reached ? 1 : 0);
+    return fmt::format("ticket={} got={} wanted={} reached={}\n", ticket, it->second.acks,
+                       it->second.acks_required, it->second.reached ? 1 : 0);
 }
 
-std::string Keeper::self() const {
-    const auto digest = copy_->digest();
-    const auto& figures = copy_->figures();
+std::string ReplicationService::self() const {
+    const auto digest = replica_->digest();
+    const auto& stats = replica_->stats();
     return fmt::format(
         "name={} boot={:016x} digest={:016x} entries={} caught_up={} from_disk={} kept={} fetching={} "
         "waiting={} live={} known={} "
         "horizon_ms={} ahead={} merged={} repairs={} pages={} dropped={} purged={} full={} skipped={}\n",
-        copy_->self().name, copy_->self().boot, digest.sum, digest.count, copy_->caught_up() ? 1 : 0,
+        replica_->self().name, replica_->self().boot, digest.sum, digest.count, replica_->caught_up() ? 1 : 0,
         from_disk_ ? 1 : 0,
-        !shelf_           ? "off"
-        : shelf_->works() ? "on"
-                          : "no",
-        copy_->fetching() ? 1 : 0, copy_->waiting(), live(), known(), wall_of(copy_->horizon()),
-        copy_->ahead() ? escaped(copy_->ahead()->first) : "", figures.merged, figures.repairs, figures.pages,
-        figures.dropped, figures.purged, figures.full, figures.skipped);
+        !snapshot_               ? "off"
+        : snapshot_->available() ? "on"
+                                 : "no",
+        replica_->fetching() ? 1 : 0, replica_->queued_pushes(), live_count(), known_count(),
+        wall_time_of(replica_->horizon()), replica_->ahead() ? escaped(replica_->ahead()->first) : "",
+        stats.merged, stats.repairs, stats.pages, stats.dropped, stats.purged, stats.table_full,
+        stats.throttled);
 }
 
 }  // namespace martenford::replica
--- a/src/replica/keeper.h
+++ b/src/replica/keeper.h
@@ -20,12 +20,12 @@
 
 namespace martenford::replica {
 
-class Keeper : private Company {
+class ReplicationService : private PeerDirectory {
   public:
     /// `fleet`: its name. `options` and `peers` outlive it.
-    Keeper(Loop& loop, const Options& options, peers::Peers& peers, const std::string& fleet,
-           Counters& counters);
-    ~Keeper() override;
+    ReplicationService(Loop& loop, const Options& options, peers::Peers& peers, const std::string& fleet,
+                       Counters& counters);
+    ~ReplicationService() override;
 
     /// Called for endpoints of which something else may hold than before.
     void on_endpoint_override(std::function<void(const std::string& uid, const EndpointOverride&)> call) {
@@ -45,22 +45,22 @@
 
   private:
     /// A member that is gone may come back within it; then it is no longer counted on.
-    static constexpr Duration kMayReturn = 7 * 24h;
+    static constexpr Duration kMaxAbsence = 7 * 24h;
 
-    std::vector<Other> some(std::size_t count) override;
-    std::size_t live() const override;
-    std::size_t known() const override { return std::max(live(), roster_.size()); }
+    std::vector<Peer> sample(std::size_t count) override;
+    std::size_t live_count() const override;
+    std::size_t known_count() const override { return std::max(live_count(), last_alive_.size()); }
 
-    bool begin();
-    void look();
-    void pump();
-    void look_round();
-    void arrived(const fleet::Id& from, const std::string& address, const std::string& bytes);
-    void keep(const std::set<Name>& names);
-    void kept(std::uint64_t seq);
-    void keep_all();
-    void absorb(ShelfLink::Loaded&& loaded);
-    void notify_endpoint_overrides(const std::set<Name>& names);
+    bool start_replica();
+    void wait_for_fleet();
+    void run_replica();
+    void run_periodic();
+    void handle_message(const fleet::Id& from, const std::string& address, const std::string& bytes);
+    void persist(const std::set<EntryName>& names);
+    void on_persisted(std::uint64_t seq);
+    void persist_all();
+    void merge_loaded(SnapshotClient::Loaded&& loaded);
+    void notify_endpoint_overrides(const std::set<EntryName>& names);
     std::string put(std::string_view words, bool deleted);
     std::string tables() const;
     std::string entries(const std::string& table, bool conflicts) const;
@@ -71,22 +71,22 @@
     Loop& loop_;
     const Options& options_;
     peers::Peers& peers_;
-    std::optional<Replica> copy_;
+    std::optional<Replica> replica_;
     std::optional<EndpointOverrides> endpoint_overrides_;
     std::function<void(const std::string&, const EndpointOverride&)> on_endpoint_override_;
     std::function<void(const std::string&)> on_ejected_by_others_;
-    std::map<std::string, Time> roster_;  ///< names, with when they were last alive
+    std::map<std::string, Time> last_alive_;  ///< names, with when they were last alive
     std::map<std::uint64_t, Replica::Outcome> outcomes_;
-    std::optional<ShelfLink> shelf_;
-    std::optional<ShelfLink::Loaded> loaded_;  ///< until the copy is there
+    std::optional<SnapshotClient> snapshot_;
+    std::optional<SnapshotClient::Loaded> loaded_;  ///< until the copy is there
     bool from_disk_ = false;
-    std::uint64_t last_keep_ = 0, kept_ = 0;
+    std::uint64_t last_persist_ = 0, persisted_ = 0;
     /// What must not be said before so much is kept.
-    std::deque<std::pair<std::uint64_t, std::function<void()>>> unsaid_;
-    Timer tick_, round_;
-    Time began_{};
-    bool told_caught_up_ = false, pumping_ = false;
-    Counter &bytes_out_, &bad_;
+    std::deque<std::pair<std::uint64_t, std::function<void()>>> deferred_;
+    Timer replica_timer_, periodic_timer_;
+    Time started_at_{};
+    bool reported_caught_up_ = false, running_ = false;
+    Counter &bytes_out_, &unreadable_;
 };
 
 }  // namespace martenford::replica
--- a/src/replica/message.cpp
+++ b/src/replica/message.cpp
@@ -15,53 +15,53 @@
 
 using framing::FrameError;
 
-constexpr int kPackLevel = 1;  // pages are made while requests are served
+constexpr int kCompressionLevel = 1;  // pages are made while requests are served
 /// What a page may unpack to: a page is cut by its unpacked size.
-constexpr std::size_t kMostUnpacked = 2 * framing::kMostFrame;
-constexpr std::size_t kOverhead = 48;    // of an entry or a version beside its texts, on the wire
-constexpr std::size_t kMostExtra = 512;  // bytes of fields that this build does not know
+constexpr std::size_t kMaxUncompressedBytes = 2 * framing::kMostFrame;
+constexpr std::size_t kOverheadBytes = 48;          // of an entry or a version beside its texts, on the wire
+constexpr std::size_t kMaxUnknownFieldBytes = 512;  // bytes of fields that this build does not know
 
 void fill(wire::Version& to, const Version& from) {
-    if (!from.extra.empty()) to.ParseFromString(from.extra);
+    if (!from.unknown_fields.empty()) to.ParseFromString(from.unknown_fields);
     to.set_writer(from.dot.writer);
     to.set_count(from.dot.count);
-    to.set_stamp(from.stamp);
+    to.set_stamp(from.timestamp);
     to.set_expires(from.expires);
     to.set_rank(from.rank);
     to.set_deleted(from.deleted);
     to.set_value(from.value);
-    to.set_by(from.by);
+    to.set_by(from.written_by);
     to.set_reason(from.reason);
 }
 
-void fill(wire::Entry& to, const Named& from) {
+void fill(wire::Entry& to, const NamedEntry& from) {
     to.set_table(from.name.table);
     to.set_key(from.name.key);
     to.set_rule(static_cast<std::uint32_t>(from.entry.rule));
     for (const Version& version : from.entry.versions) fill(*to.add_versions(), version);
-    for (const Known& known : from.entry.context) {
+    for (const ContextItem& item : from.entry.context) {
         wire::Known& each = *to.add_context();
-        each.set_writer(known.dot.writer);
-        each.set_count(known.dot.count);
-        each.set_stamp(known.stamp);
+        each.set_writer(item.dot.writer);
+        each.set_count(item.dot.count);
+        each.set_stamp(item.timestamp);
     }
 }
 
 template <class Text>
-const Text& bounded(const Text& text, std::size_t most) {
-    if (text.size() > most) throw FrameError("a text of an entry is too long");
+const Text& checked_length(const Text& text, std::size_t max_bytes) {
+    if (text.size() > max_bytes) throw FrameError("a text of an entry is too long");
     return text;
 }
 
 /// Shown to operators and written to logs: no control bytes, in whatever language.
-const std::string& shown(const std::string& text, std::size_t most) {
+const std::string& checked_printable(const std::string& text, std::size_t max_bytes) {
     if (std::any_of(text.begin(), text.end(), [](char c) { return static_cast<unsigned char>(c) < ' '; }))
         throw FrameError("a text of an entry can't be shown");
-    return bounded(text, most);
+    return checked_length(text, max_bytes);
 }
 
 /// What is left when all that is known is taken away.
-std::string unknown_of(wire::Version version) {
+std::string unknown_fields_of(wire::Version version) {
     version.clear_writer();
     version.clear_count();
     version.clear_stamp();
@@ -79,59 +79,62 @@
         throw FrameError("a version without its writer");
     Version to;
     to.dot = {from.writer(), from.count()};
-    to.stamp = from.stamp();
+    to.timestamp = from.stamp();
     to.expires = from.expires();
     to.rank = from.rank();
     to.deleted = from.deleted();
-    to.value = bounded(from.value(), kMostValue);
-    to.by = shown(from.by(), kMostKey);
-    to.reason = shown(from.reason(), kMostWords);
-    to.extra = bounded(unknown_of(from), kMostExtra);
+    to.value = checked_length(from.value(), kMaxValueBytes);
+    to.written_by = checked_printable(from.by(), kMaxKeyBytes);
+    to.reason = checked_printable(from.reason(), kMaxReasonBytes);
+    to.unknown_fields = checked_length(unknown_fields_of(from), kMaxUnknownFieldBytes);
     return to;
 }
 
-Named read_entry(const wire::Entry& from) {
-    if (from.table().empty() || from.key().empty() || from.rule() >= kRules || from.versions_size() == 0 ||
-        static_cast<std::size_t>(from.versions_size()) > kMostVersions ||
-        static_cast<std::size_t>(from.context_size()) > kMostContext)
+NamedEntry read_entry(const wire::Entry& from) {
+    if (from.table().empty() || from.key().empty() || from.rule() >= kRuleCount ||
+        from.versions_size() == 0 || static_cast<std::size_t>(from.versions_size()) > kMaxVersions ||
+        static_cast<std::size_t>(from.context_size()) > kMaxContextItems)
         throw FrameError("an entry can't be used");
-    Named to;
-    to.name.table = shown(from.table(), kMostTable);
-    to.name.key = shown(from.key(), kMostKey);
-    to.entry.rule = static_cast<Rule>(from.rule());
+    NamedEntry to;
+    to.name.table = checked_printable(from.table(), kMaxTableNameBytes);
+    to.name.key = checked_printable(from.key(), kMaxKeyBytes);
+    to.entry.rule = static_cast<ConflictRule>(from.rule());
     for (const auto& version : from.versions()) to.entry.versions.push_back(read_version(version));
-    for (const auto& known : from.context())
-        to.entry.context.push_back({{known.writer(), known.count()}, known.stamp()});
+    for (const auto& item : from.context())
+        to.entry.context.push_back({{item.writer(), item.count()}, item.stamp()});
     const auto same_dot = [](const Version& a, const Version& b) { return a.dot >= b.dot; };
-    const auto same_writer = [](const Known& a, const Known& b) { return a.dot.writer >= b.dot.writer; };
+    const auto same_writer = [](const ContextItem& a, const ContextItem& b) {
+        return a.dot.writer >= b.dot.writer;
+    };
     const auto& entry = to.entry;
-    const bool sound =
+    const bool is_valid =
         std::adjacent_find(entry.versions.begin(), entry.versions.end(), same_dot) == entry.versions.end() &&
         std::adjacent_find(entry.context.begin(), entry.context.end(), same_writer) == entry.context.end() &&
         std::all_of(entry.versions.begin(), entry.versions.end(),
-                    [&](const Version& version) { return entry.knows(version.dot); });
-    if (!sound) throw FrameError("an entry does not know its own versions");
+                    [&](const Version& version) { return entry.has_seen(version.dot); });
+    if (!is_valid) throw FrameError("an entry does not know its own versions");
     return to;
 }
 
-void read_entries(const wire::Entries& from, std::vector<Named>& to) {
+void read_entries(const wire::Entries& from, std::vector<NamedEntry>& to) {
     to.reserve(static_cast<std::size_t>(from.entries_size()));
     for (const auto& entry : from.entries()) to.push_back(read_entry(entry));
 }
 
-std::string pack(const std::string& bytes) {
-    std::string packed(ZSTD_compressBound(bytes.size()), '\0');
+std::string compress(const std::string& bytes) {
+    std::string compressed(ZSTD_compressBound(bytes.size()), '\0');
     const std::size_t size =
-        ZSTD_compress(packed.data(), packed.size(), bytes.data(), bytes.size(), kPackLevel);
-    packed.resize(ZSTD_isError(size) ? 0 : size);
-    return packed;
+        ZSTD_compress(compressed.data(), compressed.size(), bytes.data(), bytes.size(), kCompressionLevel);
+    compressed.resize(ZSTD_isError(size) ? 0 : size);
+    return compressed;
 }
 
-std::string unpack(const std::string& packed, std::size_t size) {
-    if (size > kMostUnpacked) throw FrameError("a page is too long");
+std::string decompress(const std::string& compressed, std::size_t size) {
+    if (size > kMaxUncompressedBytes) throw FrameError("a page is too long");
     std::string bytes(size, '\0');
-    const std::size_t got = ZSTD_decompress(bytes.data(), bytes.size(), packed.data(), packed.size());
-    if (ZSTD_isError(got) || got != size) throw FrameError("a page can't be unpacked");
+    const std::size_t actual_size =
+        ZSTD_decompress(bytes.data(), bytes.size(), compressed.data(), compressed.size());
+    if (ZSTD_isError(actual_size) || actual_size != size) throw FrameError("a page can't be unpacked");
     return bytes;
 }
 
@@ -140,14 +143,14 @@
 std::string bytes_of(const Message& message) {
     wire::Message out;
     out.set_kind(static_cast<std::uint32_t>(message.kind));
-    out.set_sent(message.sent);
+    out.set_sent(message.sent_at);
     out.set_horizon(message.horizon);
     out.set_seq(message.seq);
     wire::Entries entries;
-    for (const Named& entry : message.entries) fill(*entries.add_entries(), entry);
+    for (const NamedEntry& entry : message.entries) fill(*entries.add_entries(), entry);
     if (message.kind == Message::Kind::Page) {
         const std::string bytes = entries.SerializeAsString();
-        out.set_packed(pack(bytes));
+        out.set_packed(compress(bytes));
         out.set_size(static_cast<std::uint32_t>(bytes.size()));
     } else if (entries.entries_size() > 0) {
         out.mutable_entries()->Swap(&entries);
@@ -158,38 +161,38 @@
         to.set_prefix(range.prefix);
         to.set_sum(range.sum);
         to.set_count(range.count);
-        to.set_listed(range.listed);
-        for (const std::uint64_t part : range.parts) to.add_parts(part);
+        to.set_listed(range.has_summaries);
+        for (const std::uint64_t part : range.child_sums) to.add_parts(part);
     }
-    for (const Head& head : message.heads) {
+    for (const EntrySummary& summary : message.summaries) {
         wire::Head& to = *out.add_heads();
-        to.set_place(head.place);
-        to.set_hash(head.hash);
-        to.set_stamp(head.stamp);
+        to.set_place(summary.position);
+        to.set_hash(summary.hash);
+        to.set_stamp(summary.timestamp);
     }
-    for (const std::uint64_t place : message.want) out.add_want(place);
-    out.set_from(message.from);
-    out.set_next(message.next);
-    out.set_end(message.end);
+    for (const std::uint64_t position : message.requested) out.add_want(position);
+    out.set_from(message.from_position);
+    out.set_next(message.next_position);
+    out.set_end(message.is_last);
     out.set_busy(message.busy);
     return out.SerializeAsString();
 }
 
 Message read_message(std::string_view bytes) {
     const auto in = framing::parsed<wire::Message>(bytes);
-    if (in.kind() >= kKinds) throw FrameError("a message of state is of no known kind");
-    if (static_cast<std::size_t>(in.ranges_size()) > kMostRanges ||
-        static_cast<std::size_t>(in.heads_size()) > kMostHeads ||
-        static_cast<std::size_t>(in.want_size()) > kMostWant)
+    if (in.kind() >= kKindCount) throw FrameError("a message of state is of no known kind");
+    if (static_cast<std::size_t>(in.ranges_size()) > kMaxRanges ||
+        static_cast<std::size_t>(in.heads_size()) > kMaxSummaries ||
+        static_cast<std::size_t>(in.want_size()) > kMaxRequested)
         throw FrameError("a message of state is over a bound");
     Message message;
     message.kind = static_cast<Message::Kind>(in.kind());
-    message.sent = in.sent();
+    message.sent_at = in.sent();
     message.horizon = in.horizon();
     message.seq = in.seq();
     read_entries(in.entries(), message.entries);
     if (in.size() > 0)
-        read_entries(framing::parsed<wire::Entries>(unpack(in.packed(), in.size())), message.entries);
+        read_entries(framing::parsed<wire::Entries>(decompress(in.packed(), in.size())), message.entries);
     for (const auto& range : in.ranges()) {
         if (range.level() > 16 || (range.parts_size() != 0 && range.parts_size() != 16))
             throw FrameError("a range can't be used");
@@ -200,43 +203,44 @@
                                   range.listed(),
                                   {range.parts().begin(), range.parts().end()}});
     }
-    for (const auto& head : in.heads()) message.heads.push_back({head.place(), head.hash(), head.stamp()});
-    message.want.assign(in.want().begin(), in.want().end());
-    message.from = in.from();
-    message.next = in.next();
-    message.end = in.end();
+    for (const auto& summary : in.heads())
+        message.summaries.push_back({summary.place(), summary.hash(), summary.stamp()});
+    message.requested.assign(in.want().begin(), in.want().end());
+    message.from_position = in.from();
+    message.next_position = in.next();
+    message.is_last = in.end();
     message.busy = in.busy();
     return message;
 }
 
-std::string bytes_of(const Named& entry) {
+std::string bytes_of(const NamedEntry& entry) {
     wire::Entry out;
     fill(out, entry);
     return out.SerializeAsString();
 }
 
-Named read_named(std::string_view bytes) {
+NamedEntry read_named_entry(std::string_view bytes) {
     return read_entry(framing::parsed<wire::Entry>(bytes));
 }
 
-std::size_t size_of(const Named& entry) {
-    std::size_t size = kOverhead + entry.name.table.size() + entry.name.key.size();
+std::size_t size_of(const NamedEntry& entry) {
+    std::size_t size = kOverheadBytes + entry.name.table.size() + entry.name.key.size();
     for (const Version& version : entry.entry.versions)
-        size += kOverhead + version.value.size() + version.by.size() + version.reason.size() +
-                version.extra.size();
-    return size + entry.entry.context.size() * kOverhead / 2;
+        size += kOverheadBytes + version.value.size() + version.written_by.size() + version.reason.size() +
+                version.unknown_fields.size();
+    return size + entry.entry.context.size() * kOverheadBytes / 2;
 }
 
 std::uint64_t hash_of(const Entry& entry) {
     std::uint64_t sum = 0;
     for (const Version& version : entry.versions) {
-        const std::uint64_t numbers[] = {version.dot.writer, version.dot.count, version.stamp};
+        const std::uint64_t numbers[] = {version.dot.writer, version.dot.count, version.timestamp};
         sum += XXH3_64bits(numbers, sizeof numbers);
     }
     return sum;
 }
 
-std::uint64_t place_of(const Name& name) {
+std::uint64_t position_of(const EntryName& name) {
     const std::uint64_t table = XXH3_64bits(name.table.data(), name.table.size());
     return XXH3_64bits_withSeed(name.key.data(), name.key.size(), table);
 }
--- a/src/replica/shelf_link.h
+++ b/src/replica/shelf_link.h
@@ -17,56 +17,56 @@
 
 namespace martenford::replica {
 
-class ShelfLink {
+class SnapshotClient {
   public:
     struct Loaded {
-        Stamp horizon = 0;
-        std::vector<Named> entries;
+        Timestamp horizon = 0;
+        std::vector<NamedEntry> entries;
     };
-    struct Calls {
+    struct Callbacks {
         /// What the file holds, each time that a helper has opened it; and once where none can. All is to be
         /// put anew then.
         std::function<void(Loaded&&)> loaded;
-        std::function<void(std::uint64_t seq)> kept;
+        std::function<void(std::uint64_t seq)> persisted;
     };
     /// Bytes that wait for the helper; over it the link is given up and all is put anew when it works.
-    static constexpr std::size_t kMostWaiting = 64 << 20;
+    static constexpr std::size_t kMaxWaitingBytes = 64 << 20;
 
-    ShelfLink(Loop& loop, std::string helper, std::string directory, std::string fleet, Duration life,
-              Calls calls);
-    ~ShelfLink();
+    SnapshotClient(Loop& loop, std::string helper, std::string directory, std::string fleet,
+                   Duration tombstone_ttl, Callbacks callbacks);
+    ~SnapshotClient();
 
     void start();
     /// Its number, by which `kept` tells.
     /// `anew`: nothing else is to be kept.
-    std::uint64_t keep(Stamp horizon, const std::vector<Named>& entries, const std::vector<Name>& gone,
-                       bool anew = false);
-    bool works() const { return works_; }
+    std::uint64_t persist(Timestamp horizon, const std::vector<NamedEntry>& entries,
+                          const std::vector<EntryName>& erased, bool replace_all = false);
+    bool available() const { return available_; }
 
   private:
     using Socket = asio::local::stream_protocol::socket;
     bool spawn(int descriptor);
     void read();
-    void take(std::string_view frame);
+    void handle_frame(std::string_view frame);
     void flush();
-    void lost(const std::string& why);
+    void fail(const std::string& why);
     void reap();
 
     Loop& loop_;
     const std::string helper_, directory_, fleet_;
-    const Duration life_;
-    Calls calls_;
+    const Duration tombstone_ttl_;
+    Callbacks callbacks_;
     std::shared_ptr<Socket> socket_;
     framing::FrameReader reader_;
-    std::string waiting_, writing_;
-    std::vector<pid_t> dead_;
+    std::string outgoing_, writing_;
+    std::vector<pid_t> unreaped_;
     pid_t pid_ = -1;
     Loaded loading_;
     std::uint64_t seq_ = 0;
-    int tries_ = 0;
-    bool loaded_ = false, works_ = false, said_ = false;
-    Timer again_, reap_;
-    char bytes_[16 * 1024];
+    int load_attempts_ = 0;
+    bool loaded_ = false, available_ = false, reported_ = false;
+    Timer restart_timer_, reap_timer_;
+    char buffer_[16 * 1024];
 };
 
 }  // namespace martenford::replica
--- a/src/replica/shelf_writer.h
+++ b/src/replica/shelf_writer.h
@@ -7,16 +7,16 @@
 
 namespace martenford::replica {
 
-struct ShelfOptions {
+struct SnapshotWriterOptions {
     std::string directory;
     int descriptor = 3;  ///< the connected socket to the sidecar
     std::string vfs;     ///< of SQLite's file systems; empty: the usual one
 };
 
 /// Exit codes that the sidecar tells apart in its log.
-constexpr int kShelfDone = 0, kShelfFailed = 1, kShelfBadPeer = 4;
+constexpr int kSnapshotWriterDone = 0, kSnapshotWriterFailed = 1, kSnapshotWriterBadPeer = 4;
 
 /// Runs until the sidecar's end of the socket is closed and all that came from it is kept.
-int run_shelf(const ShelfOptions& options);
+int run_snapshot_writer(const SnapshotWriterOptions& options);
 
 }  // namespace martenford::replica
--- a/src/replica/tables.cpp
+++ b/src/replica/tables.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-constexpr std::uint32_t kMostPercent = 100;
+constexpr std::uint32_t kMaxPercent = 100;
 
 std::optional<std::uint64_t> number_of(std::string_view text) {
     std::uint64_t number = 0;
@@ -28,7 +28,7 @@
 
 }  // namespace
 
-const Table* table_named(std::string_view name) {
+const Table* find_table(std::string_view name) {
     for (const Table& table : kTables) {
         if (name == table.name) return &table;
     }
@@ -39,22 +39,22 @@
     if (table == "overrides") {
         values::Override out;
         if (text == "exclude") {
-            out.set_what(static_cast<std::uint32_t>(Override::What::Exclude));
+            out.set_what(static_cast<std::uint32_t>(Override::Kind::Exclude));
         } else if (text.starts_with("weight=")) {
             const auto percent = number_of(text.substr(7));
-            if (!percent || *percent > kMostPercent) {
+            if (!percent || *percent > kMaxPercent) {
                 error = "weight is a percentage, 0 to 100";
                 return std::nullopt;
             }
-            out.set_what(static_cast<std::uint32_t>(Override::What::Weight));
+            out.set_what(static_cast<std::uint32_t>(Override::Kind::Weight));
             out.set_percent(static_cast<std::uint32_t>(*percent));
         } else if (text != "include") {
             error = "exclude, include or weight=PERCENT";
             return std::nullopt;
         }
         // The less it lets through, the safer.
-        const std::uint64_t rank = text == "exclude"              ? kMostPercent + 1
-                                   : out.what() == 1 /* weight */ ? kMostPercent - out.percent()
+        const std::uint64_t rank = text == "exclude"              ? kMaxPercent + 1
+                                   : out.what() == 1 /* weight */ ? kMaxPercent - out.percent()
                                                                   : 0;
         return Value{out.SerializeAsString(), rank};
     }
@@ -83,14 +83,14 @@
 std::string text_of(std::string_view table, const std::string& bytes) {
     if (table == "overrides") {
         if (const auto value = read_override(bytes)) {
-            if (value->what == Override::What::Weight) return fmt::format("weight={}", value->percent);
-            return value->what == Override::What::Exclude ? "exclude" : "include";
+            if (value->kind == Override::Kind::Weight) return fmt::format("weight={}", value->percent);
+            return value->kind == Override::Kind::Exclude ? "exclude" : "include";
         }
     } else if (table == "drains") {
         if (const auto value = read_drain(bytes)) return fmt::format("drains revision={}", value->revision);
     } else if (table == "verdicts") {
         if (const auto value = read_verdict(bytes))
-            return fmt::format("{} {}/{}", value->what == Verdict::What::Failing ? "failing" : "unreachable",
+            return fmt::format("{} {}/{}", value->kind == Verdict::Kind::Failing ? "failing" : "unreachable",
                                value->failed, value->calls);
     } else if (table == "settings") {
         if (const auto value = parsed<values::Setting>(bytes)) return value->document();
@@ -104,10 +104,10 @@
 
 std::optional<Override> read_override(const std::string& bytes) {
     const auto value = parsed<values::Override>(bytes);
-    if (!value || value->what() > static_cast<std::uint32_t>(Override::What::Exclude) ||
-        value->percent() > kMostPercent)
+    if (!value || value->what() > static_cast<std::uint32_t>(Override::Kind::Exclude) ||
+        value->percent() > kMaxPercent)
         return std::nullopt;
-    return Override{static_cast<Override::What>(value->what()), value->percent()};
+    return Override{static_cast<Override::Kind>(value->what()), value->percent()};
 }
 
 std::string bytes_of(const Drain& drain) {
@@ -126,7 +126,7 @@
 
 std::string bytes_of(const Verdict& verdict) {
     values::Verdict out;
-    out.set_what(static_cast<std::uint32_t>(verdict.what));
+    out.set_what(static_cast<std::uint32_t>(verdict.kind));
     out.set_failed(verdict.failed);
     out.set_calls(verdict.calls);
     return out.SerializeAsString();
@@ -134,8 +134,8 @@
 
 std::optional<Verdict> read_verdict(const std::string& bytes) {
     const auto value = parsed<values::Verdict>(bytes);
-    if (!value || value->what() > static_cast<std::uint32_t>(Verdict::What::Unreachable)) return std::nullopt;
-    return Verdict{static_cast<Verdict::What>(value->what()), value->failed(), value->calls()};
+    if (!value || value->what() > static_cast<std::uint32_t>(Verdict::Kind::Unreachable)) return std::nullopt;
+    return Verdict{static_cast<Verdict::Kind>(value->what()), value->failed(), value->calls()};
 }
 
 }  // namespace martenford::replica
--- a/src/replica/tables.h
+++ b/src/replica/tables.h
@@ -14,36 +14,36 @@
 
 struct Table {
     const char* name;
-    Rule rule;
-    std::size_t most;  ///< entries, tombstones among them; a write over it is refused
+    ConflictRule rule;
+    std::size_t max_entries;  ///< entries, tombstones among them; a write over it is refused
     bool may_delete;
     const char* reason;  ///< for the rule
 };
 
 constexpr std::array<Table, 5> kTables{{
-    {"overrides", Rule::Safer, 2'000, true,
+    {"overrides", ConflictRule::Safer, 2'000, true,
      "of two operators that do not know of each other the one who takes an endpoint out is right: the "
      "other's "
      "wish costs capacity, an endpoint wrongly let in costs requests"},
-    {"verdicts", Rule::Latest, 20'000, true,
+    {"verdicts", ConflictRule::Latest, 20'000, true,
      "each sidecar writes its own verdict on an endpoint, under a key that ends in its name: the later is "
      "the "
      "better informed"},
-    {"drains", Rule::Latest, 10'000, true,
+    {"drains", ConflictRule::Latest, 10'000, true,
      "what discovery has told one sidecar and not yet another; of two witnesses in one place either will do"},
-    {"settings", Rule::Latest, 200, true,
+    {"settings", ConflictRule::Latest, 200, true,
      "a document that a person changes is meant as it was last written; what was written beside it is kept "
      "and shown"},
-    {"fences", Rule::Greatest, 1'000, false,
+    {"fences", ConflictRule::Greatest, 1'000, false,
      "an epoch that goes back would let in whoever was shut out: the greatest alone counts, and none is "
      "deleted"},
 }};
 /// Entries of all tables: 100,000 were measured.
-constexpr std::size_t kMostEntries = 150'000;
+constexpr std::size_t kMaxEntries = 150'000;
 /// Of a table that this build does not know; its rule comes with its entries.
-constexpr std::size_t kMostOfUnknown = kMostEntries;
+constexpr std::size_t kMaxUnknownTableEntries = kMaxEntries;
 
-const Table* table_named(std::string_view name);
+const Table* find_table(std::string_view name);
 
 /// A value in an operator's words ("exclude", "weight=40", "epoch=7") as it is kept, with its rank.
 struct Value {
@@ -58,8 +58,8 @@
 // ---- what the tables hold -----------------------------------------------------------------------------
 
 struct Override {
-    enum class What : std::uint8_t { Include, Weight, Exclude };
-    What what = What::Include;
+    enum class Kind : std::uint8_t { Include, Weight, Exclude };
+    Kind kind = Kind::Include;
     std::uint32_t percent = 100;  ///< Weight
 };
 std::optional<Override> read_override(const std::string& bytes);
@@ -75,8 +75,8 @@
 
 /// Of one sidecar on one endpoint.
 struct Verdict {
-    enum class What : std::uint8_t { Failing, Unreachable };
-    What what = What::Failing;
+    enum class Kind : std::uint8_t { Failing, Unreachable };
+    Kind kind = Kind::Failing;
     std::uint32_t failed = 0, calls = 0;  ///< what it has seen
 };
 std::string bytes_of(const Verdict& verdict);
--- a/src/store/database.cpp
+++ b/src/store/database.cpp
@@ -10,49 +10,49 @@
 
 /// Pages of the log after which SQLite moves it into the file by itself: 4 MiB, that a start has to read
 /// again.
-constexpr int kCheckpointPages = 1000;
-constexpr int kCachePages = -16 * 1024;  // KiB: the upper levels of the indexes of some million requests
+constexpr int kAutocheckpointPages = 1000;
+constexpr int kCacheSizeKib = -16 * 1024;  // KiB: the upper levels of the indexes of some million requests
 /// What is left of the log's file between checkpoints.
-constexpr int kLogBytes = 8 * 1024 * 1024;
+constexpr int kMaxWalBytes = 8 * 1024 * 1024;
 
-Fault fault_of(int extended) {
+ErrorKind kind_of(int extended) {
     switch (extended & 0xff) {
         case SQLITE_FULL:
-            return Fault::Full;
+            return ErrorKind::Full;
         case SQLITE_BUSY:
         case SQLITE_LOCKED:
-            return Fault::Busy;
+            return ErrorKind::Busy;
         case SQLITE_READONLY:
         case SQLITE_CANTOPEN:
         case SQLITE_PERM:
-            return Fault::ReadOnly;
+            return ErrorKind::ReadOnly;
         case SQLITE_CORRUPT:
         case SQLITE_NOTADB:
-            return Fault::Corrupt;
+            return ErrorKind::Corrupt;
         case SQLITE_IOERR:
-            return Fault::Sync;
+            return ErrorKind::Sync;
         default:
-            return Fault::Other;
+            return ErrorKind::Other;
     }
 }
 
 }  // namespace
 
-std::string_view name_of(Fault fault) {
-    switch (fault) {
-        case Fault::Full:
+std::string_view name_of(ErrorKind kind) {
+    switch (kind) {
+        case ErrorKind::Full:
             return "full";
-        case Fault::Sync:
+        case ErrorKind::Sync:
             return "io";
-        case Fault::Busy:
+        case ErrorKind::Busy:
             return "busy";
-        case Fault::ReadOnly:
+        case ErrorKind::ReadOnly:
             return "read-only";
-        case Fault::Corrupt:
+        case ErrorKind::Corrupt:
             return "corrupt";
-        case Fault::Newer:
+        case ErrorKind::Newer:
             return "newer";
-        case Fault::Other:
+        case ErrorKind::Other:
             break;
     }
     return "other";
@@ -67,17 +67,18 @@
     sqlite3_finalize(statement_);
 }
 
-void Statement::bind(int at, std::int64_t value) {
-    sqlite3_bind_int64(statement_, at, value);
+void Statement::bind(int index, std::int64_t value) {
+    sqlite3_bind_int64(statement_, index, value);
 }
-void Statement::bind(int at, std::string_view text) {
-    sqlite3_bind_text(statement_, at, text.data(), static_cast<int>(text.size()), SQLITE_STATIC);
+void Statement::bind(int index, std::string_view text) {
+    sqlite3_bind_text(statement_, index, text.data(), static_cast<int>(text.size()), SQLITE_STATIC);
 }
-void Statement::bind(int at, Blob blob) {
-    sqlite3_bind_blob(statement_, at, blob.bytes.data(), static_cast<int>(blob.bytes.size()), SQLITE_STATIC);
+void Statement::bind(int index, Blob blob) {
+    sqlite3_bind_blob(statement_, index, blob.bytes.data(), static_cast<int>(blob.bytes.size()),
+                      SQLITE_STATIC);
 }
-void Statement::bind(int at, Null) {
-    sqlite3_bind_null(statement_, at);
+void Statement::bind(int index, Null) {
+    sqlite3_bind_null(statement_, index);
 }
 
 bool Statement::step() {
@@ -116,19 +117,19 @@
     try {
         if (code != SQLITE_OK) fail(code, "open");
         sqlite3_extended_result_codes(handle_, 1);
-        sqlite3_busy_timeout(handle_, options.busy_ms);
+        sqlite3_busy_timeout(handle_, options.busy_timeout_ms);
         if (!options.shared) execute("PRAGMA locking_mode=EXCLUSIVE");
-        execute(("PRAGMA cache_size=" + std::to_string(kCachePages)).c_str());
+        execute(("PRAGMA cache_size=" + std::to_string(kCacheSizeKib)).c_str());
         if (options.read_only) {
             execute("PRAGMA query_only=1");
             return;
         }
         execute("PRAGMA journal_mode=WAL");
         execute("PRAGMA synchronous=FULL");
-        execute(("PRAGMA wal_autocheckpoint=" + std::to_string(kCheckpointPages)).c_str());
-        execute(("PRAGMA journal_size_limit=" + std::to_string(kLogBytes)).c_str());
-        if (options.most_bytes > 0) {
-            const auto pages = options.most_bytes / static_cast<std::uint64_t>(number("PRAGMA page_size"));
+        execute(("PRAGMA wal_autocheckpoint=" + std::to_string(kAutocheckpointPages)).c_str());
+        execute(("PRAGMA journal_size_limit=" + std::to_string(kMaxWalBytes)).c_str());
+        if (options.max_bytes > 0) {
+            const auto pages = options.max_bytes / static_cast<std::uint64_t>(number("PRAGMA page_size"));
             execute(("PRAGMA max_page_count=" + std::to_string(pages)).c_str());
         }
         checkpoint();
@@ -141,9 +142,9 @@
     sqlite3_close(handle_);
 }
 
-void Database::fail(int code, const std::string& doing) {
+void Database::fail(int code, const std::string& operation) {
     const std::string what = handle_ ? sqlite3_errmsg(handle_) : sqlite3_errstr(code);
-    throw StoreError(fault_of(code), path_ + ": " + doing + ": " + what);
+    throw StoreError(kind_of(code), path_ + ": " + operation + ": " + what);
 }
 
 void Database::execute(const char* sql) {
@@ -166,12 +167,12 @@
 }
 
 void Database::migrate(const std::vector<Migration>& steps) {
-    const int has = version();
-    if (has > static_cast<int>(steps.size())) {
-        throw StoreError(Fault::Newer, path_ + ": has schema " + std::to_string(has) +
-                                           ", this program knows " + std::to_string(steps.size()));
+    const int current = version();
+    if (current > static_cast<int>(steps.size())) {
+        throw StoreError(ErrorKind::Newer, path_ + ": has schema " + std::to_string(current) +
+                                               ", this program knows " + std::to_string(steps.size()));
     }
-    for (int step = has; step < static_cast<int>(steps.size()); ++step) {
+    for (int step = current; step < static_cast<int>(steps.size()); ++step) {
         transaction([&] {
             // Another process may have taken the step since.
             if (version() != step) return;
@@ -202,11 +203,11 @@
 
 std::string Database::check() {
     Statement statement(*this, "PRAGMA quick_check(10)");
-    std::string found;
+    std::string errors;
     while (statement.step()) {
-        if (const auto line = statement.text(0); line != "ok") found += (found.empty() ? "" : "; ") + line;
+        if (const auto line = statement.text(0); line != "ok") errors += (errors.empty() ? "" : "; ") + line;
     }
-    return found;
+    return errors;
 }
 
 std::uint64_t Database::bytes() {
--- a/src/store/database.h
+++ b/src/store/database.h
@@ -18,7 +18,7 @@
 namespace martenford::store {
 
 /// What somebody can do about it.
-enum class Fault {
+enum class ErrorKind {
     Full,  ///< the disk or the stated bound: room helps
     Sync,  ///< a sync or write failed: what was written since the last one is in doubt (see Database::open)
     Busy,  ///< somebody else holds the file for longer than we wait
@@ -27,11 +27,11 @@
     Newer,     ///< written by a later version of this program
     Other,
 };
-std::string_view name_of(Fault fault);
+std::string_view name_of(ErrorKind kind);
 
 struct StoreError : std::runtime_error {
-    StoreError(Fault what_for, const std::string& what) : std::runtime_error(what), fault(what_for) {}
-    Fault fault;
+    StoreError(ErrorKind error_kind, const std::string& what) : std::runtime_error(what), kind(error_kind) {}
+    ErrorKind kind;
 };
 
 struct Options {
@@ -39,9 +39,9 @@
     /// Whether other processes use the file too. Without, the index of the log is in memory and no file is
     /// mapped.
     bool shared = true;
-    std::uint64_t most_bytes = 0;  ///< of the file, without its log; 0: no bound of ours
-    int busy_ms = 2000;            ///< wait for another writer; it holds the file for one batch
-    std::string vfs;               ///< of SQLite's file systems; empty: the usual one
+    std::uint64_t max_bytes = 0;  ///< of the file, without its log; 0: no bound of ours
+    int busy_timeout_ms = 2000;   ///< wait for another writer; it holds the file for one batch
+    std::string vfs;              ///< of SQLite's file systems; empty: the usual one
 };
 
 /// One step of a schema. Steps are never changed once released; new ones are added at the end.
@@ -65,21 +65,21 @@
     template <typename... Values>
     Statement& bind_all(const Values&... values) {
         reset();
-        int at = 0;
-        (bind(++at, values), ...);
+        int index = 0;
+        (bind(++index, values), ...);
         return *this;
     }
     struct Blob {
         std::string_view bytes;
     };
     struct Null {};
-    void bind(int at, std::int64_t value);
-    void bind(int at, std::uint64_t value) { bind(at, static_cast<std::int64_t>(value)); }
-    void bind(int at, int value) { bind(at, static_cast<std::int64_t>(value)); }
-    void bind(int at, std::uint32_t value) { bind(at, static_cast<std::int64_t>(value)); }
-    void bind(int at, std::string_view text);
-    void bind(int at, Blob blob);
-    void bind(int at, Null);
+    void bind(int index, std::int64_t value);
+    void bind(int index, std::uint64_t value) { bind(index, static_cast<std::int64_t>(value)); }
+    void bind(int index, int value) { bind(index, static_cast<std::int64_t>(value)); }
+    void bind(int index, std::uint32_t value) { bind(index, static_cast<std::int64_t>(value)); }
+    void bind(int index, std::string_view text);
+    void bind(int index, Blob blob);
+    void bind(int index, Null);
 
     /// True: a row is there. Throws StoreError.
     bool step();
@@ -128,7 +128,7 @@
 
   private:
     friend class Statement;
-    [[noreturn]] void fail(int code, const std::string& doing);
+    [[noreturn]] void fail(int code, const std::string& operation);
     sqlite3* handle_ = nullptr;
     std::string path_;
 };
--- a/tests/handover/handover_test.cpp
+++ b/tests/handover/handover_test.cpp
@@ -147,10 +147,11 @@
 TEST_F(Upgrade, TwoThatDoNotFindEachOtherListenSideBySideAndLoseOneConnectionAtMost) {
     Sidecar earlier(platform(), "", environment());
     const int port = earlier.port();
-    std::string beside = platform();
+    std::string second_config = platform();
     const std::string any = "\"listen\":\"127.0.0.1:0\"";
-    beside.replace(beside.find(any), any.size(), "\"listen\":\"127.0.0.1:" + std::to_string(port) + "\"");
-    Sidecar later(beside, "", {"TMPDIR=" + directory + "/none"});
+    second_config.replace(second_config.find(any), any.size(),
+                          "\"listen\":\"127.0.0.1:" + std::to_string(port) + "\"");
+    Sidecar later(second_config, "", {"TMPDIR=" + directory + "/none"});
     EXPECT_EQ(later.port(), port);
     EXPECT_EQ(later.call("readyz"), "YES\n");
     int served = 0, lost = 0;
--- a/tests/ledger/book_test.cpp
+++ b/tests/ledger/book_test.cpp
@@ -102,7 +102,7 @@
             } catch (const store::StoreError& error) {
                 if (disk.dark()) return outcome;
                 if (tries > 3) throw;
-                if (error.fault != store::Fault::Full) book.reset();
+                if (error.kind != store::ErrorKind::Full) book.reset();
             }
         }
         outcome.kept = outcome.on_the_way;
@@ -181,7 +181,7 @@
             Book book(directory, writing);
             FAIL();
         } catch (const store::StoreError& error) {
-            EXPECT_EQ(error.fault, store::Fault::Newer) << error.what();
+            EXPECT_EQ(error.kind, store::ErrorKind::Newer) << error.what();
         }
     }
     std::filesystem::remove(directory + "/ledger.db");
@@ -200,7 +200,7 @@
 
 TEST_F(OnDisk, ABoundOnTheFileIsAFullDisk) {
     store::Options options;
-    options.most_bytes = 256 * 1024;
+    options.max_bytes = 256 * 1024;
     Book book(directory, true, options);
     const auto boot = book.open_boot(kHello);
     std::uint64_t kept = 0;
@@ -214,7 +214,7 @@
             ASSERT_LT(kept, 1000u);
         }
     } catch (const store::StoreError& error) {
-        EXPECT_EQ(error.fault, store::Fault::Full) << error.what();
+        EXPECT_EQ(error.kind, store::ErrorKind::Full) << error.what();
     }
     EXPECT_EQ(book.stats().requests, kept * 50);  // the batch that failed is not there in part
     EXPECT_GT(kept, 0u);
--- a/tests/replica/entry_test.cpp
+++ b/tests/replica/entry_test.cpp
@@ -14,11 +14,11 @@
 namespace {
 
 /// A few copies of one key that write and merge as `steps` say, from which any two are drawn.
-std::vector<Entry> copies_after(Rule rule, const std::vector<std::uint8_t>& steps) {
+std::vector<Entry> copies_after(ConflictRule rule, const std::vector<std::uint8_t>& steps) {
     constexpr std::size_t kCopies = 4;
     std::vector<Entry> copies(kCopies, Entry{rule, {}, {}});
     std::vector<std::uint64_t> counts(kCopies);
-    Stamp stamp = 0;
+    Timestamp timestamp = 0;
     for (const std::uint8_t step : steps) {
         const std::size_t who = step % kCopies, other = step / kCopies % kCopies;
         if (step < 128) {
@@ -27,9 +27,9 @@
         }
         Version version;
         version.dot = {who + 1, ++counts[who]};
-        version.stamp = ++stamp;
+        version.timestamp = ++timestamp;
         version.rank = step / 16 % 4;
-        version.deleted = rule != Rule::Greatest && step % 5 == 0;
+        version.deleted = rule != ConflictRule::Greatest && step % 5 == 0;
         version.value = std::to_string(step);
         copies[who].write(version);
     }
@@ -41,10 +41,11 @@
     return a;
 }
 
-const auto kRulesAll = {Rule::Latest, Rule::Safer, Rule::Greatest, Rule::Present};
+const auto kAllRules = {ConflictRule::Latest, ConflictRule::Safer, ConflictRule::Greatest,
+                        ConflictRule::Present};
 
 RC_GTEST_PROP(EntryMerge, CommutesAssociatesAndRepeats, (const std::vector<std::uint8_t>& steps)) {
-    for (const Rule rule : kRulesAll) {
+    for (const ConflictRule rule : kAllRules) {
         const auto c = copies_after(rule, steps);
         RC_ASSERT(merged(c[0], c[1]) == merged(c[1], c[0]));
         RC_ASSERT(merged(merged(c[0], c[1]), c[2]) == merged(c[0], merged(c[1], c[2])));
@@ -56,7 +57,7 @@
 RC_GTEST_PROP(EntryMerge, SaysTheSameOnTheWire, (const std::vector<std::uint8_t>& steps)) {
     Message message;
     message.kind = Message::Kind::Page;
-    for (const Rule rule : kRulesAll) {
+    for (const ConflictRule rule : kAllRules) {
         for (const Entry& entry : copies_after(rule, steps)) {
             if (!entry.versions.empty()) message.entries.push_back({{"overrides", "e"}, entry});
         }
@@ -78,48 +79,49 @@
 RC_GTEST_PROP(DigestTree, AddsUpToTheSameInAnyOrder,
               (std::vector<std::pair<std::uint64_t, std::uint64_t>> all)) {
     Digests one, other;
-    for (const auto& [place, hash] : all) one.add(place, hash);
+    for (const auto& [position, hash] : all) one.add(position, hash);
     for (auto it = all.rbegin(); it != all.rend(); ++it) {
         other.add(it->first, it->second + 1);
         other.add(it->first, it->second);
         other.remove(it->first, it->second + 1);
     }
-    RC_ASSERT(one.of(0, 0) == other.of(0, 0));
+    RC_ASSERT(one.sum_of(0, 0) == other.sum_of(0, 0));
     std::uint64_t sum = 0;
     for (std::uint64_t prefix = 0; prefix < Digests::kBranches; ++prefix) {
-        RC_ASSERT(one.of(1, prefix) == other.of(1, prefix));
-        sum += one.of(1, prefix).sum;
+        RC_ASSERT(one.sum_of(1, prefix) == other.sum_of(1, prefix));
+        sum += one.sum_of(1, prefix).sum;
     }
-    RC_ASSERT(sum == one.of(0, 0).sum);
+    RC_ASSERT(sum == one.sum_of(0, 0).sum);
 }
 
-Version version_of(std::uint64_t writer, std::uint64_t count, Stamp stamp, std::uint64_t rank = 0) {
+Version version_of(std::uint64_t writer, std::uint64_t count, Timestamp timestamp, std::uint64_t rank = 0) {
     Version version;
     version.dot = {writer, count};
-    version.stamp = stamp;
+    version.timestamp = timestamp;
     version.rank = rank;
     return version;
 }
 
 TEST(EntryRules, EachHasItsWordOnWhatWasWrittenBesideEachOther) {
     struct Case {
-        Rule rule;
+        ConflictRule rule;
         bool first_deleted;
         std::uint64_t winner;  ///< 0: nothing
         bool conflict;
     };
     // The first has the greater rank, the second the greater stamp.
-    for (const Case& c : {Case{Rule::Latest, false, 2, true}, Case{Rule::Safer, false, 1, true},
-                          Case{Rule::Greatest, false, 1, false}, Case{Rule::Present, true, 2, true},
-                          Case{Rule::Safer, true, 0, true}}) {
+    for (const Case& c :
+         {Case{ConflictRule::Latest, false, 2, true}, Case{ConflictRule::Safer, false, 1, true},
+          Case{ConflictRule::Greatest, false, 1, false}, Case{ConflictRule::Present, true, 2, true},
+          Case{ConflictRule::Safer, true, 0, true}}) {
         Entry a{c.rule, {}, {}}, b{c.rule, {}, {}};
         Version first = version_of(1, 1, 10, 9);
         first.deleted = c.first_deleted;
         a.write(first);
         b.write(version_of(2, 1, 11, 1));
         merge(a, b);
-        const Version* word = a.resolve(0);
-        EXPECT_EQ(word ? word->dot.writer : 0, c.winner) << name_of(c.rule);
+        const Version* winner = a.resolve(0);
+        EXPECT_EQ(winner ? winner->dot.writer : 0, c.winner) << name_of(c.rule);
         EXPECT_EQ(a.conflicting(0), c.conflict) << name_of(c.rule);
     }
 }
@@ -141,7 +143,7 @@
     Entry a, b;
     Version exclude = version_of(1, 1, 10, 9);
     exclude.expires = 1000;
-    a.rule = b.rule = Rule::Safer;
+    a.rule = b.rule = ConflictRule::Safer;
     a.write(exclude);
     b.write(version_of(2, 1, 11, 1));
     merge(a, b);
@@ -151,24 +153,24 @@
 
 TEST(Clock, RunsAheadOfAWallThatGoesBackAndRefusesWhatIsFarAhead) {
     HybridClock clock;
-    const Stamp first = clock.next(100'000);
+    const Timestamp first = clock.next(100'000);
     EXPECT_GT(clock.next(99'000), first);
-    EXPECT_TRUE(clock.saw(stamp_of(105'000), 100'000));
-    EXPECT_GT(clock.next(100'000), stamp_of(105'000));
-    EXPECT_FALSE(clock.saw(stamp_of(100'000 + 3'600'000), 100'000));
+    EXPECT_TRUE(clock.observe(timestamp_of(105'000), 100'000));
+    EXPECT_GT(clock.next(100'000), timestamp_of(105'000));
+    EXPECT_FALSE(clock.observe(timestamp_of(100'000 + 3'600'000), 100'000));
     EXPECT_EQ(clock.next(50'000), 0u);  // an hour back: others would not take it
 }
 
 // ---- every order --------------------------------------------------------------------------------------
 
 TEST(Explorer, NoOrderOfEventsBreaksARule) {
-    for (const Rule rule : kRulesAll) {
+    for (const ConflictRule rule : kAllRules) {
         Explorer explorer(rule, {}, {.writes = 2, .deletes = 1, .crashes = 1, .deliveries = 3});
         EXPECT_EQ(explorer.run(), "") << name_of(rule);
         EXPECT_GT(explorer.states(), 1'000u);
         RecordProperty(std::string("states_") + name_of(rule), static_cast<int>(explorer.states()));
     }
-    Explorer horizons(Rule::Latest, {},
+    Explorer horizons(ConflictRule::Latest, {},
                       {.writes = 2, .deletes = 1, .crashes = 0, .horizons = 1, .deliveries = 4});
     EXPECT_EQ(horizons.run(), "");
     RecordProperty("states_horizons", static_cast<int>(horizons.states()));
@@ -176,17 +178,18 @@
 
 struct Defect {
     const char* name;
-    Rule rule;
+    ConflictRule rule;
     Mechanism mechanism;
     Explorer::Bounds bounds;
 };
 
 std::vector<Defect> defects() {
     const Explorer::Bounds plain{.writes = 2, .deletes = 1, .crashes = 1, .deliveries = 3};
-    const Explorer::Bounds aged{.writes = 2, .deletes = 1, .crashes = 0, .horizons = 1, .deliveries = 4};
+    const Explorer::Bounds with_horizon{
+        .writes = 2, .deletes = 1, .crashes = 0, .horizons = 1, .deliveries = 4};
     std::vector<Defect> all;
     const auto add = [&](const char* name, const Explorer::Bounds& bounds,
-                         Rule rule = Rule::Latest) -> Mechanism& {
+                         ConflictRule rule = ConflictRule::Latest) -> Mechanism& {
         all.push_back({name, rule, {}, bounds});
         return all.back().mechanism;
     };
@@ -203,7 +206,7 @@
         return true;
     };
     add("the greatest stamp alone is kept", plain).merge = [](Entry& a, const Entry& b, const Horizons&) {
-        if (b.latest() > a.latest()) a = b;
+        if (b.latest_timestamp() > a.latest_timestamp()) a = b;
         return true;
     };
     add("what the other knows is not learnt", plain).merge = [](Entry& a, const Entry& b, const Horizons& h) {
@@ -213,10 +216,10 @@
         return changed;
     };
     add("a context without its versions", plain).merge = [](Entry& a, const Entry& b, const Horizons&) {
-        Entry mine = a;
-        merge(mine, b);
-        mine.versions = a.versions;
-        a = mine;
+        Entry local = a;
+        merge(local, b);
+        local.versions = a.versions;
+        a = local;
         return true;
     };
     add("a write forgets what it saw", plain).write = [](Entry& entry, Version v) {
@@ -232,12 +235,12 @@
     };
     add("a dot is given twice", plain).new_writer = false;
     add("tombstones are dropped at once", plain).keep_tombstones = false;
-    add("the horizon says nothing", aged).merge = [](Entry& a, const Entry& b, const Horizons&) {
+    add("the horizon says nothing", with_horizon).merge = [](Entry& a, const Entry& b, const Horizons&) {
         return merge(a, b);
     };
-    add("a minority's horizon advances", aged).needs_majority = false;
-    add("the rank decides nothing", plain, Rule::Greatest).merge = [](Entry& a, const Entry& b,
-                                                                      const Horizons&) {
+    add("a minority's horizon advances", with_horizon).needs_majority = false;
+    add("the rank decides nothing", plain, ConflictRule::Greatest).merge = [](Entry& a, const Entry& b,
+                                                                              const Horizons&) {
         if (a.versions.empty()) a = b;
         return true;
     };
--- a/tests/replica/explorer.h
+++ b/tests/replica/explorer.h
@@ -31,7 +31,7 @@
     struct Bounds {
         std::size_t writes = 2, deletes = 1, crashes = 1, horizons = 0, deliveries = 5;
     };
-    Explorer(Rule rule, Mechanism mechanism, const Bounds& bounds)
+    Explorer(ConflictRule rule, Mechanism mechanism, const Bounds& bounds)
         : rule_(rule), mechanism_(std::move(mechanism)), bounds_(bounds) {}
 
     /// The first violation; empty: there is none.
@@ -49,44 +49,45 @@
 
   private:
     static constexpr std::size_t kCopies = 3;
-    struct Held {
+    struct State {
         Entry entry;
-        Stamp horizon = 0;
-        bool operator==(const Held&) const = default;
+        Timestamp horizon = 0;
+        bool operator==(const State&) const = default;
     };
-    struct Copy : Held {
+    struct Copy : State {
         std::uint64_t writer = 0, count = 0;
-        std::vector<std::pair<Held, std::uint64_t>> past;  ///< with its count then
+        std::vector<std::pair<State, std::uint64_t>> history;  ///< with its count then
     };
     struct World {
         Copy copies[kCopies];
         std::uint64_t writers = 0;
-        Stamp clock = 0;
+        Timestamp clock = 0;
         std::size_t writes = 0, deletes = 0, crashes = 0, horizons = 0, deliveries = 0;
-        std::set<std::pair<Dot, Dot>> over;  ///< the first knew of the second and wrote over it
-        std::map<Dot, Stamp> written;
+        std::set<std::pair<Dot, Dot>> overwrites;  ///< the first knew of the second and wrote over it
+        std::map<Dot, Timestamp> written;
         std::set<Dot> purged;  ///< tombstones
     };
 
-    static std::string text(const World& world) {
+    static std::string key_of(const World& world) {
         std::string text;
         const auto add = [&text](std::uint64_t n) { text += std::to_string(n) + ","; };
-        const auto add_held = [&](const Held& held) {
-            for (const Version& v : held.entry.versions) add(v.dot.writer), add(v.dot.count), add(v.stamp);
+        const auto add_state = [&](const State& state) {
+            for (const Version& v : state.entry.versions)
+                add(v.dot.writer), add(v.dot.count), add(v.timestamp);
             text += "|";
-            for (const Known& k : held.entry.context) add(k.dot.writer), add(k.dot.count);
-            text += "h", add(held.horizon);
+            for (const ContextItem& k : state.entry.context) add(k.dot.writer), add(k.dot.count);
+            text += "h", add(state.horizon);
         };
         for (const Copy& copy : world.copies) {
-            add_held(copy);
+            add_state(copy);
             add(copy.writer), add(copy.count);
-            std::set<std::string> past;  // their order is nothing that anyone can see
-            for (const auto& [held, count] : copy.past) {
+            std::set<std::string> states;  // their order is nothing that anyone can see
+            for (const auto& [state, count] : copy.history) {
                 const std::string before = std::exchange(text, {});
-                add_held(held);
-                past.insert(std::exchange(text, before));
+                add_state(state);
+                states.insert(std::exchange(text, before));
             }
-            for (const std::string& each : past) text += each;
+            for (const std::string& each : states) text += each;
             text += ";";
         }
         add(world.writes), add(world.deletes), add(world.crashes), add(world.horizons), add(world.deliveries);
@@ -94,18 +95,18 @@
     }
 
     void visit(const World& world) {
-        if (!violation_.empty() || !seen_.insert(std::hash<std::string>{}(text(world))).second) return;
+        if (!violation_.empty() || !seen_.insert(std::hash<std::string>{}(key_of(world))).second) return;
         if (const std::string bad = check(world); !bad.empty()) {
-            violation_ = bad + " after " + trail_;
+            violation_ = bad + " after " + trace_;
             return;
         }
         const auto step = [&](const std::string& name, const std::function<void(World&)>& what) {
             World next = world;
             what(next);
-            const std::size_t length = trail_.size();
-            trail_ += name + " ";
+            const std::size_t length = trace_.size();
+            trace_ += name + " ";
             visit(next);
-            trail_.resize(length);
+            trace_.resize(length);
         };
         for (std::size_t i = 0; i < kCopies; ++i) {
             const std::string who = std::to_string(i);
@@ -116,48 +117,49 @@
             if (world.horizons < bounds_.horizons)
                 step("horizon" + who, [&](World& w) { ++w.horizons, advance(w, i); });
             if (world.crashes < bounds_.crashes) {
-                for (std::size_t p = 0; p < world.copies[i].past.size(); ++p)
+                for (std::size_t p = 0; p < world.copies[i].history.size(); ++p)
                     step("crash" + who + "to" + std::to_string(p),
                          [&](World& w) { ++w.crashes, crash(w, i, p); });
             }
             if (world.deliveries >= bounds_.deliveries) continue;
             for (std::size_t from = 0; from < kCopies; ++from) {
-                for (std::size_t p = 0; from != i && p < world.copies[from].past.size(); ++p)
+                for (std::size_t p = 0; from != i && p < world.copies[from].history.size(); ++p)
                     step("take" + who + "from" + std::to_string(from) + "." + std::to_string(p),
                          [&](World& w) {
                              ++w.deliveries;
-                             const Held theirs = w.copies[from].past[p].first;
-                             take(w.copies[i], theirs);
+                             const State remote = w.copies[from].history[p].first;
+                             deliver(w.copies[i], remote);
                          });
             }
         }
     }
-    static void remember(Copy& copy) {
-        const std::pair<Held, std::uint64_t> now{copy, copy.count};
-        if (std::find(copy.past.begin(), copy.past.end(), now) == copy.past.end()) copy.past.push_back(now);
+    static void add_to_history(Copy& copy) {
+        const std::pair<State, std::uint64_t> now{copy, copy.count};
+        if (std::find(copy.history.begin(), copy.history.end(), now) == copy.history.end())
+            copy.history.push_back(now);
     }
-    void take(Copy& copy, const Held& theirs) {
-        if (theirs.entry.versions.empty()) return;
-        mechanism_.merge(copy.entry, theirs.entry, {copy.horizon, theirs.horizon});
-        remember(copy);
+    void deliver(Copy& copy, const State& remote) {
+        if (remote.entry.versions.empty()) return;
+        mechanism_.merge(copy.entry, remote.entry, {copy.horizon, remote.horizon});
+        add_to_history(copy);
     }
     void write(World& world, std::size_t i, bool deleted) {
         Copy& copy = world.copies[i];
         Version version;
         version.dot = {copy.writer, ++copy.count};
-        version.stamp = ++world.clock;
+        version.timestamp = ++world.clock;
         version.rank = world.clock % 2;
         version.deleted = deleted;
         if (const auto it = world.written.find(version.dot); it != world.written.end())
-            violation_ = "a dot was given twice after " + trail_;
-        world.written[version.dot] = version.stamp;
-        if (rule_ == Rule::Greatest && !copy.entry.versions.empty() &&
+            violation_ = "a dot was given twice after " + trace_;
+        world.written[version.dot] = version.timestamp;
+        if (rule_ == ConflictRule::Greatest && !copy.entry.versions.empty() &&
             copy.entry.versions[0].rank >= version.rank)
             return;
-        for (const Version& before : copy.entry.versions) world.over.emplace(version.dot, before.dot);
+        for (const Version& before : copy.entry.versions) world.overwrites.emplace(version.dot, before.dot);
         mechanism_.write(copy.entry, version);
         if (deleted && !mechanism_.keep_tombstones) copy.entry = Entry{rule_, {}, {}};
-        remember(copy);
+        add_to_history(copy);
     }
     /// A tombstone's life is over for those that agree now, if they are enough.
     void advance(World& world, std::size_t i) {
@@ -169,22 +171,22 @@
             if (copy.entry != same) continue;
             copy.horizon = std::max(copy.horizon, world.clock);
             for (const Version& v : copy.entry.versions) {
-                if (v.deleted && v.stamp <= copy.horizon) world.purged.insert(v.dot);
+                if (v.deleted && v.timestamp <= copy.horizon) world.purged.insert(v.dot);
             }
-            copy.entry.forget_before(copy.horizon);
-            remember(copy);
+            copy.entry.purge_before(copy.horizon);
+            add_to_history(copy);
         }
     }
-    void crash(World& world, std::size_t i, std::size_t past) {
+    void crash(World& world, std::size_t i, std::size_t index) {
         Copy& copy = world.copies[i];
-        const auto [held, count] = copy.past[past];
-        static_cast<Held&>(copy) = held;
+        const auto [state, count] = copy.history[index];
+        static_cast<State&>(copy) = state;
         copy.count = count;
         if (mechanism_.new_writer) {
             copy.writer = ++world.writers;
             copy.count = 0;
         }
-        remember(copy);
+        add_to_history(copy);
     }
     /// All speak with all until nothing changes: are they alike, and rightly so?
     std::string check(World world) {
@@ -193,12 +195,12 @@
             for (std::size_t i = 0; i < kCopies; ++i) {
                 for (std::size_t j = 0; j < kCopies; ++j) {
                     if (i == j) continue;
-                    const Held mine = world.copies[i];
-                    const Held theirs = world.copies[j];
-                    take(world.copies[i], theirs);
+                    const State local = world.copies[i];
+                    const State remote = world.copies[j];
+                    deliver(world.copies[i], remote);
                     // A key that is not there at all is told of by the heads of its range.
-                    if (theirs.entry.versions.empty() && mine.entry.latest() <= theirs.horizon &&
-                        theirs.horizon > mine.horizon)
+                    if (remote.entry.versions.empty() && local.entry.latest_timestamp() <= remote.horizon &&
+                        remote.horizon > local.horizon)
                         world.copies[i].entry.versions.clear();
                 }
             }
@@ -207,28 +209,28 @@
         for (const Copy& copy : world.copies) {
             if (copy.entry.versions != end.versions) return "copies differ";
         }
-        for (const auto& [later, earlier] : world.over) {
-            const bool known = end.knows(later) || world.purged.contains(later);
+        for (const auto& [later, earlier] : world.overwrites) {
+            const bool known = end.has_seen(later) || world.purged.contains(later);
             if (known && end.find(earlier)) return "what was overwritten is back";
         }
-        if (rule_ == Rule::Greatest || bounds_.horizons > 0) return {};
+        if (rule_ == ConflictRule::Greatest || bounds_.horizons > 0) return {};
         for (const Copy& copy : before.copies) {
             for (const Version& version : copy.entry.versions) {
                 if (end.find(version.dot)) continue;
                 const bool overwritten = std::any_of(
-                    world.over.begin(), world.over.end(),
-                    [&](const auto& pair) { return pair.second == version.dot && end.knows(pair.first); });
+                    world.overwrites.begin(), world.overwrites.end(),
+                    [&](const auto& pair) { return pair.second == version.dot && end.has_seen(pair.first); });
                 if (!overwritten) return "a write is lost";
             }
         }
         return {};
     }
 
-    const Rule rule_;
+    const ConflictRule rule_;
     const Mechanism mechanism_;
     const Bounds bounds_;
     std::unordered_set<std::size_t> seen_;
-    std::string trail_, violation_;
+    std::string trace_, violation_;
 };
 
 }  // namespace martenford::replica
--- a/tests/replica/golden_test.cpp
+++ b/tests/replica/golden_test.cpp
@@ -26,46 +26,46 @@
 // ---- the values. No field has its default.
 
 /// With siblings, one of which carries a field that no build knows.
-Named contested() {
-    Named out;
+NamedEntry contested() {
+    NamedEntry out;
     out.name = {"settings", "limits"};
-    out.entry.rule = Rule::Greatest;
+    out.entry.rule = ConflictRule::Greatest;
     out.entry.versions = {
         {{11, 12}, 13, 14, 15, true, std::string("value\0a", 7), "sidecar-a", "reason a", "\x78\x07"},
         {{21, 22}, 23, 24, 25, true, std::string("value\0b\xff", 8), "sidecar-b", "reason b", ""}};
     out.entry.context = {{{11, 12}, 13}, {{21, 26}, 27}, {{31, 32}, 33}};
     return out;
 }
-Named plain() {
+NamedEntry plain() {
     std::string error;
     const auto value = read_value("overrides", "weight=40", error);
-    Named out;
+    NamedEntry out;
     out.name = {"overrides", "10.4.0.1:80"};
-    out.entry.rule = Rule::Safer;
+    out.entry.rule = ConflictRule::Safer;
     out.entry.versions = {{{41, 42}, 43, 44, value->rank, false, value->bytes, "sidecar-c", "reason c", ""}};
     out.entry.context = {{{41, 42}, 43}};
     return out;
 }
-Named verdict() {
-    Named out;
+NamedEntry verdict() {
+    NamedEntry out;
     out.name = {"verdicts", "10.4.0.2:80 sidecar-d"};
-    out.entry.rule = Rule::Latest;
+    out.entry.rule = ConflictRule::Latest;
     out.entry.versions = {{{51, 52},
                            53,
                            54,
                            55,
                            false,
-                           bytes_of(Verdict{Verdict::What::Unreachable, 56, 57}),
+                           bytes_of(Verdict{Verdict::Kind::Unreachable, 56, 57}),
                            "sidecar-d",
                            "reason d",
                            ""}};
     out.entry.context = {{{51, 52}, 53}};
     return out;
 }
-Named drain() {
-    Named out;
+NamedEntry drain() {
+    NamedEntry out;
     out.name = {"drains", "10.4.0.3:80"};
-    out.entry.rule = Rule::Present;
+    out.entry.rule = ConflictRule::Present;
     out.entry.versions = {
         {{61, 62}, 63, 64, 65, false, bytes_of(Drain{66, 67, "source"}), "sidecar-e", "reason e", ""}};
     out.entry.context = {{{61, 62}, 63}};
@@ -75,18 +75,18 @@
 Message message_of(Message::Kind kind) {
     Message out;
     out.kind = kind;
-    out.sent = 101;
+    out.sent_at = 101;
     out.horizon = 102;
     out.seq = 103;
     out.entries = {contested(), plain()};
     out.ranges = {
         {4, 0xabcd000000000000, 104, 105, true, {1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15, 16}},
         {5, 0xfedcb00000000000, 106, 107, true, {}}};
-    out.heads = {{108, 109, 110}, {111, 112, 113}};
-    out.want = {114, 0xfedcba9876543210};
-    out.from = 115;
-    out.next = 116;
-    out.end = out.busy = true;
+    out.summaries = {{108, 109, 110}, {111, 112, 113}};
+    out.requested = {114, 0xfedcba9876543210};
+    out.from_position = 115;
+    out.next_position = 116;
+    out.is_last = out.busy = true;
     return out;
 }
 
@@ -96,20 +96,21 @@
                     const std::string& letter, const std::string& extra) {
     EXPECT_EQ(read.dot.writer, first);
     EXPECT_EQ(read.dot.count, first + 1);
-    EXPECT_EQ(read.stamp, first + 2);
+    EXPECT_EQ(read.timestamp, first + 2);
     EXPECT_EQ(read.expires, first + 3);
     EXPECT_EQ(read.deleted, deleted);
     EXPECT_EQ(read.value, value);
-    EXPECT_EQ(read.by, "sidecar-" + letter);
+    EXPECT_EQ(read.written_by, "sidecar-" + letter);
     EXPECT_EQ(read.reason, "reason " + letter);
-    EXPECT_EQ(read.extra, extra);
+    EXPECT_EQ(read.unknown_fields, extra);
 }
-void expect_known(const Known& read, std::uint64_t writer, std::uint64_t count, std::uint64_t stamp) {
+void expect_known(const ContextItem& read, std::uint64_t writer, std::uint64_t count,
+                  std::uint64_t timestamp) {
     EXPECT_EQ(read.dot.writer, writer);
     EXPECT_EQ(read.dot.count, count);
-    EXPECT_EQ(read.stamp, stamp);
+    EXPECT_EQ(read.timestamp, timestamp);
 }
-void expect_contested(const Named& read) {
+void expect_contested(const NamedEntry& read) {
     EXPECT_EQ(read.name.table, "settings");
     EXPECT_EQ(read.name.key, "limits");
     EXPECT_EQ(static_cast<int>(read.entry.rule), 2);
@@ -123,7 +124,7 @@
     expect_known(read.entry.context[1], 21, 26, 27);
     expect_known(read.entry.context[2], 31, 32, 33);
 }
-void expect_plain(const Named& read) {
+void expect_plain(const NamedEntry& read) {
     EXPECT_EQ(read.name.table, "overrides");
     EXPECT_EQ(read.name.key, "10.4.0.1:80");
     EXPECT_EQ(static_cast<int>(read.entry.rule), 1);
@@ -136,7 +137,7 @@
     ASSERT_EQ(read.entry.context.size(), 1u);
     expect_known(read.entry.context[0], 41, 42, 43);
 }
-void expect_verdict(const Named& read) {
+void expect_verdict(const NamedEntry& read) {
     EXPECT_EQ(read.name.table, "verdicts");
     EXPECT_EQ(read.name.key, "10.4.0.2:80 sidecar-d");
     EXPECT_EQ(static_cast<int>(read.entry.rule), 0);
@@ -146,13 +147,13 @@
     EXPECT_EQ(version.rank, 55u);
     const auto value = read_verdict(version.value);
     ASSERT_TRUE(value.has_value());
-    EXPECT_EQ(value->what, Verdict::What::Unreachable);
+    EXPECT_EQ(value->kind, Verdict::Kind::Unreachable);
     EXPECT_EQ(value->failed, 56u);
     EXPECT_EQ(value->calls, 57u);
     ASSERT_EQ(read.entry.context.size(), 1u);
     expect_known(read.entry.context[0], 51, 52, 53);
 }
-void expect_drain(const Named& read) {
+void expect_drain(const NamedEntry& read) {
     EXPECT_EQ(read.name.table, "drains");
     EXPECT_EQ(read.name.key, "10.4.0.3:80");
     EXPECT_EQ(static_cast<int>(read.entry.rule), 3);
@@ -171,8 +172,8 @@
 
 TEST(GoldenStateMessages, OfEveryKindWithItsNumber) {
     const char* names[] = {"push", "give", "got", "ranges", "want", "fetch", "page"};
-    ASSERT_EQ(std::size(names), kKinds);
-    for (std::uint32_t kind = 0; kind < kKinds; ++kind) {
+    ASSERT_EQ(std::size(names), kKindCount);
+    for (std::uint32_t kind = 0; kind < kKindCount; ++kind) {
         SCOPED_TRACE(names[kind]);
         const Message now = message_of(static_cast<Message::Kind>(kind));
         const std::string bytes =
@@ -181,7 +182,7 @@
         const Message read = read_message(bytes);
         EXPECT_EQ(bytes_of(read), bytes);
         EXPECT_EQ(static_cast<std::uint32_t>(read.kind), kind);
-        EXPECT_EQ(read.sent, 101u);
+        EXPECT_EQ(read.sent_at, 101u);
         EXPECT_EQ(read.horizon, 102u);
         EXPECT_EQ(read.seq, 103u);
         ASSERT_EQ(read.entries.size(), 2u);
@@ -192,26 +193,26 @@
         EXPECT_EQ(read.ranges[0].prefix, 0xabcd000000000000u);
         EXPECT_EQ(read.ranges[0].sum, 104u);
         EXPECT_EQ(read.ranges[0].count, 105u);
-        EXPECT_TRUE(read.ranges[0].listed);
-        ASSERT_EQ(read.ranges[0].parts.size(), 16u);
-        for (std::size_t part = 0; part < 16; ++part) EXPECT_EQ(read.ranges[0].parts[part], part + 1);
+        EXPECT_TRUE(read.ranges[0].has_summaries);
+        ASSERT_EQ(read.ranges[0].child_sums.size(), 16u);
+        for (std::size_t part = 0; part < 16; ++part) EXPECT_EQ(read.ranges[0].child_sums[part], part + 1);
         EXPECT_EQ(read.ranges[1].level, 5u);
         EXPECT_EQ(read.ranges[1].prefix, 0xfedcb00000000000u);
         EXPECT_EQ(read.ranges[1].sum, 106u);
         EXPECT_EQ(read.ranges[1].count, 107u);
-        EXPECT_TRUE(read.ranges[1].listed);
-        EXPECT_TRUE(read.ranges[1].parts.empty());
-        ASSERT_EQ(read.heads.size(), 2u);
-        EXPECT_EQ(read.heads[0].place, 108u);
-        EXPECT_EQ(read.heads[0].hash, 109u);
-        EXPECT_EQ(read.heads[0].stamp, 110u);
-        EXPECT_EQ(read.heads[1].place, 111u);
-        EXPECT_EQ(read.heads[1].hash, 112u);
-        EXPECT_EQ(read.heads[1].stamp, 113u);
-        EXPECT_EQ(read.want, (std::vector<std::uint64_t>{114, 0xfedcba9876543210}));
-        EXPECT_EQ(read.from, 115u);
-        EXPECT_EQ(read.next, 116u);
-        EXPECT_TRUE(read.end);
+        EXPECT_TRUE(read.ranges[1].has_summaries);
+        EXPECT_TRUE(read.ranges[1].child_sums.empty());
+        ASSERT_EQ(read.summaries.size(), 2u);
+        EXPECT_EQ(read.summaries[0].position, 108u);
+        EXPECT_EQ(read.summaries[0].hash, 109u);
+        EXPECT_EQ(read.summaries[0].timestamp, 110u);
+        EXPECT_EQ(read.summaries[1].position, 111u);
+        EXPECT_EQ(read.summaries[1].hash, 112u);
+        EXPECT_EQ(read.summaries[1].timestamp, 113u);
+        EXPECT_EQ(read.requested, (std::vector<std::uint64_t>{114, 0xfedcba9876543210}));
+        EXPECT_EQ(read.from_position, 115u);
+        EXPECT_EQ(read.next_position, 116u);
+        EXPECT_TRUE(read.is_last);
         EXPECT_TRUE(read.busy);
     }
 }
@@ -219,22 +220,22 @@
 TEST(GoldenStateMessages, TheirTwoFlagsByThemselves) {
     Message end, busy;
     end.kind = busy.kind = Message::Kind::Page;
-    end.end = true;
+    end.is_last = true;
     busy.busy = true;
     const std::string ends = golden::kept(path_of("message-flag-end.bin"), bytes_of(end));
     const std::string is_busy = golden::kept(path_of("message-flag-busy.bin"), bytes_of(busy));
     EXPECT_EQ(bytes_of(end), ends);
     EXPECT_EQ(bytes_of(busy), is_busy);
-    EXPECT_TRUE(read_message(ends).end);
+    EXPECT_TRUE(read_message(ends).is_last);
     EXPECT_FALSE(read_message(ends).busy);
-    EXPECT_FALSE(read_message(is_busy).end);
+    EXPECT_FALSE(read_message(is_busy).is_last);
     EXPECT_TRUE(read_message(is_busy).busy);
 }
 
-Named read_entry(const std::string& file, const Named& now) {
+NamedEntry read_entry(const std::string& file, const NamedEntry& now) {
     const std::string bytes = golden::kept(path_of(file), bytes_of(now));
     EXPECT_EQ(bytes_of(now), bytes);
-    const Named read = read_named(bytes);
+    const NamedEntry read = read_named_entry(bytes);
     EXPECT_EQ(bytes_of(read), bytes);
     return read;
 }
@@ -268,7 +269,7 @@
         {"overrides", 1}, {"verdicts", 0}, {"drains", 0}, {"settings", 0}, {"fences", 2}};
     ASSERT_EQ(kTables.size(), kept.size());
     for (const auto& [name, rule] : kept) {
-        const Table* table = table_named(name);
+        const Table* table = find_table(name);
         ASSERT_NE(table, nullptr) << name;
         EXPECT_EQ(static_cast<int>(table->rule), rule) << name;
     }
@@ -276,28 +277,29 @@
 
 TEST(GoldenStateEntries, TheirHashesAndPlacesStay) {
     // Two copies of different builds compare these.
-    const std::string now =
-        std::to_string(hash_of(contested().entry)) + " " + std::to_string(place_of(contested().name)) + "\n" +
-        std::to_string(hash_of(plain().entry)) + " " + std::to_string(place_of(plain().name)) + "\n";
+    const std::string now = std::to_string(hash_of(contested().entry)) + " " +
+                            std::to_string(position_of(contested().name)) + "\n" +
+                            std::to_string(hash_of(plain().entry)) + " " +
+                            std::to_string(position_of(plain().name)) + "\n";
     EXPECT_EQ(golden::kept(path_of("hashes-and-places.txt"), now), now);
 }
 
 // ---- the file, through the helper that keeps it
 
 /// Sends it all and ends; gives what the helper said, by message.
-std::vector<shelf::FromShelf> told(const std::string& directory, const std::string& frames) {
+std::vector<shelf::FromShelf> run_helper(const std::string& directory, const std::string& frames) {
     int ends[2];
     if (::socketpair(AF_UNIX, SOCK_STREAM, 0, ends) != 0) throw std::runtime_error("no socket");
-    ShelfOptions options;
+    SnapshotWriterOptions options;
     options.directory = directory;
     options.descriptor = ends[1];
     int result = -1;
-    std::thread helper([&] { result = run_shelf(options); });
+    std::thread helper([&] { result = run_snapshot_writer(options); });
     EXPECT_EQ(::send(ends[0], frames.data(), frames.size(), 0), static_cast<ssize_t>(frames.size()));
     ::shutdown(ends[0], SHUT_WR);
     helper.join();
     ::close(ends[1]);
-    EXPECT_EQ(result, kShelfDone);
+    EXPECT_EQ(result, kSnapshotWriterDone);
     framing::FrameReader reader;
     char bytes[4096];
     std::vector<shelf::FromShelf> said;
@@ -318,14 +320,15 @@
 }
 shelf::ToShelf keeping() {
     shelf::ToShelf out;
-    shelf::Keep& keep = *out.mutable_keep();
-    keep.set_seq(201);
-    keep.set_horizon(202);
-    for (const Named& entry : {contested(), plain(), verdict(), drain()}) keep.add_entries(bytes_of(entry));
-    shelf::Gone& gone = *keep.add_gone();
+    shelf::Keep& request = *out.mutable_keep();
+    request.set_seq(201);
+    request.set_horizon(202);
+    for (const NamedEntry& entry : {contested(), plain(), verdict(), drain()})
+        request.add_entries(bytes_of(entry));
+    shelf::Gone& gone = *request.add_gone();
     gone.set_table("drains");
     gone.set_key("10.4.0.9:80");
-    keep.set_anew(true);
+    request.set_anew(true);
     return out;
 }
 
@@ -336,7 +339,7 @@
     EXPECT_EQ(framing::framed(keeping()), keep);
     // The helper of today takes these very bytes, and says what it is to.
     golden::Folder folder;
-    const auto said = told(folder.at, open + keep);
+    const auto said = run_helper(folder.at, open + keep);
     ASSERT_EQ(said.size(), 2u);
     ASSERT_TRUE(said[0].has_loaded());
     EXPECT_TRUE(said[0].loaded().end());
@@ -365,7 +368,7 @@
     out.mutable_loaded()->set_bad(302);
     const auto loaded = read("helper-loaded.bin", out).loaded();
     ASSERT_EQ(loaded.entries_size(), 1);
-    expect_plain(read_named(loaded.entries(0)));
+    expect_plain(read_named_entry(loaded.entries(0)));
     EXPECT_EQ(loaded.horizon(), 301u);
     EXPECT_TRUE(loaded.end());
     EXPECT_EQ(loaded.aside(), "set aside");
@@ -379,13 +382,13 @@
 TEST(GoldenStateFile, EveryEntryIsReadAsItWasWritten) {
     if (golden::writes()) {
         golden::Folder made;
-        told(made.at, framing::framed(opening()) + framing::framed(keeping()));
+        run_helper(made.at, framing::framed(opening()) + framing::framed(keeping()));
         golden::put_directory(made.at, path_of("state"));
     }
     golden::Folder copy(path_of("state"));
     // Read twice: what the first start does to the file, the second finds.
     for (int start = 0; start < 2; ++start) {
-        const auto said = told(copy.at, framing::framed(opening()));
+        const auto said = run_helper(copy.at, framing::framed(opening()));
         ASSERT_EQ(said.size(), 1u);
         ASSERT_TRUE(said[0].has_loaded());
         const auto& loaded = said[0].loaded();
@@ -399,7 +402,7 @@
              {"entry-contested.bin", "entry-override.bin", "entry-verdict.bin", "entry-drain.bin"})
             EXPECT_EQ(std::count(entries.begin(), entries.end(), golden::kept(path_of(file))), 1) << file;
         for (const std::string& bytes : entries) {
-            const Named read = read_named(bytes);
+            const NamedEntry read = read_named_entry(bytes);
             if (read.name.table == "settings") expect_contested(read);
             if (read.name.table == "overrides") expect_plain(read);
             if (read.name.table == "verdicts") expect_verdict(read);
--- a/tests/replica/replica_test.cpp
+++ b/tests/replica/replica_test.cpp
@@ -9,8 +9,8 @@
 namespace martenford::emulator {
 namespace {
 
-using replica::Refusal;
-using replica::Wall;
+using replica::WallTime;
+using replica::WriteError;
 
 StateModel::Options of(std::size_t members, std::uint64_t seed = 1) {
     StateModel::Options options;
@@ -39,7 +39,7 @@
                 for (replica::Write& write : witnesses[i].writes(model.now(), model.wall(i)))
                     model.write(i, std::move(write));
             }
-            return witnesses[0].of(kEndpoint, model.wall(0), members).drains.has_value();
+            return witnesses[0].override_of(kEndpoint, model.wall(0), members).drains.has_value();
         },
         3s);
 }
@@ -71,20 +71,20 @@
     StateModel model(of(9));
     model.start_all();
     model.run_for(1s);
-    replica::Reach reach;
-    reach.majority = true;
-    const auto all = model.put(0, "settings", "a", "x=1", reach);
+    replica::WriteConcern concern;
+    concern.majority = true;
+    const auto all = model.put(0, "settings", "a", "x=1", concern);
     model.run_for(100ms);
     ASSERT_NE(model.outcome(0, all.number), nullptr);
     EXPECT_TRUE(model.outcome(0, all.number)->reached);
-    EXPECT_GE(model.outcome(0, all.number)->got, 4u);
+    EXPECT_GE(model.outcome(0, all.number)->acks, 4u);
     model.partition({0, 1});
-    reach = {5, false, 1s};
-    const auto few = model.put(0, "settings", "a", "x=2", reach);
+    concern = {5, false, 1s};
+    const auto few = model.put(0, "settings", "a", "x=2", concern);
     model.run_for(2s);
     ASSERT_NE(model.outcome(0, few.number), nullptr);
     EXPECT_FALSE(model.outcome(0, few.number)->reached);
-    EXPECT_EQ(model.outcome(0, few.number)->got, 1u);
+    EXPECT_EQ(model.outcome(0, few.number)->acks, 1u);
     model.heal();
     EXPECT_TRUE(model.run_until([&] { return model.all_equal(); }, 5s));
     EXPECT_EQ(model.get(8, "settings", "a"), "x=2");
@@ -132,7 +132,7 @@
     ASSERT_TRUE(model.run_until([&] { return model.copy(4).caught_up() && model.all_equal(); }, 20s));
     EXPECT_EQ(model.copy(4).size(), 2000u);
     // No disk and no partition: nothing of it had to be found by ranges.
-    EXPECT_LT(model.copy(4).figures().merged, 2100u);
+    EXPECT_LT(model.copy(4).stats().merged, 2100u);
 }
 
 TEST(Replica, CopiesThatDifferInAFewEntriesSayLittleToFindThem) {
@@ -156,22 +156,22 @@
 TEST(Replica, ATableAtItsBoundSaysSoAndPushesNothingOut) {
     StateModel model(of(2));
     model.start_all();
-    const std::size_t most = replica::table_named("settings")->most;
-    for (std::size_t i = 0; i < most; ++i)
-        ASSERT_EQ(model.put(0, "settings", "s" + std::to_string(i), "x").refusal, Refusal::None);
-    EXPECT_EQ(model.put(0, "settings", "one-more", "x").refusal, Refusal::Full);
-    EXPECT_EQ(model.put(0, "settings", "s1", "y").refusal, Refusal::None);
+    const std::size_t max_entries = replica::find_table("settings")->max_entries;
+    for (std::size_t i = 0; i < max_entries; ++i)
+        ASSERT_EQ(model.put(0, "settings", "s" + std::to_string(i), "x").error, WriteError::None);
+    EXPECT_EQ(model.put(0, "settings", "one-more", "x").error, WriteError::TableFull);
+    EXPECT_EQ(model.put(0, "settings", "s1", "y").error, WriteError::None);
     EXPECT_EQ(model.get(0, "settings", "s0"), "x");
 }
 
 TEST(Replica, AFenceOnlyGrowsAndIsNotDeleted) {
     StateModel model(of(3));
     model.start_all();
-    EXPECT_EQ(model.put(0, "fences", "ledger", "epoch=7 n0").refusal, Refusal::None);
+    EXPECT_EQ(model.put(0, "fences", "ledger", "epoch=7 n0").error, WriteError::None);
     ASSERT_TRUE(model.run_until([&] { return model.all_equal(); }, 5s));
-    EXPECT_EQ(model.put(1, "fences", "ledger", "epoch=7 n1").refusal, Refusal::NotGreater);
-    EXPECT_EQ(model.remove(1, "fences", "ledger").refusal, Refusal::NotDeletable);
-    EXPECT_EQ(model.put(1, "fences", "ledger", "epoch=8 n1").refusal, Refusal::None);
+    EXPECT_EQ(model.put(1, "fences", "ledger", "epoch=7 n1").error, WriteError::NotGreater);
+    EXPECT_EQ(model.remove(1, "fences", "ledger").error, WriteError::NotDeletable);
+    EXPECT_EQ(model.put(1, "fences", "ledger", "epoch=8 n1").error, WriteError::None);
     ASSERT_TRUE(model.run_until([&] { return model.all_equal(); }, 5s));
     EXPECT_EQ(model.get(0, "fences", "ledger"), "epoch=8 n1");
 }
@@ -190,7 +190,7 @@
         EXPECT_EQ(model.copy(i).ahead()->first, "n2");
     }
     model.set_clock(2, 0);  // set right under it
-    EXPECT_EQ(model.put(2, "overrides", "g", "exclude").refusal, Refusal::Clock);
+    EXPECT_EQ(model.put(2, "overrides", "g", "exclude").error, WriteError::ClockSkew);
 }
 
 TEST(Replica, WhatWasDeletedWhileOneWasAwayForLongerThanTombstonesLastStaysDeleted) {
@@ -223,27 +223,27 @@
     StateModel model(of(3));
     model.start_all();
     model.run_for(1s);
-    replica::Named later;
-    later.name = {"later", "key"};
-    later.entry.rule = replica::Rule::Safer;
+    replica::NamedEntry unknown;
+    unknown.name = {"later", "key"};
+    unknown.entry.rule = replica::ConflictRule::Safer;
     replica::Version version;
     version.dot = {77, 1};
-    version.stamp = replica::stamp_of(model.wall(0));
+    version.timestamp = replica::timestamp_of(model.wall(0));
     version.value = "what it means is not known here";
-    version.extra = "\x7a\x03new";  // field 15, of three bytes
-    later.entry.write(version);
+    version.unknown_fields = "\x7a\x03new";  // field 15, of three bytes
+    unknown.entry.write(version);
     replica::Message push;
     push.kind = replica::Message::Kind::Push;
-    push.sent = version.stamp;
-    push.entries.push_back(later);
+    push.sent_at = version.timestamp;
+    push.entries.push_back(unknown);
     model.copy(0).receive(model.now(), model.wall(0), {{"newer", 77}, "0"}, push);
     model.run_for(5s);
     ASSERT_TRUE(model.all_equal());
     const replica::Entry* there = model.copy(2).find({"later", "key"});
     ASSERT_NE(there, nullptr);
-    EXPECT_EQ(there->rule, replica::Rule::Safer);
+    EXPECT_EQ(there->rule, replica::ConflictRule::Safer);
     EXPECT_EQ(there->versions[0].value, version.value);
-    EXPECT_EQ(there->versions[0].extra, version.extra);
+    EXPECT_EQ(there->versions[0].unknown_fields, version.unknown_fields);
 }
 
 TEST(Replica, AnEntryOlderThanItsOwnStampIsMadeUp) {
@@ -251,15 +251,15 @@
     model.start_all();
     replica::Message push;
     push.kind = replica::Message::Kind::Push;
-    push.sent = replica::stamp_of(model.wall(0));
+    push.sent_at = replica::timestamp_of(model.wall(0));
     replica::Version version;
     version.dot = {9, 1};
-    version.stamp = push.sent + 1;
+    version.timestamp = push.sent_at + 1;
     push.entries.push_back({{"overrides", "e"}, {}});
     push.entries[0].entry.write(version);
     model.copy(0).receive(model.now(), model.wall(0), {{"liar", 9}, "0"}, push);
     EXPECT_EQ(model.copy(0).size(), 0u);
-    EXPECT_EQ(model.copy(0).figures().made_up, 1u);
+    EXPECT_EQ(model.copy(0).stats().invalid, 1u);
 }
 
 /// Faults of all kinds from one seed; then all copies are equal, and no rule was broken on the way.
@@ -271,7 +271,7 @@
     StateModel model(options);
     model.start_all();
     std::mt19937_64 random(GetParam());
-    std::map<std::string, bool> may_be;  // of keys that one member alone writes: what stands at the end
+    std::map<std::string, bool> expected;  // of keys that one member alone writes: what stands at the end
     for (int step = 0; step < 120; ++step) {
         const std::size_t who = random() % 7;
         const std::string key = "k" + std::to_string(random() % 5);
@@ -285,11 +285,11 @@
                 model.remove(who, "overrides", key);
                 break;
             case 3:
-                if (model.put(who, "settings", own, "x" + std::to_string(step)).refusal == Refusal::None)
-                    may_be[own] = true;
+                if (model.put(who, "settings", own, "x" + std::to_string(step)).error == WriteError::None)
+                    expected[own] = true;
                 break;
             case 4:
-                if (model.remove(who, "settings", own).refusal == Refusal::None) may_be[own] = false;
+                if (model.remove(who, "settings", own).error == WriteError::None) expected[own] = false;
                 break;
             case 5:
                 model.restart_with_disk(who);
@@ -309,9 +309,9 @@
     model.heal();
     model.set_drop(0.0);
     ASSERT_TRUE(model.run_until([&] { return model.all_equal(); }, 30s)) << "seed " << GetParam();
-    for (const auto& [key, there] : may_be) EXPECT_EQ(model.get(0, "settings", key) != "-", there) << key;
+    for (const auto& [key, there] : expected) EXPECT_EQ(model.get(0, "settings", key) != "-", there) << key;
     for (std::size_t i = 1; i < 7; ++i) {
-        model.copy(0).each("", [&](const replica::Name& name, const replica::Entry& entry) {
+        model.copy(0).for_each("", [&](const replica::EntryName& name, const replica::Entry& entry) {
             ASSERT_NE(model.copy(i).find(name), nullptr);
             EXPECT_EQ(model.copy(i).find(name)->versions, entry.versions) << name.key;
         });
--- a/tests/replica/state_process_test.cpp
+++ b/tests/replica/state_process_test.cpp
@@ -18,12 +18,12 @@
 namespace martenford::emulator {
 namespace {
 
-std::size_t from_environment(const char* name, std::size_t otherwise) {
+std::size_t from_environment(const char* name, std::size_t default_value) {
     const char* value = std::getenv(name);
-    return value ? std::strtoul(value, nullptr, 10) : otherwise;
+    return value ? std::strtoul(value, nullptr, 10) : default_value;
 }
 
-constexpr Duration kPatience = 30s;  // for what must come; nothing is asserted on how soon
+constexpr Duration kTimeout = 30s;  // for what must come; nothing is asserted on how soon
 
 std::string field(const std::string& text, const std::string& name) {
     std::istringstream words(text);
@@ -33,30 +33,30 @@
     return {};
 }
 
-class StateOf {
+class StateCluster {
   public:
-    static std::filesystem::path folder_of(std::uint64_t seed) {
+    static std::filesystem::path directory_of(std::uint64_t seed) {
         return std::filesystem::temp_directory_path() / fmt::format("martenford-state-{}-{}", getpid(), seed);
     }
-    const std::filesystem::path& folder() const { return folder_; }
-    explicit StateOf(std::size_t members, std::uint64_t seed = 1, const std::string& fields = {})
-        : folder_(folder_of(seed)),
-          rig(loop, {MARTENFORD, members, 2, seed, "[state]\n" + fields, made(folder_), false, 512}) {
+    const std::filesystem::path& directory() const { return directory_; }
+    explicit StateCluster(std::size_t members, std::uint64_t seed = 1, const std::string& fields = {})
+        : directory_(directory_of(seed)),
+          rig(loop, {MARTENFORD, members, 2, seed, "[state]\n" + fields, created(directory_), false, 512}) {
         rig.start_all();
         EXPECT_TRUE(all_ready());
     }
-    ~StateOf() {
+    ~StateCluster() {
         EXPECT_EQ(rig.crashed(), std::nullopt) << "a process ended by itself";
         std::error_code ignored;
-        std::filesystem::remove_all(folder_, ignored);
+        std::filesystem::remove_all(directory_, ignored);
     }
     std::string call(std::size_t member, const std::string& line) {
         return rig.call(member, "state " + line).value_or("");
     }
     /// Its ticket; empty: it was refused.
     std::string put(std::size_t member, const std::string& table, const std::string& key,
-                    const std::string& value, const std::string& more = "expires=600000") {
-        return field(call(member, fmt::format("put {} {} {} {}", table, key, escaped(value), more)),
+                    const std::string& value, const std::string& options = "expires=600000") {
+        return field(call(member, fmt::format("put {} {} {} {}", table, key, escaped(value), options)),
                      "ticket");
     }
     std::string remove(std::size_t member, const std::string& table, const std::string& key) {
@@ -66,12 +66,12 @@
     /// until its helper has loaded it; the others may hold it alive before that.
     bool is_ready(std::size_t member) { return !field(call(member, "self"), "digest").empty(); }
     bool ready(std::size_t member) {
-        return rig.await([&] { return is_ready(member); }, kPatience);
+        return rig.await([&] { return is_ready(member); }, kTimeout);
     }
     /// Until all that are up hold each other alive and have a copy.
     bool all_ready() {
         const auto up = rig.all();
-        return rig.await([&] { return rig.all_agree(); }, kPatience) &&
+        return rig.await([&] { return rig.all_agree(); }, kTimeout) &&
                std::all_of(up.begin(), up.end(), [&](std::size_t i) { return !rig.is_up(i) || ready(i); });
     }
     /// What stands; "-" where nothing does; kUnknown where the member does not answer, or has no copy yet.
@@ -96,11 +96,11 @@
         return result;
     }
     bool all_have(const std::string& table, const std::string& key, const std::string& value) {
-        return have(rig.all(), table, key, value);
+        return wait_for_value(rig.all(), table, key, value);
     }
     /// Those of `who` that are up.
-    bool have(const std::set<std::size_t>& who, const std::string& table, const std::string& key,
-              const std::string& value) {
+    bool wait_for_value(const std::set<std::size_t>& who, const std::string& table, const std::string& key,
+                        const std::string& value) {
         return rig.await(
             [&] {
                 for (const std::size_t i : who) {
@@ -108,7 +108,7 @@
                 }
                 return true;
             },
-            kPatience);
+            kTimeout);
     }
     bool all_equal() {
         return rig.await(
@@ -119,7 +119,7 @@
                 }
                 return digests.size() == 1 && !digests.begin()->empty();
             },
-            kPatience);
+            kTimeout);
     }
     std::string outcome(std::size_t member, const std::string& ticket) {
         std::string reply;
@@ -127,7 +127,7 @@
             [&] {
                 return field(reply = call(member, "outcome " + ticket), "waits").empty() && !reply.empty();
             },
-            kPatience);
+            kTimeout);
         return reply;
     }
     void cut(const std::set<std::size_t>& group, bool one_way = false) {
@@ -136,21 +136,21 @@
         if (!one_way) rig.net().each_pair(rig.others(group), group, cut);
     }
     /// Until each of these holds so many alive.
-    bool hold(const std::set<std::size_t>& who, std::size_t alive) {
+    bool wait_for_alive_count(const std::set<std::size_t>& who, std::size_t alive) {
         return rig.await(
             [&] {
                 return std::all_of(who.begin(), who.end(),
                                    [&](std::size_t i) { return rig.holds(i, "alive") == alive; });
             },
-            kPatience);
+            kTimeout);
     }
 
   private:
-    static std::string made(const std::filesystem::path& path) {
+    static std::string created(const std::filesystem::path& path) {
         std::filesystem::create_directories(path);
         return path.string();
     }
-    std::filesystem::path folder_;  // outlives the processes' files
+    std::filesystem::path directory_;  // outlives the processes' files
 
   public:
     Loop loop;
@@ -158,7 +158,7 @@
 };
 
 TEST(StateProcesses, WhatIsWrittenAtOneStandsAtAllAndWhatIsDeletedComesBackNowhere) {
-    StateOf state(6);
+    StateCluster state(6);
     state.put(1, "overrides", "10.0.0.1:80", "exclude", "expires=600000 reason=a%20fan%20fails");
     EXPECT_TRUE(state.all_have("overrides", "10.0.0.1:80", "exclude"));
     EXPECT_EQ(field(state.call(5, "get overrides"), "reason"), "a fan fails");
@@ -168,7 +168,7 @@
 }
 
 TEST(StateProcesses, OneThatWasKilledCatchesUpAndOneThatSleptBringsNothingBack) {
-    StateOf state(5);
+    StateCluster state(5);
     state.put(0, "settings", "a", "x=1");
     state.put(0, "overrides", "e", "exclude");
     ASSERT_TRUE(state.all_have("overrides", "e", "exclude"));
@@ -181,25 +181,25 @@
     state.rig.wake(3);
     EXPECT_TRUE(state.all_have("overrides", "e", "-"));
     EXPECT_TRUE(state.all_have("settings", "a", "x=2"));
-    EXPECT_TRUE(state.rig.await([&] { return field(state.call(4, "self"), "caught_up") == "1"; }, kPatience));
+    EXPECT_TRUE(state.rig.await([&] { return field(state.call(4, "self"), "caught_up") == "1"; }, kTimeout));
     EXPECT_TRUE(state.all_equal());
 }
 
 TEST(StateProcesses, BothSidesOfAPartitionAreShownToAllUntilSomebodySettlesIt) {
-    StateOf state(6);
+    StateCluster state(6);
     const std::set<std::size_t> left{0, 1, 2}, right{3, 4, 5};
     state.cut(left);
-    ASSERT_TRUE(state.hold(state.rig.all(), 3));
+    ASSERT_TRUE(state.wait_for_alive_count(state.rig.all(), 3));
     ASSERT_FALSE(state.put(0, "overrides", "e", "exclude").empty());
     ASSERT_FALSE(state.put(5, "overrides", "e", "include").empty());
     ASSERT_FALSE(state.put(2, "settings", "s", "left").empty());
     ASSERT_FALSE(state.put(3, "settings", "s", "right").empty());
     // The answer to a put says that it is written at that member; the others get it by pushes and
     // comparisons.
-    EXPECT_TRUE(state.have(left, "overrides", "e", "exclude"));
-    EXPECT_TRUE(state.have(right, "overrides", "e", "include"));
-    EXPECT_TRUE(state.have(left, "settings", "s", "left"));
-    EXPECT_TRUE(state.have(right, "settings", "s", "right"));
+    EXPECT_TRUE(state.wait_for_value(left, "overrides", "e", "exclude"));
+    EXPECT_TRUE(state.wait_for_value(right, "overrides", "e", "include"));
+    EXPECT_TRUE(state.wait_for_value(left, "settings", "s", "left"));
+    EXPECT_TRUE(state.wait_for_value(right, "settings", "s", "right"));
     state.rig.net().heal();
     EXPECT_TRUE(state.all_have("overrides", "e", "exclude"));  // the safer
     EXPECT_TRUE(state.all_equal());
@@ -213,17 +213,17 @@
 }
 
 TEST(StateProcesses, ThreePartsThatWroteOneKeyAgreeWhateverTheOrderOfHealing) {
-    StateOf state(6);
+    StateCluster state(6);
     const std::set<std::size_t> parts[] = {{0, 1}, {2, 3}, {4, 5}};
     for (const auto& part : parts) state.cut(part);
-    ASSERT_TRUE(state.hold(state.rig.all(), 2));
+    ASSERT_TRUE(state.wait_for_alive_count(state.rig.all(), 2));
     state.put(0, "overrides", "e", "weight=50");
     state.put(2, "overrides", "e", "weight=10");
     state.put(4, "overrides", "e", "include");
     const auto join = [&](std::size_t a, std::size_t b) {
-        const auto whole = [](LinkFaults& f) { f.cut = false; };
-        state.rig.net().each_pair(parts[a], parts[b], whole);
-        state.rig.net().each_pair(parts[b], parts[a], whole);
+        const auto restore_link = [](LinkFaults& f) { f.cut = false; };
+        state.rig.net().each_pair(parts[a], parts[b], restore_link);
+        state.rig.net().each_pair(parts[b], parts[a], restore_link);
     };
     join(2, 1);
     state.rig.run_for(2s);
@@ -234,7 +234,7 @@
 }
 
 TEST(StateProcesses, TheAnswerToAWriteIsTrueOfAMajorityAndOfAMinority) {
-    StateOf state(7);
+    StateCluster state(7);
     const std::string all = state.outcome(0, state.put(0, "settings", "a", "1", "majority within=5000"));
     EXPECT_EQ(field(all, "reached"), "1");
     EXPECT_GE(std::stoul(field(all, "got")), 3u);
@@ -247,7 +247,7 @@
 }
 
 TEST(StateProcesses, AWriteThatAMajorityHasOutlivesItsWriter) {
-    StateOf state(5);
+    StateCluster state(5);
     const std::string ticket = state.put(2, "settings", "a", "kept", "majority within=5000");
     ASSERT_EQ(field(state.outcome(2, ticket), "reached"), "1");
     state.rig.kill(2);
@@ -255,7 +255,7 @@
 }
 
 TEST(StateProcesses, OneThatIsHeardAndHearsNobodyDoesNotKeepTheOthersFromAgreeing) {
-    StateOf state(5);
+    StateCluster state(5);
     state.rig.net().each_pair(state.rig.others({3}), {3}, [](LinkFaults& f) { f.cut = true; });
     state.put(3, "settings", "mine", "1");
     state.put(0, "settings", "theirs", "1");
@@ -266,14 +266,14 @@
             }
             return true;
         },
-        kPatience));
+        kTimeout));
     state.rig.net().heal();
     EXPECT_TRUE(state.all_have("settings", "mine", "1"));
     EXPECT_TRUE(state.all_have("settings", "theirs", "1"));
 }
 
 TEST(StateProcesses, LossesRepeatsReorderingAndDamageDelayAndChangeNothing) {
-    StateOf state(6);
+    StateCluster state(6);
     state.rig.net().each_pair(state.rig.all(), state.rig.all(), [](LinkFaults& f) {
         f.drop = 0.2;
         f.duplicate = 0.1;
@@ -296,13 +296,13 @@
 }
 
 TEST(StateProcesses, AFenceGrowsAndTheGreatestIsAllThatIsLeftOfTwoSides) {
-    StateOf state(4);
+    StateCluster state(4);
     state.put(0, "fences", "ledger", "epoch=3 n0", "");
     ASSERT_TRUE(state.all_have("fences", "ledger", "epoch=3 n0"));
     EXPECT_NE(state.call(1, "put fences ledger epoch=3%20n1").find("refused="), std::string::npos);
     EXPECT_NE(state.call(1, "delete fences ledger").find("refused="), std::string::npos);
     state.cut({0, 1});
-    ASSERT_TRUE(state.hold(state.rig.all(), 2));
+    ASSERT_TRUE(state.wait_for_alive_count(state.rig.all(), 2));
     state.put(0, "fences", "ledger", "epoch=5 n0", "");
     state.put(3, "fences", "ledger", "epoch=4 n3", "");
     state.rig.net().heal();
@@ -311,7 +311,7 @@
 }
 
 TEST(StateProcesses, AnOverrideEndsByItselfAndNoneIsWithoutEnd) {
-    StateOf state(3);
+    StateCluster state(3);
     EXPECT_NE(state.call(0, "put overrides e exclude").find("refused="), std::string::npos);
     state.put(0, "overrides", "e", "exclude", "expires=10000");
     ASSERT_TRUE(state.all_have("overrides", "e", "exclude"));
@@ -319,29 +319,31 @@
 }
 
 /// With a copy on disk each.
-class KeptState : public StateOf {
+class PersistentStateCluster : public StateCluster {
   public:
-    explicit KeptState(std::size_t members, std::uint64_t seed = 1, const std::string& fields = {})
-        : StateOf(members, seed,
-                  fmt::format("directory = \"{}/kept-{{name}}\"\n", folder_of(seed).string()) + fields) {}
+    explicit PersistentStateCluster(std::size_t members, std::uint64_t seed = 1,
+                                    const std::string& fields = {})
+        : StateCluster(
+              members, seed,
+              fmt::format("directory = \"{}/kept-{{name}}\"\n", directory_of(seed).string()) + fields) {}
     std::filesystem::path file(std::size_t member, const std::string& name = "state.db") const {
-        return folder() / fmt::format("kept-n{}", member) / name;
+        return directory() / fmt::format("kept-n{}", member) / name;
     }
     void kill_all() {
         for (const std::size_t i : rig.all()) rig.kill(i);
     }
     /// Until the killed process's helper has kept what it was sent, and ended.
-    bool put_away(std::size_t member) {
-        return rig.await([&] { return !std::filesystem::exists(file(member, "state.db-wal")); }, kPatience);
+    bool wait_until_persisted(std::size_t member) {
+        return rig.await([&] { return !std::filesystem::exists(file(member, "state.db-wal")); }, kTimeout);
     }
-    bool start_all_again() {
+    bool restart_all() {
         rig.start_all();
         return all_ready();
     }
 };
 
 TEST(StateProcesses, WhatWasAnsweredIsThereWhenAllWereKilledAtOnceAndWhatWasDeletedIsNot) {
-    KeptState state(4);
+    PersistentStateCluster state(4);
     ASSERT_EQ(field(state.outcome(1, state.put(1, "settings", "a", "1")), "reached"), "1");
     ASSERT_EQ(field(state.outcome(1, state.put(1, "settings", "b", "1", "majority within=5000")), "reached"),
               "1");
@@ -349,7 +351,7 @@
     ASSERT_EQ(field(state.outcome(2, state.remove(2, "settings", "a")), "reached"), "1");
     ASSERT_EQ(field(state.outcome(3, state.put(3, "settings", "last", "1")), "reached"), "1");
     state.kill_all();  // the last write may have been told to nobody
-    ASSERT_TRUE(state.start_all_again());
+    ASSERT_TRUE(state.restart_all());
     EXPECT_TRUE(state.all_have("settings", "last", "1"));
     EXPECT_TRUE(state.all_have("settings", "b", "1"));
     EXPECT_TRUE(state.all_have("settings", "a", "-"));
@@ -357,11 +359,11 @@
 }
 
 TEST(StateProcesses, ADiskRestoredFromABackupCatchesUpAndUsesNoDotTwice) {
-    KeptState state(4);
+    PersistentStateCluster state(4);
     ASSERT_EQ(field(state.outcome(0, state.put(0, "settings", "a", "old")), "reached"), "1");
     state.rig.kill(0);
-    ASSERT_TRUE(state.put_away(0));
-    const auto backup = state.folder() / "backup";
+    ASSERT_TRUE(state.wait_until_persisted(0));
+    const auto backup = state.directory() / "backup";
     std::filesystem::copy(state.file(0).parent_path(), backup);
     state.rig.start(0);
     ASSERT_TRUE(state.all_ready());
@@ -373,7 +375,7 @@
     ASSERT_EQ(used.size(), 6u);  // of "a" and of the five
     ASSERT_FALSE(state.remove(2, "settings", "a").empty());
     state.rig.kill(0);
-    ASSERT_TRUE(state.put_away(0));
+    ASSERT_TRUE(state.wait_until_persisted(0));
     std::filesystem::remove_all(state.file(0).parent_path());
     std::filesystem::copy(backup, state.file(0).parent_path());
     // Cut off until it has written, so that it writes with the state of the backup and not after it has
@@ -402,28 +404,28 @@
 
 TEST(StateProcesses, AMemberWhoseHelperHasNotLoadedRefusesWritesAndIsNotReadAsEmpty) {
     // A helper that starts when this test lets it.
-    const auto folder = StateOf::folder_of(1);
-    const std::string go = folder / "go", helper = folder / "late-helper";
-    std::filesystem::create_directories(folder);
+    const auto directory = StateCluster::directory_of(1);
+    const std::string go = directory / "go", helper = directory / "late-helper";
+    std::filesystem::create_directories(directory);
     std::ofstream(go).close();
     std::ofstream(helper) << "#!/bin/sh\nuntil [ -e '" << go
                           << "' ]; do [ -e \"$0\" ] || exit 1; sleep 0.05; done\nexec '"
                           << std::filesystem::path(MARTENFORD).replace_filename("martenford-ledger").string()
                           << "' \"$@\"\n";
     std::filesystem::permissions(helper, std::filesystem::perms::owner_all);
-    KeptState state(3, 1, fmt::format("helper = \"{}\"\n", helper));
+    PersistentStateCluster state(3, 1, fmt::format("helper = \"{}\"\n", helper));
     ASSERT_EQ(field(state.outcome(0, state.put(0, "settings", "a", "1")), "reached"), "1");
     ASSERT_TRUE(state.all_have("settings", "a", "1"));
     EXPECT_EQ(state.get(0, "settings", "b"), "-");
     state.rig.kill(0);
-    ASSERT_TRUE(state.put_away(0));
-    EXPECT_EQ(state.get(0, "settings", "b"), StateOf::kUnknown);  // it is down
+    ASSERT_TRUE(state.wait_until_persisted(0));
+    EXPECT_EQ(state.get(0, "settings", "b"), StateCluster::kUnknown);  // it is down
     std::filesystem::remove(go);
     state.rig.start(0);
-    ASSERT_TRUE(state.rig.await([&] { return state.rig.all_agree(); }, kPatience));
+    ASSERT_TRUE(state.rig.await([&] { return state.rig.all_agree(); }, kTimeout));
     EXPECT_FALSE(state.is_ready(0));
     EXPECT_NE(state.call(0, "put settings b 1").find("refused="), std::string::npos);
-    EXPECT_EQ(state.get(0, "settings", "b"), StateOf::kUnknown);
+    EXPECT_EQ(state.get(0, "settings", "b"), StateCluster::kUnknown);
     EXPECT_EQ(state.get(1, "settings", "b"), "-");  // nothing of it was written
     std::ofstream(go).close();
     ASSERT_TRUE(state.ready(0));
@@ -433,11 +435,11 @@
 }
 
 TEST(StateProcesses, ACopyThatCanNotBeUsedIsSetAsideNamedAndKept) {
-    KeptState state(3);
+    PersistentStateCluster state(3);
     ASSERT_EQ(field(state.outcome(0, state.put(0, "settings", "a", "1", "others=2 within=5000")), "reached"),
               "1");
     state.rig.kill(1);
-    ASSERT_TRUE(state.put_away(1));
+    ASSERT_TRUE(state.wait_until_persisted(1));
     std::FILE* file = std::fopen(state.file(1).c_str(), "w");
     ASSERT_NE(file, nullptr);
     std::fputs("this is no database, and long enough to be taken for the head of one", file);
@@ -453,17 +455,17 @@
 }
 
 TEST(StateProcesses, WithoutAHelperNothingIsCalledKeptAndAllElseGoesOn) {
-    StateOf state(3, 1, "directory = \"/proc/no-such-place/{name}\"\n");
+    StateCluster state(3, 1, "directory = \"/proc/no-such-place/{name}\"\n");
     std::string ticket;
     ASSERT_TRUE(
-        state.rig.await([&] { return !(ticket = state.put(0, "settings", "a", "1")).empty(); }, kPatience));
+        state.rig.await([&] { return !(ticket = state.put(0, "settings", "a", "1")).empty(); }, kTimeout));
     EXPECT_TRUE(state.all_have("settings", "a", "1"));
     EXPECT_EQ(field(state.call(0, "outcome " + ticket), "waits"), "1");
     EXPECT_EQ(field(state.call(0, "self"), "kept"), "no");
 }
 
 TEST(StateProcesses, TheCommandsSayWhatStandsAndWhereTwoDiffer) {
-    StateOf state(4);
+    StateCluster state(4);
     const auto run = [&](const std::string& words, std::size_t member, std::string& out) {
         // The loop must go on: it relays what the member has to say to others.
         const std::string path =
@@ -480,7 +482,7 @@
                 std::fclose(file);
                 return out.find("exit ") != out.npos;
             },
-            kPatience);
+            kTimeout);
         std::filesystem::remove(path);
         return out.substr(out.find("exit ") + 5, 1);
     };
@@ -493,7 +495,7 @@
     ASSERT_TRUE(state.all_equal());
     EXPECT_EQ(run("diff " + text_of(state.rig.console(2)), 0, out), "0") << out;
     state.cut({0});
-    ASSERT_TRUE(state.hold({0}, 1));
+    ASSERT_TRUE(state.wait_for_alive_count({0}, 1));
     EXPECT_EQ(run("put settings s x --reach 2 --within 1", 0, out), "3") << out;
     EXPECT_EQ(run("diff " + text_of(state.rig.console(2)), 0, out), "1") << out;
     EXPECT_NE(out.find("settings s"), out.npos) << out;
@@ -506,12 +508,12 @@
 class StateSchedules : public testing::TestWithParam<std::uint64_t> {};
 TEST_P(StateSchedules, EndAlikeWithAllThatWasAnswered) {
     const std::size_t members = from_environment("MARTENFORD_MEMBERS", 6);
-    StateOf state(members, GetParam());
+    StateCluster state(members, GetParam());
     std::mt19937_64 random(GetParam());
-    const auto any = [&] { return static_cast<std::size_t>(random() % members); };
-    std::map<std::string, std::string> last;  // of a majority's keys, which no crash can take
+    const auto random_member = [&] { return static_cast<std::size_t>(random() % members); };
+    std::map<std::string, std::string> acknowledged;  // of a majority's keys, which no crash can take
     for (int step = 0; step < 24; ++step) {
-        const std::size_t who = any(), other = any();
+        const std::size_t who = random_member(), other = random_member();
         switch (random() % 9) {
             case 0:
             case 1:
@@ -528,7 +530,8 @@
                 const std::string key = fmt::format("m{}", step);
                 const std::string ticket =
                     state.rig.is_up(who) ? state.put(who, "settings", key, "x", "majority within=3000") : "";
-                if (!ticket.empty() && field(state.outcome(who, ticket), "reached") == "1") last[key] = "x";
+                if (!ticket.empty() && field(state.outcome(who, ticket), "reached") == "1")
+                    acknowledged[key] = "x";
                 break;
             }
             case 5:
@@ -553,9 +556,9 @@
     }
     state.rig.net().heal();
     for (std::size_t i = 0; i < members; ++i) state.rig.start(i);
-    ASSERT_TRUE(state.rig.await([&] { return state.rig.all_agree(); }, kPatience)) << "seed " << GetParam();
+    ASSERT_TRUE(state.rig.await([&] { return state.rig.all_agree(); }, kTimeout)) << "seed " << GetParam();
     ASSERT_TRUE(state.all_equal()) << "seed " << GetParam();
-    for (const auto& [key, value] : last)
+    for (const auto& [key, value] : acknowledged)
         EXPECT_EQ(state.get(0, "settings", key), value) << "seed " << GetParam();
 }
 INSTANTIATE_TEST_SUITE_P(Seeds, StateSchedules,
--- a/tools/emulator/state.cpp
+++ b/tools/emulator/state.cpp
@@ -12,16 +12,16 @@
 namespace {
 
 /// As large as an override with a reason; written long enough ago that all have it.
-std::vector<replica::Named> many(std::size_t count, replica::Wall wall) {
-    std::vector<replica::Named> result;
+std::vector<replica::NamedEntry> many(std::size_t count, replica::WallTime wall) {
+    std::vector<replica::NamedEntry> result;
     for (std::size_t i = 0; i < count; ++i) {
         replica::Version version;
         version.dot = {7 + i % 13, 1 + i};
-        version.stamp = replica::stamp_of(wall - 60'000) + i;
+        version.timestamp = replica::timestamp_of(wall - 60'000) + i;
         version.value = fmt::format("value {} of an entry", i * 7919);
-        version.by = fmt::format("sidecar-{}", i % 300);
+        version.written_by = fmt::format("sidecar-{}", i % 300);
         version.reason = "seen to fail";
-        replica::Named entry;
+        replica::NamedEntry entry;
         entry.name = {"measured", fmt::format("10.{}.{}.{}:8080", i >> 16, i >> 8 & 255, i & 255)};
         entry.entry.write(std::move(version));
         result.push_back(std::move(entry));
@@ -39,10 +39,10 @@
     StateModel model(options);
     const auto all = many(words.entries, model.wall(0));
     std::size_t plain = 0;
-    for (const replica::Named& entry : all) plain += bytes_of(entry).size();
+    for (const replica::NamedEntry& entry : all) plain += bytes_of(entry).size();
     std::size_t lacking = 0;
     for (std::size_t i = 0; i < words.members; ++i) {
-        std::vector<replica::Named> own;
+        std::vector<replica::NamedEntry> own;
         for (std::size_t n = 0; n < all.size(); ++n) {
             const bool lacks = i == 0 && static_cast<double>(n * 7919 % all.size()) <
                                              words.behind * static_cast<double>(all.size());
--- a/tools/emulator/verdicts.cpp
+++ b/tools/emulator/verdicts.cpp
@@ -99,8 +99,9 @@
             // As a change of the table does, once for each new verdict.
             for (const std::uint32_t endpoint : {kBad, kSound}) {
                 std::size_t verdicts = 0;
-                model.copy(i).each_under({"verdicts", uid_of(endpoint) + '/'},
-                                         [&](const replica::Name&, const replica::Entry&) { ++verdicts; });
+                model.copy(i).for_each_with_prefix(
+                    {"verdicts", uid_of(endpoint) + '/'},
+                    [&](const replica::EntryName&, const replica::Entry&) { ++verdicts; });
                 const std::size_t seen = endpoint == kBad ? verdicts : 0;
                 const bool news =
                     endpoint == kSound ? step % 100 == 1 : std::exchange(warned[i], seen) != seen;
