--- a/src/command/ledger.cpp
+++ b/src/command/ledger.cpp
@@ -20,7 +20,7 @@
 #include "ledger/reconcile.h"
 #include "ledger/story.pb.h"
 #include "ledger/writer.h"
-#include "replica/shelf_writer.h"
+#include "replica/snapshot_writer.h"
 
 namespace martenford::ledger {
 namespace {
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -35,7 +35,7 @@
 #include "ledger/recorder.h"
 #include "ledger/writer_link.h"
 #include "peers/peers.h"
-#include "replica/keeper.h"
+#include "replica/replication_service.h"
 #include "telemetry/collector.h"
 
 namespace martenford {
--- a/src/replica/replica.h
+++ b/src/replica/replica.h
@@ -17,7 +17,7 @@
 #include "core/scheduler.h"
 #include "fleet/wire.h"
 #include "replica/entry.h"
-#include "replica/holding.h"
+#include "replica/entry_store.h"
 #include "replica/hybrid_clock.h"
 #include "replica/message.h"
 #include "replica/options.h"
--- a/src/replica/keeper.cpp
+++ b/src/replica/replication_service.cpp
@@ -1,4 +1,4 @@
-#include "replica/keeper.h"
+#include "replica/replication_service.h"
 
 #include <fmt/format.h>
 
--- a/src/replica/keeper.h
+++ b/src/replica/replication_service.h
@@ -16,7 +16,7 @@
 #include "replica/endpoint_overrides.h"
 #include "replica/options.h"
 #include "replica/replica.h"
-#include "replica/shelf_link.h"
+#include "replica/snapshot_client.h"
 
 namespace martenford::replica {
 
--- a/src/replica/shelf_link.cpp
+++ b/src/replica/snapshot_client.cpp
@@ -1,4 +1,4 @@
-#include "replica/shelf_link.h"
+#include "replica/snapshot_client.h"
 
 #include <sys/socket.h>
 #include <sys/wait.h>
--- a/src/replica/shelf_writer.cpp
+++ b/src/replica/snapshot_writer.cpp
@@ -1,4 +1,4 @@
-#include "replica/shelf_writer.h"
+#include "replica/snapshot_writer.h"
 
 #define XXH_INLINE_ALL
 #include <fmt/format.h>
--- a/tests/replica/golden_test.cpp
+++ b/tests/replica/golden_test.cpp
@@ -13,7 +13,7 @@
 #include "framing/frame.h"
 #include "replica/message.h"
 #include "replica/shelf.pb.h"
-#include "replica/shelf_writer.h"
+#include "replica/snapshot_writer.h"
 #include "replica/tables.h"
 
 namespace martenford::replica {
