--- a/tests/handover/handover_test.cpp
+++ b/tests/handover/handover_test.cpp
@@ -54,7 +54,7 @@
     EXPECT_EQ(body_of(client.receive()), id);
 }
 
-TEST_F(Upgrade, LaterProcessServesOnTheSameAddressOnceDiscoveryHasToldItsList) {
+TEST_F(Upgrade, LaterProcessServesOnTheSameAddressOnceDiscoveryHasAnswered) {
     Sidecar earlier(platform(), "", environment());
     const int port = earlier.port();
     Peer watch = answer_watch(target("s-1", endpoint.address()));
@@ -70,7 +70,7 @@
     EXPECT_EQ(later.figure("success.look"), 20.0);
 }
 
-TEST_F(Upgrade, NoConnectionIsRefusedOrLeftUnreadWhileProcessesFollowOneAnother) {
+TEST_F(Upgrade, SuccessiveUpgradesRefuseNoConnection) {
     auto current = std::make_unique<Sidecar>(platform(), "", environment());
     const int port = current->port();
     Peer watch = answer_watch(target("s-1", endpoint.address()));
@@ -99,7 +99,7 @@
     }
 }
 
-TEST_F(Upgrade, EarlierProcessAnswersWhatItHasAndTellsClientsToComeBack) {
+TEST_F(Upgrade, EarlierProcessFinishesItsRequestsAndClosesConnections) {
     Sidecar earlier(platform(), "", environment());
     Peer watch = answer_watch(target("s-1", endpoint.address()));
     Peer client = earlier.client();
@@ -119,7 +119,7 @@
     EXPECT_TRUE(client.ends());
 }
 
-TEST_F(Upgrade, WhatACrashedProcessLeftBehindHindersNoStart) {
+TEST_F(Upgrade, SocketLeftByACrashedProcessDoesNotPreventAStart) {
     int port = 0;
     {
         Sidecar earlier(platform(), "", environment());
@@ -132,7 +132,7 @@
     (void)port;
 }
 
-TEST_F(Upgrade, LaterProcessThatDiesLeavesTheEarlierOneServing) {
+TEST_F(Upgrade, EarlierProcessKeepsServingWhenTheLaterOneDies) {
     Sidecar earlier(platform(), "", environment());
     const int port = earlier.port();
     Peer watch = answer_watch(target("s-1", endpoint.address()));
@@ -144,7 +144,7 @@
     for (int i = 0; i < 5; ++i) expect_served(port, endpoint, "r" + std::to_string(i));
 }
 
-TEST_F(Upgrade, TwoThatDoNotFindEachOtherListenSideBySideAndLoseOneConnectionAtMost) {
+TEST_F(Upgrade, ProcessesWithoutAHandoverShareThePortAndLoseAtMostOneConnection) {
     Sidecar earlier(platform(), "", environment());
     const int port = earlier.port();
     std::string second_config = platform();
@@ -181,7 +181,7 @@
     EXPECT_LE(lost, 1);
 }
 
-TEST_F(Upgrade, DirectoryThatIsNotThereCostsTheHandoverAlone) {
+TEST_F(Upgrade, MissingDirectoryOnlyDisablesTheHandover) {
     Sidecar sidecar(platform(), "", {"TMPDIR=" + directory + "/none"});
     EXPECT_EQ(sidecar.call("readyz"), "YES\n");
     expect_served(sidecar.port(), endpoint, "r1");
--- a/tests/replica/entry_test.cpp
+++ b/tests/replica/entry_test.cpp
@@ -44,7 +44,7 @@
 const auto kAllRules = {ConflictRule::Latest, ConflictRule::Safer, ConflictRule::Greatest,
                         ConflictRule::Present};
 
-RC_GTEST_PROP(EntryMerge, CommutesAssociatesAndRepeats, (const std::vector<std::uint8_t>& steps)) {
+RC_GTEST_PROP(EntryMerge, IsCommutativeAssociativeAndIdempotent, (const std::vector<std::uint8_t>& steps)) {
     for (const ConflictRule rule : kAllRules) {
         const auto c = copies_after(rule, steps);
         RC_ASSERT(merged(c[0], c[1]) == merged(c[1], c[0]));
@@ -54,7 +54,7 @@
     }
 }
 
-RC_GTEST_PROP(EntryMerge, SaysTheSameOnTheWire, (const std::vector<std::uint8_t>& steps)) {
+RC_GTEST_PROP(EntryMerge, SurvivesSerialization, (const std::vector<std::uint8_t>& steps)) {
     Message message;
     message.kind = Message::Kind::Page;
     for (const ConflictRule rule : kAllRules) {
@@ -68,7 +68,7 @@
         RC_ASSERT(read.entries[i].entry == message.entries[i].entry);
 }
 
-RC_GTEST_PROP(MessageReader, TakesAnyBytesOrSaysThatItCannot, (const std::string& bytes)) {
+RC_GTEST_PROP(MessageReader, ParsesOrRejectsAnyBytes, (const std::string& bytes)) {
     try {
         const Message message = read_message(bytes);
         RC_ASSERT(message.entries.size() <= bytes.size());
@@ -76,8 +76,7 @@
     }
 }
 
-RC_GTEST_PROP(DigestTree, AddsUpToTheSameInAnyOrder,
-              (std::vector<std::pair<std::uint64_t, std::uint64_t>> all)) {
+RC_GTEST_PROP(DigestTree, IsIndependentOfOrder, (std::vector<std::pair<std::uint64_t, std::uint64_t>> all)) {
     Digests one, other;
     for (const auto& [position, hash] : all) one.add(position, hash);
     for (auto it = all.rbegin(); it != all.rend(); ++it) {
@@ -102,7 +101,7 @@
     return version;
 }
 
-TEST(EntryRules, EachHasItsWordOnWhatWasWrittenBesideEachOther) {
+TEST(EntryRules, ResolveConcurrentVersions) {
     struct Case {
         ConflictRule rule;
         bool first_deleted;
@@ -126,7 +125,7 @@
     }
 }
 
-TEST(EntryRules, WhoeverKnowsBothSettles) {
+TEST(EntryRules, WriteThatHasSeenBothSiblingsResolvesTheConflict) {
     Entry a, b;
     a.write(version_of(1, 1, 10));
     b.write(version_of(2, 1, 11));
@@ -139,7 +138,7 @@
     EXPECT_EQ(b.resolve(0)->dot, (Dot{1, 2}));
 }
 
-TEST(EntryRules, ExpiryEndsAVersionAndWhatStoodBesideItHasTheWord) {
+TEST(EntryRules, ExpiredVersionYieldsToItsSibling) {
     Entry a, b;
     Version exclude = version_of(1, 1, 10, 9);
     exclude.expires = 1000;
@@ -151,7 +150,7 @@
     EXPECT_EQ(a.resolve(1000)->dot.writer, 2u);
 }
 
-TEST(Clock, RunsAheadOfAWallThatGoesBackAndRefusesWhatIsFarAhead) {
+TEST(Clock, StaysMonotonicAndRejectsTimestampsFarAhead) {
     HybridClock clock;
     const Timestamp first = clock.next(100'000);
     EXPECT_GT(clock.next(99'000), first);
@@ -163,7 +162,7 @@
 
 // ---- every order --------------------------------------------------------------------------------------
 
-TEST(Explorer, NoOrderOfEventsBreaksARule) {
+TEST(Explorer, NoEventOrderViolatesAnInvariant) {
     for (const ConflictRule rule : kAllRules) {
         Explorer explorer(rule, {}, {.writes = 2, .deletes = 1, .crashes = 1, .deliveries = 3});
         EXPECT_EQ(explorer.run(), "") << name_of(rule);
--- a/tests/replica/golden_test.cpp
+++ b/tests/replica/golden_test.cpp
@@ -170,7 +170,7 @@
     expect_known(read.entry.context[0], 61, 62, 63);
 }
 
-TEST(GoldenStateMessages, OfEveryKindWithItsNumber) {
+TEST(GoldenStateMessages, EveryKind) {
     const char* names[] = {"push", "give", "got", "ranges", "want", "fetch", "page"};
     ASSERT_EQ(std::size(names), kKindCount);
     for (std::uint32_t kind = 0; kind < kKindCount; ++kind) {
@@ -217,7 +217,7 @@
     }
 }
 
-TEST(GoldenStateMessages, TheirTwoFlagsByThemselves) {
+TEST(GoldenStateMessages, EndAndBusyFlags) {
     Message end, busy;
     end.kind = busy.kind = Message::Kind::Page;
     end.is_last = true;
@@ -240,14 +240,14 @@
     return read;
 }
 
-TEST(GoldenStateEntries, OfEveryRuleAndTable) {
+TEST(GoldenStateEntries, EveryRuleAndTable) {
     expect_contested(read_entry("entry-contested.bin", contested()));
     expect_plain(read_entry("entry-override.bin", plain()));
     expect_verdict(read_entry("entry-verdict.bin", verdict()));
     expect_drain(read_entry("entry-drain.bin", drain()));
 }
 
-TEST(GoldenStateEntries, ValuesInAnOperatorsWords) {
+TEST(GoldenStateEntries, ValuesAsOperatorsWriteThem) {
     const auto read = [](const char* file, const char* table, const char* words, std::uint64_t rank) {
         SCOPED_TRACE(file);
         std::string error;
@@ -264,7 +264,7 @@
     read("value-fence.bin", "fences", "epoch=7 holder-a", 7);
 }
 
-TEST(GoldenStateEntries, TheTablesKeepTheirNamesAndRules) {
+TEST(GoldenStateEntries, TableNamesAndRules) {
     const std::vector<std::pair<std::string, int>> kept{
         {"overrides", 1}, {"verdicts", 0}, {"drains", 0}, {"settings", 0}, {"fences", 2}};
     ASSERT_EQ(kTables.size(), kept.size());
@@ -275,7 +275,7 @@
     }
 }
 
-TEST(GoldenStateEntries, TheirHashesAndPlacesStay) {
+TEST(GoldenStateEntries, HashesAndPositions) {
     // Two copies of different builds compare these.
     const std::string now = std::to_string(hash_of(contested().entry)) + " " +
                             std::to_string(position_of(contested().name)) + "\n" +
@@ -332,7 +332,7 @@
     return out;
 }
 
-TEST(GoldenStateFile, WhatIsSaidToTheHelper) {
+TEST(GoldenStateFile, MessagesToTheHelper) {
     const std::string open = golden::kept(path_of("helper-open.bin"), framing::framed(opening()));
     EXPECT_EQ(framing::framed(opening()), open);
     const std::string keep = golden::kept(path_of("helper-keep.bin"), framing::framed(keeping()));
@@ -348,7 +348,7 @@
     EXPECT_EQ(said[1].kept().seq(), 201u);
 }
 
-TEST(GoldenStateFile, WhatTheHelperSays) {
+TEST(GoldenStateFile, MessagesFromTheHelper) {
     const auto read = [](const std::string& file, const shelf::FromShelf& now) {
         const std::string bytes = golden::kept(path_of(file), framing::framed(now));
         EXPECT_EQ(framing::framed(now), bytes);
@@ -379,7 +379,7 @@
     EXPECT_EQ(read("helper-trouble.bin", out).trouble().what(), "no room");
 }
 
-TEST(GoldenStateFile, EveryEntryIsReadAsItWasWritten) {
+TEST(GoldenStateFile, EntriesReadBackUnchanged) {
     if (golden::writes()) {
         golden::Folder made;
         run_helper(made.at, framing::framed(opening()) + framing::framed(keeping()));
--- a/tests/replica/replica_test.cpp
+++ b/tests/replica/replica_test.cpp
@@ -45,14 +45,14 @@
 }
 
 // What one witness writes may end what another has written at the same place.
-TEST(EndpointOverrides, ADrainIsLearntWhereWitnessesWriteAtTheSamePlaceAtOnce) {
+TEST(EndpointOverrides, DrainIsConfirmedWhenWitnessesWriteTheSameSlotConcurrently) {
     for (std::uint64_t seed = 1; seed <= 60; ++seed) {
         EXPECT_TRUE(drain_is_learnt(3, seed)) << "two witnesses, seed " << seed;
         EXPECT_TRUE(drain_is_learnt(4, seed)) << "three witnesses, seed " << seed;
     }
 }
 
-TEST(Replica, AWriteIsKnownToAllSoonAndComesBackNowhereWhenDeleted) {
+TEST(Replica, WriteReachesAllAndStaysDeletedEverywhere) {
     StateModel model(of(40));
     model.start_all();
     model.run_for(1s);
@@ -67,7 +67,7 @@
     for (std::size_t i = 0; i < model.size(); ++i) EXPECT_EQ(model.get(i, "overrides", "10.0.0.1:80"), "-");
 }
 
-TEST(Replica, TheAnswerToAWriteSaysHowFarItGot) {
+TEST(Replica, OutcomeOfAWriteReportsItsAcknowledgements) {
     StateModel model(of(9));
     model.start_all();
     model.run_for(1s);
@@ -90,7 +90,7 @@
     EXPECT_EQ(model.get(8, "settings", "a"), "x=2");
 }
 
-TEST(Replica, BothSidesOfAPartitionAreKeptAndShownAndTheRuleHasTheWord) {
+TEST(Replica, ConcurrentWritesOfAPartitionAreKeptAndResolvedByRule) {
     StateModel model(of(6));
     model.start_all();
     model.put(0, "overrides", "e", "weight=50");
@@ -114,7 +114,7 @@
     EXPECT_FALSE(model.copy(5).find({"overrides", "e"})->conflicting(model.wall(5)));
 }
 
-TEST(Replica, OneThatReturnsFetchesPagesFromSeveralAndGoesOnWhereAGiverDied) {
+TEST(Replica, ReturningMemberFetchesPagesFromSeveralPeersAndResumesAfterOneDies) {
     StateModel model(of(5));
     model.start_all();
     for (int i = 0; i < 2000; ++i) {
@@ -135,7 +135,7 @@
     EXPECT_LT(model.copy(4).stats().merged, 2100u);
 }
 
-TEST(Replica, CopiesThatDifferInAFewEntriesSayLittleToFindThem) {
+TEST(Replica, SmallDifferencesAreFoundWithLittleTraffic) {
     StateModel model(of(2));
     model.start_all();
     for (int i = 0; i < 2000; ++i) {
@@ -153,7 +153,7 @@
     EXPECT_LT(model.figures().bytes - before, 40'000u);
 }
 
-TEST(Replica, ATableAtItsBoundSaysSoAndPushesNothingOut) {
+TEST(Replica, FullTableRefusesNewKeysAndEvictsNothing) {
     StateModel model(of(2));
     model.start_all();
     const std::size_t max_entries = replica::find_table("settings")->max_entries;
@@ -164,7 +164,7 @@
     EXPECT_EQ(model.get(0, "settings", "s0"), "x");
 }
 
-TEST(Replica, AFenceOnlyGrowsAndIsNotDeleted) {
+TEST(Replica, FenceOnlyIncreasesAndCannotBeDeleted) {
     StateModel model(of(3));
     model.start_all();
     EXPECT_EQ(model.put(0, "fences", "ledger", "epoch=7 n0").error, WriteError::None);
@@ -176,7 +176,7 @@
     EXPECT_EQ(model.get(0, "fences", "ledger"), "epoch=8 n1");
 }
 
-TEST(Replica, AClockThatIsAnHourAheadIsRefusedAndNamedAndAllElseGoesOn) {
+TEST(Replica, MemberWhoseClockIsAnHourAheadIsRejectedAndReported) {
     StateModel model(of(4));
     model.set_clock(2, 3'600'000);
     model.start_all();
@@ -193,7 +193,7 @@
     EXPECT_EQ(model.put(2, "overrides", "g", "exclude").error, WriteError::ClockSkew);
 }
 
-TEST(Replica, WhatWasDeletedWhileOneWasAwayForLongerThanTombstonesLastStaysDeleted) {
+TEST(Replica, DeletionSurvivesAMemberAwayLongerThanTheTombstoneLifetime) {
     auto options = of(5);
     options.pace.tombstones = 8s;
     StateModel model(options);
@@ -219,7 +219,7 @@
     }
 }
 
-TEST(Replica, ATableThatThisBuildDoesNotKnowIsKeptAndPassedOn) {
+TEST(Replica, UnknownTableIsStoredAndForwarded) {
     StateModel model(of(3));
     model.start_all();
     model.run_for(1s);
@@ -246,7 +246,7 @@
     EXPECT_EQ(there->versions[0].unknown_fields, version.unknown_fields);
 }
 
-TEST(Replica, AnEntryOlderThanItsOwnStampIsMadeUp) {
+TEST(Replica, EntryNewerThanItsMessageIsRejected) {
     StateModel model(of(1));
     model.start_all();
     replica::Message push;
@@ -264,7 +264,7 @@
 
 /// Faults of all kinds from one seed; then all copies are equal, and no rule was broken on the way.
 class ReplicaSchedules : public testing::TestWithParam<std::uint64_t> {};
-TEST_P(ReplicaSchedules, EndAlikeAndNothingDeletedReturns) {
+TEST_P(ReplicaSchedules, ConvergeWithoutResurrectingDeletions) {
     auto options = of(7, GetParam());
     options.duplicate = 0.05;
     options.delay_most = 80ms;
--- a/tests/replica/state_process_test.cpp
+++ b/tests/replica/state_process_test.cpp
@@ -157,7 +157,7 @@
     FleetRig rig;
 };
 
-TEST(StateProcesses, WhatIsWrittenAtOneStandsAtAllAndWhatIsDeletedComesBackNowhere) {
+TEST(StateProcesses, WritesAndDeletionsReachAllMembers) {
     StateCluster state(6);
     state.put(1, "overrides", "10.0.0.1:80", "exclude", "expires=600000 reason=a%20fan%20fails");
     EXPECT_TRUE(state.all_have("overrides", "10.0.0.1:80", "exclude"));
@@ -167,7 +167,7 @@
     EXPECT_TRUE(state.all_equal());
 }
 
-TEST(StateProcesses, OneThatWasKilledCatchesUpAndOneThatSleptBringsNothingBack) {
+TEST(StateProcesses, KilledMemberCatchesUpAndPausedMemberResurrectsNothing) {
     StateCluster state(5);
     state.put(0, "settings", "a", "x=1");
     state.put(0, "overrides", "e", "exclude");
@@ -185,7 +185,7 @@
     EXPECT_TRUE(state.all_equal());
 }
 
-TEST(StateProcesses, BothSidesOfAPartitionAreShownToAllUntilSomebodySettlesIt) {
+TEST(StateProcesses, ConflictOfAPartitionIsListedUntilItIsResolved) {
     StateCluster state(6);
     const std::set<std::size_t> left{0, 1, 2}, right{3, 4, 5};
     state.cut(left);
@@ -212,7 +212,7 @@
     EXPECT_TRUE(state.all_have("overrides", "e", "include"));
 }
 
-TEST(StateProcesses, ThreePartsThatWroteOneKeyAgreeWhateverTheOrderOfHealing) {
+TEST(StateProcesses, ThreePartitionsConvergeWhenHealedInAnyOrder) {
     StateCluster state(6);
     const std::set<std::size_t> parts[] = {{0, 1}, {2, 3}, {4, 5}};
     for (const auto& part : parts) state.cut(part);
@@ -233,7 +233,7 @@
     EXPECT_TRUE(state.all_equal());
 }
 
-TEST(StateProcesses, TheAnswerToAWriteIsTrueOfAMajorityAndOfAMinority) {
+TEST(StateProcesses, OutcomeOfAWriteIsCorrectInAMajorityAndInAMinority) {
     StateCluster state(7);
     const std::string all = state.outcome(0, state.put(0, "settings", "a", "1", "majority within=5000"));
     EXPECT_EQ(field(all, "reached"), "1");
@@ -246,7 +246,7 @@
     EXPECT_TRUE(state.all_have("settings", "a", "2"));
 }
 
-TEST(StateProcesses, AWriteThatAMajorityHasOutlivesItsWriter) {
+TEST(StateProcesses, MajorityWriteSurvivesItsWriter) {
     StateCluster state(5);
     const std::string ticket = state.put(2, "settings", "a", "kept", "majority within=5000");
     ASSERT_EQ(field(state.outcome(2, ticket), "reached"), "1");
@@ -254,7 +254,7 @@
     EXPECT_TRUE(state.all_have("settings", "a", "kept"));
 }
 
-TEST(StateProcesses, OneThatIsHeardAndHearsNobodyDoesNotKeepTheOthersFromAgreeing) {
+TEST(StateProcesses, MemberThatOnlySendsDoesNotStopTheOthersFromConverging) {
     StateCluster state(5);
     state.rig.net().each_pair(state.rig.others({3}), {3}, [](LinkFaults& f) { f.cut = true; });
     state.put(3, "settings", "mine", "1");
@@ -272,7 +272,7 @@
     EXPECT_TRUE(state.all_have("settings", "theirs", "1"));
 }
 
-TEST(StateProcesses, LossesRepeatsReorderingAndDamageDelayAndChangeNothing) {
+TEST(StateProcesses, LossDuplicationReorderingAndCorruptionOnlyDelayConvergence) {
     StateCluster state(6);
     state.rig.net().each_pair(state.rig.all(), state.rig.all(), [](LinkFaults& f) {
         f.drop = 0.2;
@@ -295,7 +295,7 @@
     EXPECT_TRUE(state.all_equal());
 }
 
-TEST(StateProcesses, AFenceGrowsAndTheGreatestIsAllThatIsLeftOfTwoSides) {
+TEST(StateProcesses, GreatestFenceOfAPartitionWins) {
     StateCluster state(4);
     state.put(0, "fences", "ledger", "epoch=3 n0", "");
     ASSERT_TRUE(state.all_have("fences", "ledger", "epoch=3 n0"));
@@ -310,7 +310,7 @@
     EXPECT_EQ(state.call(2, "conflicts"), "");
 }
 
-TEST(StateProcesses, AnOverrideEndsByItselfAndNoneIsWithoutEnd) {
+TEST(StateProcesses, OverridesExpireAndRequireAnExpiry) {
     StateCluster state(3);
     EXPECT_NE(state.call(0, "put overrides e exclude").find("refused="), std::string::npos);
     state.put(0, "overrides", "e", "exclude", "expires=10000");
@@ -342,7 +342,7 @@
     }
 };
 
-TEST(StateProcesses, WhatWasAnsweredIsThereWhenAllWereKilledAtOnceAndWhatWasDeletedIsNot) {
+TEST(StateProcesses, AcknowledgedWritesSurviveKillingAllMembers) {
     PersistentStateCluster state(4);
     ASSERT_EQ(field(state.outcome(1, state.put(1, "settings", "a", "1")), "reached"), "1");
     ASSERT_EQ(field(state.outcome(1, state.put(1, "settings", "b", "1", "majority within=5000")), "reached"),
@@ -358,7 +358,7 @@
     EXPECT_EQ(field(state.call(3, "self"), "from_disk"), "1");
 }
 
-TEST(StateProcesses, ADiskRestoredFromABackupCatchesUpAndUsesNoDotTwice) {
+TEST(StateProcesses, MemberRestoredFromABackupCatchesUpAndReusesNoDot) {
     PersistentStateCluster state(4);
     ASSERT_EQ(field(state.outcome(0, state.put(0, "settings", "a", "old")), "reached"), "1");
     state.rig.kill(0);
@@ -402,7 +402,7 @@
     EXPECT_TRUE(state.all_equal());
 }
 
-TEST(StateProcesses, AMemberWhoseHelperHasNotLoadedRefusesWritesAndIsNotReadAsEmpty) {
+TEST(StateProcesses, MemberRefusesReadsAndWritesUntilItsHelperHasLoaded) {
     // A helper that starts when this test lets it.
     const auto directory = StateCluster::directory_of(1);
     const std::string go = directory / "go", helper = directory / "late-helper";
@@ -434,7 +434,7 @@
     EXPECT_TRUE(state.all_have("settings", "b", "1"));
 }
 
-TEST(StateProcesses, ACopyThatCanNotBeUsedIsSetAsideNamedAndKept) {
+TEST(StateProcesses, UnusableSnapshotIsQuarantinedAndReported) {
     PersistentStateCluster state(3);
     ASSERT_EQ(field(state.outcome(0, state.put(0, "settings", "a", "1", "others=2 within=5000")), "reached"),
               "1");
@@ -454,7 +454,7 @@
     ASSERT_EQ(field(state.outcome(1, state.put(1, "settings", "b", "1")), "reached"), "1");
 }
 
-TEST(StateProcesses, WithoutAHelperNothingIsCalledKeptAndAllElseGoesOn) {
+TEST(StateProcesses, WithoutAHelperWritesReplicateButAreNeverReportedDurable) {
     StateCluster state(3, 1, "directory = \"/proc/no-such-place/{name}\"\n");
     std::string ticket;
     ASSERT_TRUE(
@@ -464,7 +464,7 @@
     EXPECT_EQ(field(state.call(0, "self"), "kept"), "no");
 }
 
-TEST(StateProcesses, TheCommandsSayWhatStandsAndWhereTwoDiffer) {
+TEST(StateProcesses, CommandsShowEntriesAndDifferences) {
     StateCluster state(4);
     const auto run = [&](const std::string& words, std::size_t member, std::string& out) {
         // The loop must go on: it relays what the member has to say to others.
@@ -506,7 +506,7 @@
 /// Writes, deletions and faults from one seed. Keys of one writer each: what its last answered write said
 /// stands in the end. Keys of all: the copies are alike.
 class StateSchedules : public testing::TestWithParam<std::uint64_t> {};
-TEST_P(StateSchedules, EndAlikeWithAllThatWasAnswered) {
+TEST_P(StateSchedules, ConvergeWithAllAcknowledgedWrites) {
     const std::size_t members = from_environment("MARTENFORD_MEMBERS", 6);
     StateCluster state(members, GetParam());
     std::mt19937_64 random(GetParam());
