--- a/benchmarks/membership_benchmark.cpp
+++ b/benchmarks/membership_benchmark.cpp
@@ -13,7 +13,7 @@
 #include "config/config.h"
 #include "core/engine.h"
 #include "discovery/discovery.h"
-#include "http1/back.h"
+#include "http1/endpoint_client.h"
 #include "http1/protocol.h"
 #include "standins/usual_rules.h"
 
--- a/src/core/engine.h
+++ b/src/core/engine.h
@@ -9,11 +9,11 @@
 #include <unordered_map>
 #include <vector>
 
-#include "core/back.h"
+#include "core/endpoint_client.h"
 #include "core/observer.h"
 #include "core/policy.h"
+#include "core/request_counters.h"
 #include "core/scheduler.h"
-#include "core/tally.h"
 
 namespace martenford {
 
--- a/src/core/observer.h
+++ b/src/core/observer.h
@@ -3,8 +3,8 @@
 
 #include <cstddef>
 
+#include "core/request_counters.h"
 #include "core/scheduler.h"
-#include "core/tally.h"
 #include "martenford/decision/balancer.h"
 
 namespace martenford {
--- a/src/discovery/discovery.h
+++ b/src/discovery/discovery.h
@@ -11,9 +11,9 @@
 
 #include "config/config.h"
 #include "core/counters.h"
+#include "core/endpoint_table.h"
 #include "core/engine.h"
 #include "core/loop.h"
-#include "core/placement.h"
 #include "membership/membership.h"
 #include "membership/staleness.h"
 
--- a/src/http1/client_connection.h
+++ b/src/http1/client_connection.h
@@ -15,7 +15,7 @@
 
 #include "core/loop.h"
 #include "core/pipe.h"
-#include "core/tally.h"
+#include "core/request_counters.h"
 #include "http1/connection_record.h"
 #include "http1/held_answer.h"
 #include "http1/http.h"
--- a/src/http1/back.cpp
+++ b/src/http1/endpoint_client.cpp
@@ -1,4 +1,4 @@
-#include "http1/back.h"
+#include "http1/endpoint_client.h"
 
 #include <algorithm>
 #include <optional>
--- a/src/http1/back.h
+++ b/src/http1/endpoint_client.h
@@ -9,8 +9,8 @@
 #include <vector>
 
 #include "core/counters.h"
+#include "core/endpoint_table.h"
 #include "core/loop.h"
-#include "core/placement.h"
 #include "http1/http.h"
 
 namespace martenford {
--- a/src/http1/endpoint_connection.h
+++ b/src/http1/endpoint_connection.h
@@ -7,11 +7,11 @@
 #include <memory>
 #include <optional>
 
-#include "core/back.h"
+#include "core/endpoint_client.h"
 #include "core/loop.h"
 #include "core/pipe.h"
-#include "http1/back.h"
 #include "http1/connection_record.h"
+#include "http1/endpoint_client.h"
 #include "http1/exchange_record.h"
 #include "http1/http.h"
 
--- a/src/http1/http.h
+++ b/src/http1/http.h
@@ -20,7 +20,7 @@
 #include <string_view>
 #include <utility>
 
-#include "core/back.h"
+#include "core/endpoint_client.h"
 #include "core/pipe.h"
 
 namespace martenford {
--- a/src/ledger/recorder.h
+++ b/src/ledger/recorder.h
@@ -10,10 +10,10 @@
 #include <unordered_map>
 #include <vector>
 
-#include "core/back.h"
 #include "core/counters.h"
+#include "core/endpoint_client.h"
+#include "core/endpoint_table.h"
 #include "core/engine.h"
-#include "core/placement.h"
 #include "ledger/digest.h"
 #include "ledger/options.h"
 #include "ledger/writer_link.h"
--- a/src/proxy/upstream_updates.h
+++ b/src/proxy/upstream_updates.h
@@ -5,7 +5,7 @@
 #include <string>
 #include <vector>
 
-#include "core/placement.h"
+#include "core/endpoint_table.h"
 #include "outbound/outbound_policy.h"
 #include "outbound/upstream_table.h"
 #include "proxy/outbound_protocol.h"
--- a/src/telemetry/collector.h
+++ b/src/telemetry/collector.h
@@ -10,8 +10,8 @@
 #include <vector>
 
 #include "core/counters.h"
+#include "core/endpoint_table.h"
 #include "core/observer.h"
-#include "core/placement.h"
 #include "telemetry/causes.h"
 #include "telemetry/options.h"
 #include "telemetry/sketch.h"
--- a/tests/console/calls_test.cpp
+++ b/tests/console/calls_test.cpp
@@ -6,7 +6,7 @@
 #include <string>
 
 #include "console/statsd.h"
-#include "core/tally.h"
+#include "core/request_counters.h"
 
 namespace {
 
--- a/tests/mesh/hop_world.h
+++ b/tests/mesh/hop_world.h
@@ -6,9 +6,9 @@
 
 #include "bootstrap/settings.h"
 #include "core/engine.h"
-#include "core/tally.h"
+#include "core/request_counters.h"
 #include "hop_doubles.h"
-#include "http1/back.h"
+#include "http1/endpoint_client.h"
 #include "http1/listener.h"
 #include "proxy/inbound_protocol.h"
 #include "proxy/outbound_protocol.h"
