--- a/adapter/wire.cpp
+++ b/adapter/wire.cpp
@@ -15,10 +15,10 @@
 constexpr std::uint64_t kMostToken = std::uint64_t{1} << 63;
 
 RequestId need_request(const object& from) {
-    return RequestId{need_text(from, "request_id")};
+    return RequestId{require_string(from, "request_id")};
 }
 EndpointId need_endpoint(const object& from) {
-    return EndpointId{need_u32(from, "endpoint")};
+    return EndpointId{require_u32(from, "endpoint")};
 }
 
 Endpoint read_endpoint(const object& from) {
@@ -29,11 +29,11 @@
     result.cell = u32_or(from, "pack", 0);
     constexpr Availability kAvailability[] = {Availability::Gone, Availability::Ready,
                                               Availability::Draining};
-    result.availability = kAvailability[need_u32(from, "availability", 2)];
+    result.availability = kAvailability[require_u32(from, "availability", 2)];
     result.weight = number_or(from, "nominal", 1.0);
-    if (result.weight < 0.0) bad("field 'nominal' is out of range");
+    if (result.weight < 0.0) throw_field_error("field 'nominal' is out of range");
     if (find(from, "online_since")) {
-        if (const Time since = need_time(from, "online_since"); since != Time{}) result.started = since;
+        if (const Time since = require_time(from, "online_since"); since != Time{}) result.started = since;
     }
     return result;
 }
@@ -41,7 +41,7 @@
 Status read_status(const object& from) {
     constexpr Status kStatus[] = {Status::Error,         Status::Ok,    Status::Full,      Status::Timeout,
                                   Status::ConnectFailed, Status::Reset, Status::Cancelled, Status::NotSent};
-    return kStatus[need_u32(from, "ending", 7)];
+    return kStatus[require_u32(from, "ending", 7)];
 }
 
 std::optional<LoadReport> read_report(const object& from) {
@@ -61,13 +61,14 @@
 Request read_request(const object& from) {
     Request result;
     result.id = need_request(from);
-    result.class_index = need_u32(from, "priority");
-    result.deadline = need_time(from, "valid_until");
-    if (find(from, "party")) result.tenant = need_u32(from, "party");
-    result.write = flag_or(from, "mutates", false);
-    result.resent = flag_or(from, "resent", false);
+    result.class_index = require_u32(from, "priority");
+    result.deadline = require_time(from, "valid_until");
+    if (find(from, "party")) result.tenant = require_u32(from, "party");
+    result.write = bool_or(from, "mutates", false);
+    result.resent = bool_or(from, "resent", false);
     if (const auto key = find(from, "key")) result.key = to_unsigned(*key, "key", kMostKey);
-    if (const auto work = find(from, "cost_guess")) result.work = to_span(*work, "cost_guess");
+    if (const auto work = find(from, "cost_guess"))
+        result.work = to_nonnegative_duration(*work, "cost_guess");
     return result;
 }
 
@@ -79,15 +80,15 @@
     std::optional<State> before;  // so that a batch that fails changes nothing
     try {
         element root;
-        if (parser_.parse(line).get(root) != simdjson::SUCCESS) bad("not valid JSON");
+        if (parser_.parse(line).get(root) != simdjson::SUCCESS) throw_field_error("not valid JSON");
         const auto top = as<object>(root, "batch", "an object");
-        batch.round = to_unsigned(need(top, "round"), "round");
+        batch.round = to_unsigned(require(top, "round"), "round");
         place = "round " + std::to_string(batch.round);
-        batch.clock = need_time(top, "clock");
-        need(top, "events");
+        batch.clock = require_time(top, "clock");
+        require(top, "events");
         for (const element& item : elements(top, "events")) {
             const auto event = as<object>(item, "events", "an array of objects");
-            const std::string_view tag = need_text(event, "t");
+            const std::string_view tag = require_string(event, "t");
             place = "round " + std::to_string(batch.round) + ", message '" + std::string(tag) + "'";
             if (!before && (tag == "ledger" || tag == "provision" || tag == "stop")) before = state_;
             read_event(event, tag, state_, batch);
@@ -103,21 +104,21 @@
     if (tag == "ledger") {
         auto endpoints = std::make_shared<EndpointList>();
         List list;
-        need(event, "members_list");
+        require(event, "members_list");
         for (const element& entry : elements(event, "members_list")) {
             endpoints->push_back(read_endpoint(as<object>(entry, "members_list", "an array of objects")));
             list.most_zone = std::max(list.most_zone, endpoints->back().zone);
             list.most_kind = std::max(list.most_kind, endpoints->back().kind);
         }
         list.endpoints = std::move(endpoints);
-        state.lists[need_u32(event, "ref", kLists - 1)] = std::move(list);
+        state.lists[require_u32(event, "ref", kLists - 1)] = std::move(list);
         return;
     }
     Message message;
-    message.instance = need_u32(event, "sidecar_id");
+    message.instance = require_u32(event, "sidecar_id");
     if (tag == "provision") {
-        Provision provision{to_unsigned(need(event, "prng"), "prng"),
-                            read_settings(need_object(event, "settings"))};
+        Provision provision{to_unsigned(require(event, "prng"), "prng"),
+                            read_settings(require_object(event, "settings"))};
         const Settings& told = provision.settings;
         state.running.insert_or_assign(
             message.instance, Ranges{told.classes.size(), told.tenants.size(), told.zones, told.kinds});
@@ -126,52 +127,55 @@
         return;
     }
     const auto running = state.running.find(message.instance);
-    if (running == state.running.end()) bad("field 'sidecar_id' names no running instance");
+    if (running == state.running.end()) throw_field_error("field 'sidecar_id' names no running instance");
     const Ranges& ranges = running->second;
     if (tag == "ingress") {
         Request request = read_request(event);
-        if (request.class_index >= ranges.classes) bad("field 'priority' is out of range");
+        if (request.class_index >= ranges.classes) throw_field_error("field 'priority' is out of range");
         if (ranges.tenants == 0) request.tenant.reset();  // without tenants the field means nothing
-        if (request.tenant && *request.tenant >= ranges.tenants) bad("field 'party' is out of range");
+        if (request.tenant && *request.tenant >= ranges.tenants)
+            throw_field_error("field 'party' is out of range");
         message.body = Event{std::move(request)};
     } else if (tag == "completed") {
-        message.body = Event{Outcome{need_request(event), need_u32(event, "go"), need_endpoint(event),
-                                     read_status(event), need_span(event, "wait_time"),
-                                     flag_or(event, "last", false), read_report(event)}};
+        message.body = Event{Outcome{need_request(event), require_u32(event, "go"), need_endpoint(event),
+                                     read_status(event), require_duration(event, "wait_time"),
+                                     bool_or(event, "last", false), read_report(event)}};
     } else if (tag == "due") {
-        message.body = Event{TimerFired{to_unsigned(need(event, "label"), "label", kMostToken)}};
+        message.body = Event{TimerFired{to_unsigned(require(event, "label"), "label", kMostToken)}};
     } else if (tag == "lapsed") {
         message.body = Event{DeadlineExpired{need_request(event)}};
     } else if (tag == "first_byte") {
-        message.body = Event{FirstByte{need_request(event), need_u32(event, "go"), need_endpoint(event),
-                                       need_span(event, "wait_time")}};
+        message.body = Event{FirstByte{need_request(event), require_u32(event, "go"), need_endpoint(event),
+                                       require_duration(event, "wait_time")}};
     } else if (tag == "peers_known") {
         constexpr Discovered::Kind kKinds[] = {Discovered::Kind::Cached, Discovered::Kind::Full,
                                                Discovered::Kind::Failed, Discovered::Kind::Delta};
-        const std::uint32_t kind = need_u32(event, "kind", 4);
-        if (kind == 0) bad("field 'kind' is out of range");
+        const std::uint32_t kind = require_u32(event, "kind", 4);
+        if (kind == 0) throw_field_error("field 'kind' is out of range");
         Discovered news{kKinds[kind - 1], nullptr};
         if (news.kind != Discovered::Kind::Failed) {
-            const List& list = state.lists[need_u32(event, "ref", kLists - 1)];
-            if (!list.endpoints) bad("field 'ref' names a list that was never sent");
+            const List& list = state.lists[require_u32(event, "ref", kLists - 1)];
+            if (!list.endpoints) throw_field_error("field 'ref' names a list that was never sent");
             if (!list.endpoints->empty()) {
-                if (list.most_zone >= ranges.zones) bad("field 'ref': its list's 'locality' is out of range");
+                if (list.most_zone >= ranges.zones)
+                    throw_field_error("field 'ref': its list's 'locality' is out of range");
                 if (list.most_kind >= ranges.kinds)
-                    bad("field 'ref': its list's 'class_of_host' is out of range");
+                    throw_field_error("field 'ref': its list's 'class_of_host' is out of range");
             }
             news.endpoints = list.endpoints;
         }
         message.body = Event{std::move(news)};
     } else if (tag == "status_back") {
         message.body = Event{ProbeResult{need_endpoint(event), read_status(event),
-                                         need_span(event, "wait_time"), read_report(event)}};
+                                         require_duration(event, "wait_time"), read_report(event)}};
     } else if (tag == "note_from") {
-        message.body = Event{PeerMessage{need_u32(event, "src"), std::string(need_text(event, "msg"))}};
+        message.body =
+            Event{PeerMessage{require_u32(event, "src"), std::string(require_string(event, "msg"))}};
     } else if (tag == "stop") {
         state.running.erase(running);
         message.body = Stop{};
     } else {
-        bad("unknown message");
+        throw_field_error("unknown message");
     }
     batch.messages.push_back(std::move(message));
 }
--- a/benchmarks/fleet.h
+++ b/benchmarks/fleet.h
@@ -118,7 +118,7 @@
 
   private:
     inline static int started = 0;
-    martenford::Loop loop_;
+    martenford::EventLoop loop_;
     std::shared_ptr<martenford::emulator::SidecarProcess> process_;
 };
 
--- a/benchmarks/membership_benchmark.cpp
+++ b/benchmarks/membership_benchmark.cpp
@@ -62,8 +62,9 @@
         config.settings = settings();
         config.discovery = listener.local_endpoint();
         config.names = {{"a"}, {"m2"}};
-        back = std::make_unique<Http1Back>(loop, protocol, config.settings.limits, 500, 0, counters);
-        tally = std::make_unique<Tally>(counters, config.settings.classes);
+        back =
+            std::make_unique<Http1EndpointClient>(loop, protocol, config.settings.limits, 500, 0, counters);
+        tally = std::make_unique<RequestCounters>(counters, config.settings.classes);
         engine = std::make_unique<Engine>(loop, *back, config.settings.limits,
                                           make_policy(config.settings, 7, features, counters), *tally);
         discovery = std::make_unique<Discovery>(loop, *back, *engine, config,
@@ -91,11 +92,11 @@
         boost::asio::async_write(socket, boost::asio::buffer(answer), [](const auto&, std::size_t) {});
     }
     Counters counters;
-    Loop loop;
+    EventLoop loop;
     Config config;
     martenford::SidecarClientProtocol protocol;
-    std::unique_ptr<Http1Back> back;
-    std::unique_ptr<Tally> tally;
+    std::unique_ptr<Http1EndpointClient> back;
+    std::unique_ptr<RequestCounters> tally;
     std::unique_ptr<Engine> engine;
     std::unique_ptr<Discovery> discovery;
     boost::asio::ip::tcp::acceptor listener;
--- a/emulator/fleet_rig.cpp
+++ b/emulator/fleet_rig.cpp
@@ -112,7 +112,7 @@
 class FleetRig::Question : public std::enable_shared_from_this<FleetRig::Question> {
   public:
     using Done = std::function<void(std::optional<std::string>)>;
-    Question(Loop& loop, std::string call, Done done)
+    Question(EventLoop& loop, std::string call, Done done)
         : socket_(loop.io()),
           limit_(loop),
           loop_(loop),
@@ -150,13 +150,13 @@
     }
     asio::ip::tcp::socket socket_;
     Timer limit_;
-    Loop& loop_;
+    EventLoop& loop_;
     std::string call_, reply_;
     Done done_;
     std::array<char, 4096> chunk_{};
 };
 
-FleetRig::FleetRig(Loop& loop, Options options)
+FleetRig::FleetRig(EventLoop& loop, Options options)
     : loop_(loop),
       options_(std::move(options)),
       net_(loop, options_.seed),
--- a/emulator/fleet_rig.h
+++ b/emulator/fleet_rig.h
@@ -46,7 +46,7 @@
         bool done = false;  ///< a fault, and no belief
     };
 
-    FleetRig(Loop& loop, Options options);
+    FleetRig(EventLoop& loop, Options options);
     ~FleetRig();
 
     /// `name`: another than "n" and its number, as a copied configuration has.
@@ -111,7 +111,7 @@
     void take_turns(std::size_t member, const std::string& reply);
     void done(std::size_t member, const std::string& what);
 
-    Loop& loop_;
+    EventLoop& loop_;
     const Options options_;
     RelayNet net_;
     std::vector<Member> members_;
--- a/emulator/relay_net.cpp
+++ b/emulator/relay_net.cpp
@@ -37,7 +37,7 @@
 }  // namespace
 
 struct RelayNet::Member {
-    explicit Member(Loop& loop) : acceptor(loop.io()) {}
+    explicit Member(EventLoop& loop) : acceptor(loop.io()) {}
     asio::ip::tcp::acceptor acceptor;
     std::uint16_t port = 0;  // the relay's, kept over restarts
     Address target;
@@ -96,7 +96,7 @@
 
   private:
     struct Way {
-        Way(Loop& loop, std::size_t from, std::size_t to, Socket socket)
+        Way(EventLoop& loop, std::size_t from, std::size_t to, Socket socket)
             : from(from), to(to), socket(std::move(socket)), timer(loop) {}
         std::size_t from, to;
         Socket socket;  // of `from`
@@ -137,7 +137,7 @@
         const Time now = net_.loop_.now();
         way.reader.feed(bytes);
         while (const auto message = way.reader.next()) {
-            std::string frame = framing::frame_of(*message);
+            std::string frame = framing::encode_frame(*message);
             ++net_.frames_;
             net_.bytes_ += frame.size();
             if (faults.reset > 0.0 && net_.chance() < faults.reset) return end(true);
@@ -207,7 +207,7 @@
     bool over_ = false;
 };
 
-RelayNet::RelayNet(Loop& loop, std::uint64_t seed) : loop_(loop), random_(seed) {}
+RelayNet::RelayNet(EventLoop& loop, std::uint64_t seed) : loop_(loop), random_(seed) {}
 
 RelayNet::~RelayNet() {
     while (!wires_.empty()) (*wires_.begin())->end(true);
--- a/emulator/relay_net.h
+++ b/emulator/relay_net.h
@@ -30,7 +30,7 @@
 
 class RelayNet {
   public:
-    RelayNet(Loop& loop, std::uint64_t seed);
+    RelayNet(EventLoop& loop, std::uint64_t seed);
     ~RelayNet();
 
     /// Where this member is to listen (port 0) and what it is to advertise.
@@ -60,7 +60,7 @@
     Member& member(std::size_t index);
     double chance() { return static_cast<double>(random_() >> 11) * 0x1p-53; }
 
-    Loop& loop_;
+    EventLoop& loop_;
     std::mt19937_64 random_;
     std::map<std::size_t, std::unique_ptr<Member>> members_;
     std::map<std::pair<std::size_t, std::size_t>, LinkFaults> faults_;
--- a/emulator/scenario.cpp
+++ b/emulator/scenario.cpp
@@ -95,49 +95,49 @@
 
 ClassSpec read_class(Table& from) {
     ClassSpec result;
-    from.text("name", result.name, true);
+    from.string("name", result.name, true);
     if (result.name.empty() ||
         result.name.find_first_not_of("abcdefghijklmnopqrstuvwxyz0123456789-_") != std::string::npos) {
         from.fail("'name' of a class must be of small letters, digits, '-' and '_'");
     }
     from.number("share", result.share, 0.0, 1e6);
-    from.need("work");
-    from.span("work", result.work);
-    from.word("shape", result.shape,
-              {{"fixed", ClassSpec::Shape::Fixed},
-               {"exponential", ClassSpec::Shape::Exponential},
-               {"lognormal", ClassSpec::Shape::Lognormal}});
+    from.require("work");
+    from.duration("work", result.work);
+    from.choice("shape", result.shape,
+                {{"fixed", ClassSpec::Shape::Fixed},
+                 {"exponential", ClassSpec::Shape::Exponential},
+                 {"lognormal", ClassSpec::Shape::Lognormal}});
     from.number("spread", result.spread, 0.0, 10.0);
-    from.need("aim");
-    from.span("aim", result.aim, true);
-    from.need("deadline");
-    from.span("deadline", result.deadline, true);
+    from.require("aim");
+    from.duration("aim", result.aim, true);
+    from.require("deadline");
+    from.duration("deadline", result.deadline, true);
     if (result.deadline < result.aim) from.fail("'deadline' lies before 'aim'");
     from.number("worth", result.worth, 0.0, 1e6);
     from.number("late_worth", result.late_worth, 0.0, 1.0);
-    from.need("effect");
-    from.word("effect", result.effect,
-              {{"safe", decision::Effect::Free},
-               {"keyed", decision::Effect::Guarded},
-               {"unsafe", decision::Effect::SingleShot}});
-    from.span("window", result.window, true);
+    from.require("effect");
+    from.choice("effect", result.effect,
+                {{"safe", decision::Effect::Free},
+                 {"keyed", decision::Effect::Guarded},
+                 {"unsafe", decision::Effect::SingleShot}});
+    from.duration("window", result.window, true);
     if (result.effect == decision::Effect::Guarded && result.window == Duration{}) {
         from.fail("a keyed class needs 'window'");
     }
-    from.end();
+    from.reject_unknown_fields();
     return result;
 }
 
 TierSpec read_tier(Table& from) {
     TierSpec result;
     EndpointTraits& traits = result.traits;
-    from.text("name", result.name, true);
+    from.string("name", result.name, true);
     if (result.name.empty() || result.name.find_first_of("/ ") != std::string::npos ||
         result.name == "sidecars") {
         from.fail("'name' of a tier must be one word without '/', and not \"sidecars\"");
     }
-    from.whole("endpoints", result.endpoints, 1, kMostEndpoints);
-    from.whole("pod", result.pod, 1, kMostEndpoints);
+    from.integer("endpoints", result.endpoints, 1, kMostEndpoints);
+    from.integer("pod", result.pod, 1, kMostEndpoints);
     from.number("work", result.work, 0.0, kMostWork);
     if (const auto* node = from.find("calls")) {
         const auto* array = node->as_array();
@@ -156,61 +156,61 @@
     from.number("cores", traits.cores, 0.01, 1024.0);
     from.number("speed", traits.speed, 0.001, 1000.0);
     from.number("speed_spread", result.speed_spread, 0.0, 0.95);
-    from.whole("slots", traits.slots, 1, kMostSlots);
-    from.whole("queue", traits.queue, 0, kMostSlots);
+    from.integer("slots", traits.slots, 1, kMostSlots);
+    from.integer("queue", traits.queue, 0, kMostSlots);
     from.number("cold_from", traits.cold_from, 0.01, 1.0);
-    from.span("warm_up", traits.warm_up);
+    from.duration("warm_up", traits.warm_up);
     if (auto thrash = from.table("thrash")) {
         traits.thrash_at = 1;
-        thrash->whole("above", traits.thrash_at, 1, kMostSlots);
-        thrash->span("after", traits.thrash_after);
+        thrash->integer("above", traits.thrash_at, 1, kMostSlots);
+        thrash->duration("after", traits.thrash_after);
         traits.thrash_slower = 2.0;
         thrash->number("slower", traits.thrash_slower, 1.0, 1000.0);
         traits.thrash_rest = 3s;
-        thrash->span("rest", traits.thrash_rest, true);
-        thrash->whole("rest_at", traits.thrash_rest_at, 0, kMostSlots);
-        thrash->span("most", traits.thrash_most);
-        thrash->end();
+        thrash->duration("rest", traits.thrash_rest, true);
+        thrash->integer("rest_at", traits.thrash_rest_at, 0, kMostSlots);
+        thrash->duration("most", traits.thrash_most);
+        thrash->reject_unknown_fields();
     }
-    from.word(
+    from.choice(
         "cancel", traits.cancel,
         {{"nothing", CancelReach::Nothing}, {"waiting", CancelReach::Waiting}, {"all", CancelReach::All}});
-    from.flag("drops_expired", traits.drops_expired);
-    from.whole("connections", traits.connections, 1, kMostSlots);
-    from.span("connection_cost", traits.connection_cost);
-    from.end();
+    from.boolean("drops_expired", traits.drops_expired);
+    from.integer("connections", traits.connections, 1, kMostSlots);
+    from.duration("connection_cost", traits.connection_cost);
+    from.reject_unknown_fields();
     return result;
 }
 
 ClientsSpec read_clients(Table& from) {
     ClientsSpec result;
     from.number("rate", result.rate, 0.001, kMostRate);
-    from.word("arrivals", result.arrivals,
-              {{"poisson", ClientsSpec::Arrivals::Poisson}, {"even", ClientsSpec::Arrivals::Even}});
-    from.whole("retries", result.retries, 0, 10);
-    from.span("backoff", result.backoff);
+    from.choice("arrivals", result.arrivals,
+                {{"poisson", ClientsSpec::Arrivals::Poisson}, {"even", ClientsSpec::Arrivals::Even}});
+    from.integer("retries", result.retries, 0, 10);
+    from.duration("backoff", result.backoff);
     from.number("give_up", result.give_up, 0.01, 1.0);
     from.number("impatient", result.impatient, 0.0, 1.0);
-    from.whole("most", result.most, 0, 100'000'000);
-    from.end();
+    from.integer("most", result.most, 0, 100'000'000);
+    from.reject_unknown_fields();
     return result;
 }
 
 SidecarSpec read_sidecars(Table& from) {
     SidecarSpec result;
-    from.whole("count", result.count, 1, kMostSidecars);
-    from.whole("max_attempts", result.max_attempts, 1, 10);
-    from.flag("may_cancel", result.may_cancel);
-    from.flag("probing", result.probing);
-    from.flag("second_copies", result.second_copies);
-    from.flag("retry_after", result.retry_after);
-    from.flag("passes_deadline", result.passes_deadline);
-    from.span("ask_every", result.ask_every, true);
-    from.span("drain_grace", result.drain_grace, true);
+    from.integer("count", result.count, 1, kMostSidecars);
+    from.integer("max_attempts", result.max_attempts, 1, 10);
+    from.boolean("may_cancel", result.may_cancel);
+    from.boolean("probing", result.probing);
+    from.boolean("second_copies", result.second_copies);
+    from.boolean("retry_after", result.retry_after);
+    from.boolean("passes_deadline", result.passes_deadline);
+    from.duration("ask_every", result.ask_every, true);
+    from.duration("drain_grace", result.drain_grace, true);
     from.number("fall_multiple", result.fall_multiple, 0.1, 1000.0);
-    from.span("tip_after", result.tip_after, true);
-    from.span("front_notice", result.front_notice);
-    from.text("own", result.own);
+    from.duration("tip_after", result.tip_after, true);
+    from.duration("front_notice", result.front_notice);
+    from.string("own", result.own);
     if (!result.own.empty()) {
         try {
             result.features = read_features(result.own, "own");
@@ -218,7 +218,7 @@
             from.reader().fail(*from.find("own"), error.what());
         }
     }
-    from.end();
+    from.reject_unknown_fields();
     return result;
 }
 
@@ -458,21 +458,21 @@
 
 EventSpec read_event(Table& from, const Scenario& scenario) {
     EventSpec result;
-    from.need("at");
-    from.span("at", result.at);
+    from.require("at");
+    from.duration("at", result.at);
     if (result.at > scenario.length) from.fail("'at' lies after the end of the scenario");
     if (const auto* on = from.find("on")) {
         Words words(from.reader(), *on, "on");
         result.on = read_target(words, scenario, result.at);
     }
-    Words words(from.reader(), from.need("do"), "do");
+    Words words(from.reader(), from.require("do"), "do");
     read_action(words, result);
     if (result.verb == Verb::Links && !scenario.sidecars.fleet) {
         words.rewind();
         words.fail("there are no links without [fleet]");
     }
     result.text = words.text();
-    from.end();
+    from.reject_unknown_fields();
     return result;
 }
 
@@ -549,13 +549,13 @@
 Scenario read_all(const Reader& reader, const toml::table& root) {
     Scenario result;
     Table top(reader, root, "the scenario");
-    top.text("name", result.name, true);
-    top.text("about", result.about);
-    top.whole("seed", result.seed, 0, std::numeric_limits<std::int64_t>::max());
-    top.whole("zones", result.zones, 1, 26);
-    top.need("length");
-    top.span("length", result.length, true);
-    top.flag("timing_proof", result.timing_proof);
+    top.string("name", result.name, true);
+    top.string("about", result.about);
+    top.integer("seed", result.seed, 0, std::numeric_limits<std::int64_t>::max());
+    top.integer("zones", result.zones, 1, 26);
+    top.require("length");
+    top.duration("length", result.length, true);
+    top.boolean("timing_proof", result.timing_proof);
     top.number("sockets_within", result.sockets_within, 0.0, 1.0);
 
     for (Table& table : top.tables("class")) result.classes.push_back(read_class(table));
@@ -583,31 +583,31 @@
     if (auto table = top.table("sidecars")) result.sidecars = read_sidecars(*table);
     if (auto table = top.table("fleet")) {
         result.sidecars.fleet = true;
-        table->text("fields", result.sidecars.fleet_fields);
-        table->end();
+        table->string("fields", result.sidecars.fleet_fields);
+        table->reject_unknown_fields();
     }
     if (auto table = top.table("discovery")) {
-        table->word("mode", result.discovery.ask, {{"ask", true}, {"push", false}});
-        table->span("notice", result.discovery.notice);
-        table->span("silent_notice", result.discovery.silent_notice);
-        table->span("spread", result.discovery.spread);
-        table->end();
+        table->choice("mode", result.discovery.ask, {{"ask", true}, {"push", false}});
+        table->duration("notice", result.discovery.notice);
+        table->duration("silent_notice", result.discovery.silent_notice);
+        table->duration("spread", result.discovery.spread);
+        table->reject_unknown_fields();
     }
     if (auto table = top.table("network")) {
-        table->span("delay", result.network.delay);
-        table->span("connect_timeout", result.network.connect_timeout, true);
-        table->span("idle", result.network.idle, true);
-        table->end();
+        table->duration("delay", result.network.delay);
+        table->duration("connect_timeout", result.network.connect_timeout, true);
+        table->duration("idle", result.network.idle, true);
+        table->reject_unknown_fields();
     }
     for (Table& table : top.tables("load")) {
         LoadPoint point;
-        table.need("at");
-        table.span("at", point.at);
-        table.need("x");
+        table.require("at");
+        table.duration("at", point.at);
+        table.require("x");
         table.number("x", point.factor, 0.0, 1000.0);
         if (!result.load.empty() && point.at < result.load.back().at)
             table.fail("the points of 'load' must be in order");
-        table.end();
+        table.reject_unknown_fields();
         result.load.push_back(point);
     }
     for (Table& table : top.tables("event")) result.events.push_back(read_event(table, result));
@@ -618,7 +618,7 @@
         Words words(reader, *node, "expect");
         result.expect.push_back(read_expectation(words, result));
     }
-    top.end();
+    top.reject_unknown_fields();
     return result;
 }
 
@@ -638,7 +638,7 @@
 }
 
 Scenario read_scenario(std::string_view text, const std::string& file) {
-    return with_toml(text, file, read_all);
+    return parse_toml(text, file, read_all);
 }
 
 Scenario load_scenario(const std::string& path) {
--- a/emulator/sidecar_process.cpp
+++ b/emulator/sidecar_process.cpp
@@ -47,10 +47,10 @@
 
 }  // namespace
 
-SidecarProcess::SidecarProcess(Loop& loop, std::string config_path, Line line)
+SidecarProcess::SidecarProcess(EventLoop& loop, std::string config_path, Line line)
     : loop_(loop), config_path_(std::move(config_path)), line_(std::move(line)), log_(loop.io()) {}
 
-std::shared_ptr<SidecarProcess> SidecarProcess::start(Loop& loop, const std::string& program,
+std::shared_ptr<SidecarProcess> SidecarProcess::start(EventLoop& loop, const std::string& program,
                                                       const std::string& folder, const std::string& name,
                                                       const std::string& config, const std::string& own,
                                                       Line line, const std::string& directory) {
--- a/emulator/sidecar_process.h
+++ b/emulator/sidecar_process.h
@@ -22,11 +22,11 @@
     /// is not empty; `line` gets each line of its log. `directory`: its TMPDIR, where it finds an earlier
     /// process of its name and hands over to a later one; empty: it has none. Throws std::runtime_error where
     /// that fails.
-    static std::shared_ptr<SidecarProcess> start(Loop& loop, const std::string& program,
+    static std::shared_ptr<SidecarProcess> start(EventLoop& loop, const std::string& program,
                                                  const std::string& folder, const std::string& name,
                                                  const std::string& config, const std::string& own, Line line,
                                                  const std::string& directory = {});
-    SidecarProcess(Loop& loop, std::string config_path, Line line);
+    SidecarProcess(EventLoop& loop, std::string config_path, Line line);
     ~SidecarProcess();
     SidecarProcess(const SidecarProcess&) = delete;
     SidecarProcess& operator=(const SidecarProcess&) = delete;
@@ -56,7 +56,7 @@
     void take(const std::string& line);
     void signal(int number) const;
 
-    Loop& loop_;
+    EventLoop& loop_;
     std::string config_path_, own_path_;
     Line line_;
     pid_t pid_ = 0;
--- a/emulator/socket_peers.cpp
+++ b/emulator/socket_peers.cpp
@@ -19,7 +19,7 @@
 constexpr std::int64_t kMostWatchMs = 60'000;  // the platform's protocol
 constexpr const char* kNoise = "\x16\x03\x01 this is no answer \x00\x7f\r\n\x02";
 
-std::optional<std::int64_t> whole_number(std::string_view text) {
+std::optional<std::int64_t> parse_integer(std::string_view text) {
     std::int64_t value = 0;
     const char* end = text.data() + text.size();
     const auto [stop, fault] = std::from_chars(text.data(), end, value);
@@ -39,7 +39,7 @@
         const auto part = rest.substr(0, rest.find('&'));
         const auto equals = part.find('=');
         if (equals != std::string_view::npos && part.substr(0, equals) == name)
-            return whole_number(part.substr(equals + 1));
+            return parse_integer(part.substr(equals + 1));
         rest.remove_prefix(part.size());
     }
     return std::nullopt;
@@ -123,7 +123,7 @@
         AttemptSpec spec;
         spec.id = std::string(request["X-Request-ID"]);
         spec.node = node_;
-        spec.timeout = std::chrono::milliseconds(whole_number(view(request["X-Timeout-Ms"])).value_or(1));
+        spec.timeout = std::chrono::milliseconds(parse_integer(view(request["X-Timeout-Ms"])).value_or(1));
         spec.first_byte = first_byte_;
         spec.fresh = !std::exchange(used_, true);
         spec.over_cap = over_cap_;
@@ -208,7 +208,7 @@
 
     EndpointServer* server_;
     World& world_;
-    Loop& loop_;
+    EventLoop& loop_;
     std::uint32_t node_;
     tcp::socket socket_;
     boost::beast::flat_buffer buffer_;
@@ -220,7 +220,7 @@
     bool over_cap_ = false, used_ = false, waiting_ = false, closed_ = false;
 };
 
-EndpointServer::EndpointServer(Loop& loop, World& world, std::uint32_t node, const tcp::endpoint& where)
+EndpointServer::EndpointServer(EventLoop& loop, World& world, std::uint32_t node, const tcp::endpoint& where)
     : loop_(loop), world_(world), node_(node), acceptor_(loop.io(), where) {
     acceptor_.listen();
     accept();
@@ -369,7 +369,7 @@
     bool asking_ = false, closed_ = false;
 };
 
-DiscoveryServer::DiscoveryServer(Loop& loop, World& world, std::uint32_t sidecar)
+DiscoveryServer::DiscoveryServer(EventLoop& loop, World& world, std::uint32_t sidecar)
     : loop_(loop),
       world_(world),
       sidecar_(sidecar),
--- a/emulator/socket_peers.h
+++ b/emulator/socket_peers.h
@@ -28,7 +28,7 @@
 class EndpointServer {
   public:
     /// At `where`; port 0: any that is free. Throws boost::system::system_error.
-    EndpointServer(Loop& loop, World& world, std::uint32_t node, const tcp::endpoint& where);
+    EndpointServer(EventLoop& loop, World& world, std::uint32_t node, const tcp::endpoint& where);
     ~EndpointServer();
     tcp::endpoint address() const { return acceptor_.local_endpoint(); }
     /// Resets what is open and refuses what is new.
@@ -40,7 +40,7 @@
     class Connection;
     void accept();
 
-    Loop& loop_;
+    EventLoop& loop_;
     World& world_;
     std::uint32_t node_;
     bool cut_ = false;
@@ -51,7 +51,7 @@
 /// Discovery for one sidecar: GET /api/targets, with and without a watch.
 class DiscoveryServer {
   public:
-    DiscoveryServer(Loop& loop, World& world, std::uint32_t sidecar);
+    DiscoveryServer(EventLoop& loop, World& world, std::uint32_t sidecar);
     ~DiscoveryServer();
     tcp::endpoint address() const { return address_; }
     /// Takes no new connection; what is open goes on until the server goes.
@@ -61,7 +61,7 @@
     class Connection;
     void accept();
 
-    Loop& loop_;
+    EventLoop& loop_;
     World& world_;
     std::uint32_t sidecar_;
     tcp::acceptor acceptor_;
@@ -73,7 +73,7 @@
 class CallerPool {
   public:
     using Done = std::function<void(CallAnswer&&)>;
-    explicit CallerPool(Loop& loop) : loop_(loop) {}
+    explicit CallerPool(EventLoop& loop) : loop_(loop) {}
     ~CallerPool();
     /// Where the sidecar is; connections to another place are forgotten.
     void point_at(const tcp::endpoint& where);
@@ -85,7 +85,7 @@
     class Connection;
     std::shared_ptr<Connection> connect();
 
-    Loop& loop_;
+    EventLoop& loop_;
     tcp::endpoint where_;
     std::vector<std::shared_ptr<Connection>> idle_;
     std::map<std::uint64_t, std::shared_ptr<Connection>> busy_;
--- a/emulator/socket_transport.cpp
+++ b/emulator/socket_transport.cpp
@@ -62,7 +62,7 @@
 
 class SocketTransport : public Transport {
   public:
-    SocketTransport(Loop& loop, World& world, const SocketPlayOptions& options)
+    SocketTransport(EventLoop& loop, World& world, const SocketPlayOptions& options)
         : loop_(loop), world_(world), options_(options), net_(loop, world.seed()) {}
 
     void node_up(std::uint32_t node) override {
@@ -265,7 +265,7 @@
         return root.dump();
     }
 
-    Loop& loop_;
+    EventLoop& loop_;
     World& world_;
     const SocketPlayOptions& options_;
     RelayNet net_;
@@ -283,7 +283,7 @@
 
 Report play_sockets(const Scenario& scenario, std::uint64_t seed, const SocketPlayOptions& options) {
     raise_descriptor_limit();
-    Loop loop;
+    EventLoop loop;
     World::Options world_options;
     world_options.seed = seed;
     world_options.mode = "sockets";
--- a/emulator/virtual_transport.cpp
+++ b/emulator/virtual_transport.cpp
@@ -48,18 +48,18 @@
 
 /// A connection from a sidecar to an endpoint, and the attempt that it carries. Lives as long as its pool or
 /// the attempt holds it.
-class VirtualTransport::Connection : public Back::Attempt,
+class VirtualTransport::Connection : public EndpointClient::Attempt,
                                      public std::enable_shared_from_this<VirtualTransport::Connection> {
   public:
     enum class Stage { Connecting, Waiting, Idle, Closed };
 
     Connection(VirtualTransport& transport, Instance& owner, EndpointId endpoint, std::uint32_t node);
-    void send(std::string id, Time end, Back::Done done);
+    void send(std::string id, Time end, EndpointClient::Done done);
     void cancel() override { finish(Status::Cancelled); }
-    void withdraw_unwritten() override {
+    void withdraw_if_unsent() override {
         if (stage_ == Stage::Connecting) finish(Status::NotSent);
     }
-    void end_at(Time end) override {
+    void set_deadline(Time end) override {
         end_at_ = end;
         end_.set(end, [self = shared_from_this()] {
             self->finish(self->stage_ == Stage::Connecting ? Status::ConnectFailed : Status::Timeout);
@@ -91,13 +91,13 @@
     bool counted_ = false, over_cap_ = false, fresh_ = true, resetting_ = false;
     std::string id_;
     Time end_at_{}, written_{};
-    Back::Done done_;
+    EndpointClient::Done done_;
     std::uint64_t attempt_ = 0, turn_ = 0;  // the turn tells one request on it from the next
     Timer end_, limit_;
 };
 
 /// One running sidecar: engine, pools and discovery.
-class VirtualTransport::Instance : public Back {
+class VirtualTransport::Instance : public EndpointClient {
   public:
     Instance(VirtualTransport& transport, const World::Sidecar& sidecar, const decision::Settings& settings,
              std::uint64_t seed)
@@ -135,27 +135,27 @@
         decision::Request request;
         request.id = spec.id;
         request.class_index = spec.class_index;
-        request.deadline = time_.now() + spec.timeout - kOnTheWay;
+        request.deadline = time_.now() + spec.timeout - kResponseTransitTime;
         request.write = settings_.classes[spec.class_index].effect != decision::Effect::Free;
         request.resent = spec.retried;
         request.key = mix(0, spec.key);
-        engine_.take(std::move(request), std::make_shared<NamedMessage>(spec.id),
-                     [this, call](Answer&& answer) {
-                         if (transport_.options_.lose_every > 0 &&
-                             ++transport_.replies_ % transport_.options_.lose_every == 0)
-                             return;
-                         CallAnswer out;
-                         out.kind = answer.kind == Answer::Kind::Served    ? CallAnswer::Kind::Served
-                                    : answer.kind == Answer::Kind::Refused ? CallAnswer::Kind::Refused
-                                                                           : CallAnswer::Kind::Failed;
-                         out.body = std::move(answer.body);
-                         transport_.after(transport_.delay_,
-                                          [&transport = transport_, call, out = std::move(out)]() mutable {
-                                              transport.answer(call, std::move(out));
-                                          });
-                     });
+        engine_.submit(std::move(request), std::make_shared<NamedMessage>(spec.id),
+                       [this, call](Answer&& answer) {
+                           if (transport_.options_.lose_every > 0 &&
+                               ++transport_.replies_ % transport_.options_.lose_every == 0)
+                               return;
+                           CallAnswer out;
+                           out.kind = answer.kind == Answer::Kind::Served    ? CallAnswer::Kind::Served
+                                      : answer.kind == Answer::Kind::Refused ? CallAnswer::Kind::Refused
+                                                                             : CallAnswer::Kind::Failed;
+                           out.body = std::move(answer.body);
+                           transport_.after(transport_.delay_,
+                                            [&transport = transport_, call, out = std::move(out)]() mutable {
+                                                transport.answer(call, std::move(out));
+                                            });
+                       });
     }
-    void leave(const std::string& id) { engine_.leave(id); }
+    void leave(const std::string& id) { engine_.client_disconnected(id); }
     bool ready() const { return membership_.knows_any(); }
 
     // ---- the back
@@ -170,7 +170,7 @@
             done(Result{state.up && !state.cut ? Status::Ok : Status::ConnectFailed});
         });
     }
-    void shut_idle(EndpointId id) override {
+    void close_idle_connections(EndpointId id) override {
         const auto pool = pools_.find(id);
         if (pool == pools_.end()) return;
         for (const auto& connection : std::exchange(pool->second.idle, {})) connection->close();
@@ -244,7 +244,7 @@
     void failed() {
         watching_ = false;
         ++turn_;
-        if (settings_.subscribe) return engine_.tell({Discovered::Kind::Failed, nullptr});
+        if (settings_.subscribe) return engine_.handle_discovery({Discovered::Kind::Failed, nullptr});
         again_.set(time_.now() + kAgent, [this] { subscribe(); });
     }
     void arrived(const ListAnswer& list) {
@@ -270,17 +270,17 @@
     }
     void apply(Membership::Update&& update) {
         for (const EndpointId id : update.removed) {
-            shut_idle(id);
+            close_idle_connections(id);
             pools_.erase(id);
         }
         for (const auto& [id, address, is_ready, uid] : update.placed) {
             Pool& pool = pools_[id];
             const std::uint32_t node = node_at(address);
-            if (!is_ready || pool.node != node) shut_idle(id);
+            if (!is_ready || pool.node != node) close_idle_connections(id);
             pool.node = node;
             pool.ready = is_ready;
         }
-        if (update.news.kind != Discovered::Kind::Failed) engine_.tell(std::move(update.news));
+        if (update.news.kind != Discovered::Kind::Failed) engine_.handle_discovery(std::move(update.news));
         if (update.ask_whole) whole_ = true;
         if (const auto due = membership_.next_due()) {
             doubt_.set(*due, [this] { apply(membership_.believe(time_.now())); });
@@ -298,7 +298,7 @@
     std::unordered_map<EndpointId, Pool> pools_;
     std::map<std::uint64_t, std::shared_ptr<Connection>> live_;  // by number
     Counters counters_;
-    Tally tally_{counters_, settings_.classes};
+    RequestCounters tally_{counters_, settings_.classes};
     Registry::WatchId watch_ = 0;
     std::uint64_t turn_ = 0;
     bool watching_ = false, gone_ = false, whole_ = false;
@@ -320,12 +320,12 @@
       end_(owner.time()),
       limit_(owner.time()) {}
 
-void VirtualTransport::Connection::send(std::string id, Time end, Back::Done done) {
+void VirtualTransport::Connection::send(std::string id, Time end, EndpointClient::Done done) {
     id_ = std::move(id);
     done_ = std::move(done);
     ++turn_;
     limit_.cancel();
-    end_at(end);
+    set_deadline(end);
     if (stage_ == Stage::Idle) return write();
     owner_->live_.emplace(number_, shared_from_this());
     const Time now = transport_.scheduler_.now();
@@ -400,8 +400,8 @@
     end_.cancel();
     const auto self = shared_from_this();
     auto done = std::exchange(done_, nullptr);
-    result.kept = !over_cap_ && owner_->keeps(*this);
-    if (result.kept) {
+    result.connection_reusable = !over_cap_ && owner_->keeps(*this);
+    if (result.connection_reusable) {
         stage_ = Stage::Idle;
         idle_since = transport_.scheduler_.now();
         owner_->put_back(self);
@@ -413,7 +413,7 @@
 }
 
 void VirtualTransport::Connection::idle_for(Time since) {
-    const Duration most = decision::scaled(transport_.world_.scenario().network.idle, kIdleShare);
+    const Duration most = decision::scaled(transport_.world_.scenario().network.idle, kIdleTimeoutShare);
     limit_.set(since + most, [self = shared_from_this()] {
         if (self->stage_ != Stage::Idle) return;
         self->owner_->forget_idle(*self);
@@ -464,8 +464,8 @@
     });
 }
 
-Back::Handle VirtualTransport::Instance::send(EndpointId id, std::shared_ptr<const Message> message, Time end,
-                                              Done done) {
+EndpointClient::Handle VirtualTransport::Instance::send(EndpointId id, std::shared_ptr<const Message> message,
+                                                        Time end, Done done) {
     const auto pool = pools_.find(id);
     if (gone_ || pool == pools_.end()) {
         done(Result{Status::NotSent});
--- a/src/assembly/features.cpp
+++ b/src/assembly/features.cpp
@@ -17,22 +17,22 @@
 
 subset::Options read_subset(Table& from) {
     subset::Options result;
-    from.whole("width", result.width, 1, kMostWidth);
+    from.integer("width", result.width, 1, kMostWidth);
     result.most_width = std::min<std::size_t>(result.width * 8, kMostWidth);
-    from.whole("most_width", result.most_width, 1, kMostWidth);
+    from.integer("most_width", result.most_width, 1, kMostWidth);
     if (result.most_width < result.width) from.fail("'most_width' is less than 'width'");
-    from.end();
+    from.reject_unknown_fields();
     return result;
 }
 
 outlier::Options read_outliers(Table& from) {
     outlier::Options result;
-    from.whole("failures", result.failures, 1, 1000);
-    from.span("apart", result.apart, true);
-    from.span("eject_for", result.eject_for, true);
-    from.span("eject_most", result.eject_most, true);
+    from.integer("failures", result.failures, 1, 1000);
+    from.duration("apart", result.apart, true);
+    from.duration("eject_for", result.eject_for, true);
+    from.duration("eject_most", result.eject_most, true);
     from.number("most_share", result.most_share, 0.0, 1.0);
-    from.end();
+    from.reject_unknown_fields();
     return result;
 }
 
@@ -40,46 +40,47 @@
 constexpr Duration kMostHold = 10s;
 
 ledger::ClassOptions read_promise(Table& from, ledger::ClassOptions result) {
-    from.word("level", result.level,
-              {{"off", ledger::Level::Off},
-               {"async", ledger::Level::Async},
-               {"group", ledger::Level::Group},
-               {"sync", ledger::Level::Sync}});
-    from.word("outage", result.outage, {{"refuse", ledger::Outage::Refuse}, {"go-on", ledger::Outage::GoOn}});
+    from.choice("level", result.level,
+                {{"off", ledger::Level::Off},
+                 {"async", ledger::Level::Async},
+                 {"group", ledger::Level::Group},
+                 {"sync", ledger::Level::Sync}});
+    from.choice("outage", result.outage,
+                {{"refuse", ledger::Outage::Refuse}, {"go-on", ledger::Outage::GoOn}});
     return result;
 }
 
 ledger::Options read_ledger(Table& from) {
     ledger::Options result;
-    from.text("directory", result.directory, true);
+    from.string("directory", result.directory, true);
     if (result.directory.empty()) from.fail("'directory' is empty");
-    from.text("helper", result.helper);
-    from.text("digest_key", result.key_file);
-    from.span("hold", result.hold, true);
+    from.string("helper", result.helper);
+    from.string("digest_key", result.key_file);
+    from.duration("hold", result.hold, true);
     if (result.hold > kMostHold) from.fail("'hold' is over 10s: no request waits for so long");
     result.unsafe = read_promise(from, result.unsafe);
     std::uint64_t megabytes = 0;
-    from.whole("most_mb", megabytes, 1, kMostMegabytes);
+    from.integer("most_mb", megabytes, 1, kMostMegabytes);
     result.most_bytes = megabytes << 20;
-    from.whole("batch_records", result.batch.most_records, 1, 100'000);
-    from.span("batch_delay", result.batch.delay);
+    from.integer("batch_records", result.batch.most_records, 1, 100'000);
+    from.duration("batch_delay", result.batch.delay);
     if (result.batch.delay >= result.hold) from.fail("'batch_delay' is not below 'hold'");
-    from.whole("queue_records", result.queue.most_records, 100, 10'000'000);
-    from.span("ack_within", result.queue.ack_within, true);
+    from.integer("queue_records", result.queue.most_records, 100, 10'000'000);
+    from.duration("ack_within", result.queue.ack_within, true);
     std::int64_t days = 30, archive_days = 400;
-    from.whole("keep_days", days, 1, 36'500);
-    from.whole("keep_archive_days", archive_days, 1, 36'500);
+    from.integer("keep_days", days, 1, 36'500);
+    from.integer("keep_archive_days", archive_days, 1, 36'500);
     if (archive_days < days) from.fail("'keep_archive_days' is less than 'keep_days'");
     result.keep = std::chrono::hours(24 * days);
     result.keep_archives = std::chrono::hours(24 * archive_days);
     for (Table& each : from.tables("class")) {
         std::string name;
-        each.text("name", name, true);
+        each.string("name", name, true);
         const auto promise = read_promise(each, result.unsafe);
         if (!result.classes.emplace(name, promise).second) each.fail("class '" + name + "' stands twice");
-        each.end();
+        each.reject_unknown_fields();
     }
-    from.end();
+    from.reject_unknown_fields();
     return result;
 }
 
@@ -101,42 +102,42 @@
 }
 
 void read_address(Table& from, std::string_view key, std::string& into, bool needed) {
-    from.text(key, into, needed);
+    from.string(key, into, needed);
     if (!into.empty() && !parse_address(into))
-        from.reader().fail(from.need(key),
+        from.reader().fail(from.require(key),
                            fmt::format("'{}' must be an address such as \"10.0.0.4:7400\"", key));
 }
 
 fleet::Options read_fleet(Table& from) {
     fleet::Options result;
-    from.text("name", result.name, true);
+    from.string("name", result.name, true);
     if (result.name.empty() || result.name.size() > kMostFleetName ||
         result.name.find_first_of(" \t\r\n") != std::string::npos)
-        from.reader().fail(from.need("name"),
+        from.reader().fail(from.require("name"),
                            fmt::format("'name' must have 1 to {} bytes and no blanks", kMostFleetName));
     read_address(from, "listen", result.listen, true);
     read_address(from, "advertise", result.advertise, false);
     result.seeds = read_addresses(from, "seeds", false);
     result.permitted = read_addresses(from, "permitted", true);
-    from.whole("links", result.most_links, 4, 4096);
+    from.integer("links", result.most_links, 4, 4096);
     std::size_t queued_kb = result.most_queued / 1024;
-    from.whole("queued_kb", queued_kb, 64, 64 * 1024);
+    from.integer("queued_kb", queued_kb, 64, 64 * 1024);
     result.most_queued = queued_kb * 1024;
     fleet::Pace& pace = result.pace;
-    from.span("probe_every", pace.probe_every, true);
-    from.span("probe_patience", pace.probe_patience, true);
-    from.whole("helpers", pace.helpers, 0, 16);
-    from.span("gossip_every", pace.gossip_every, true);
-    from.whole("gossip_to", pace.gossip_to, 1, 16);
-    from.span("stall", pace.stall, true);
-    from.span("gone", pace.gone, true);
-    from.span("exchange_every", pace.exchange_every, true);
-    from.span("reconnect_every", pace.reconnect_every, true);
-    from.span("forget_after", pace.forget_after, true);
+    from.duration("probe_every", pace.probe_every, true);
+    from.duration("probe_patience", pace.probe_patience, true);
+    from.integer("helpers", pace.helpers, 0, 16);
+    from.duration("gossip_every", pace.gossip_every, true);
+    from.integer("gossip_to", pace.gossip_to, 1, 16);
+    from.duration("stall", pace.stall, true);
+    from.duration("gone", pace.gone, true);
+    from.duration("exchange_every", pace.exchange_every, true);
+    from.duration("reconnect_every", pace.reconnect_every, true);
+    from.duration("forget_after", pace.forget_after, true);
     if (pace.probe_patience >= pace.probe_every) from.fail("'probe_patience' is not below 'probe_every'");
     if (pace.stall > kMostStall) from.fail("'stall' is over 60s: nobody would be missed");
     if (pace.gone > pace.stall) from.fail("'gone' is over 'stall'");
-    from.end();
+    from.reject_unknown_fields();
     return result;
 }
 
@@ -144,27 +145,27 @@
     replica::Options result;
     if (!fleet) from.fail("needs [fleet]: there is nobody to share state with");
     replica::Pace& pace = result.pace;
-    from.span("push_every", pace.push_every, true);
-    from.whole("push_to", pace.push_to, 1, 16);
-    from.whole("push_times", pace.push_times, 1, 8);
-    from.span("compare_every", pace.compare_every, true);
-    from.span("tombstones", pace.tombstones, true);
+    from.duration("push_every", pace.push_every, true);
+    from.integer("push_to", pace.push_to, 1, 16);
+    from.integer("push_times", pace.push_times, 1, 8);
+    from.duration("compare_every", pace.compare_every, true);
+    from.duration("tombstones", pace.tombstones, true);
     std::size_t kb = pace.bytes_a_second / 1024;
-    from.whole("kb_a_second", kb, 64, 64 * 1024);
+    from.integer("kb_a_second", kb, 64, 64 * 1024);
     pace.bytes_a_second = kb * 1024;
-    from.text("registry", result.registry);
-    from.text("directory", result.directory);
-    from.text("helper", result.helper);
+    from.string("registry", result.registry);
+    from.string("directory", result.directory);
+    from.string("helper", result.helper);
     if (pace.tombstones < kLeastTombstones)
         from.fail("'tombstones' is under 10s: a pause would bring deleted entries back");
-    from.end();
+    from.reject_unknown_fields();
     return result;
 }
 
 }  // namespace
 
 Features read_features(std::string_view text, const std::string& file) {
-    return with_toml(text, file, [](const TomlReader& reader, const toml::table& root) {
+    return parse_toml(text, file, [](const TomlReader& reader, const toml::table& root) {
         Features result;
         Table top(reader, root, "the configuration");
         if (auto table = top.table("subset")) result.subset = read_subset(*table);
@@ -173,24 +174,24 @@
             double share = 0.5;
             table->number("doubt_above", share, 0.1, 1.0);
             result.caution_share = share;
-            table->end();
+            table->reject_unknown_fields();
         }
         if (auto table = top.table("connections")) {
-            table->whole("most", result.connections.most, 1, kMostConnections);
-            table->whole("per_endpoint", result.connections.per_endpoint, 1, kMostConnections);
-            table->end();
+            table->integer("most", result.connections.most, 1, kMostConnections);
+            table->integer("per_endpoint", result.connections.per_endpoint, 1, kMostConnections);
+            table->reject_unknown_fields();
         }
         if (auto table = top.table("fleet")) result.fleet = read_fleet(*table);
         if (auto table = top.table("state")) result.state = read_state(*table, result.fleet.has_value());
         if (auto table = top.table("ledger")) result.ledger = read_ledger(*table);
         if (auto table = top.table("telemetry")) {
             telemetry::Options& into = result.telemetry.emplace();
-            table->whole("stories", into.stories.most, 10, 100'000);
-            table->span("stretch", into.stories.stretch, true);
-            table->whole("values", into.causes.most_values, 16, 100'000);
-            table->end();
+            table->integer("stories", into.stories.most, 10, 100'000);
+            table->duration("stretch", into.stories.stretch, true);
+            table->integer("values", into.causes.most_values, 16, 100'000);
+            table->reject_unknown_fields();
         }
-        top.end();
+        top.reject_unknown_fields();
         return result;
     });
 }
--- a/src/bootstrap/program.cpp
+++ b/src/bootstrap/program.cpp
@@ -123,7 +123,7 @@
     });
 }
 
-ProcessSignals::ProcessSignals(Loop& loop, Handlers handlers)
+ProcessSignals::ProcessSignals(EventLoop& loop, Handlers handlers)
     : handlers_(std::move(handlers)),
       termination_signals_(loop.io(), SIGTERM, SIGINT),
       reload_signals_(loop.io(), SIGHUP) {
--- a/src/bootstrap/program.h
+++ b/src/bootstrap/program.h
@@ -74,7 +74,7 @@
     };
 
     /// From now on the signals no longer end the process. Those that were held back come now.
-    ProcessSignals(Loop& loop, Handlers handlers);
+    ProcessSignals(EventLoop& loop, Handlers handlers);
     ~ProcessSignals();
     ProcessSignals(const ProcessSignals&) = delete;
     ProcessSignals& operator=(const ProcessSignals&) = delete;
--- a/src/command/lines.cpp
+++ b/src/command/lines.cpp
@@ -18,7 +18,7 @@
         const auto equals = word.find('=');
         if (equals != word.npos && (result.empty() || result.back().first != "text")) {
             const std::string value = word.substr(equals + 1);
-            result.emplace_back(word.substr(0, equals), unescaped(value).value_or(value));
+            result.emplace_back(word.substr(0, equals), percent_decode(value).value_or(value));
         } else if (!result.empty() && result.back().first == "text") {
             result.back().second += " " + word;
         } else {
--- a/src/command/state.cpp
+++ b/src/command/state.cpp
@@ -35,7 +35,7 @@
     std::uint64_t expires_ms = std::uint64_t{words.expires_s} * 1000;
     if (words.what == "settle" && value.empty()) {
         // What has the word stays, for as long as it would have; what was beside it is written over.
-        const auto reply = ask(where, "get " + escaped(words.table));
+        const auto reply = ask(where, "get " + percent_encode(words.table));
         if (!reply) return kNo;
         std::istringstream lines(*reply);
         for (std::string line; std::getline(lines, line);) {
@@ -52,12 +52,12 @@
         }
     }
     std::string call = fmt::format("{} {} {}", words.what == "delete" ? "delete" : "put",
-                                   escaped(words.table), escaped(words.key));
-    if (words.what != "delete") call += " " + escaped(value);
+                                   percent_encode(words.table), percent_encode(words.key));
+    if (words.what != "delete") call += " " + percent_encode(value);
     call += fmt::format(" within={}", words.within_s * 1000);
     call += words.reach == "majority" ? " majority" : fmt::format(" others={}", words.reach);
     if (expires_ms > 0) call += fmt::format(" expires={}", expires_ms);
-    if (!words.reason.empty()) call += " " + escaped("reason=" + words.reason);
+    if (!words.reason.empty()) call += " " + percent_encode("reason=" + words.reason);
     const auto reply = ask(where, call);
     if (!reply) return kNo;
     if (const std::string why = field_of(*reply, "refused"); !why.empty()) {
@@ -133,7 +133,7 @@
     if (words.what == "put" || words.what == "delete" || words.what == "settle")
         return write(words, *address);
     if (words.what == "diff") return diff(words, *address);
-    const auto reply = ask(*address, words.what == "get" ? "get " + escaped(words.table) : words.what);
+    const auto reply = ask(*address, words.what == "get" ? "get " + percent_encode(words.table) : words.what);
     if (!reply) return kNo;
     if (const std::string why = field_of(*reply, "refused"); !why.empty()) {
         log("state: " + why);
--- a/src/config/config.h
+++ b/src/config/config.h
@@ -32,6 +32,6 @@
 Config read_config();
 /// Reads the file again and gives its `discovery`, whatever the variable beside it said at the start. Throws
 /// ConfigError, also where another field of the new file is wrong.
-Address read_discovery_again();
+Address reload_discovery_address();
 
 }  // namespace martenford
--- a/src/config/fields.h
+++ b/src/config/fields.h
@@ -27,7 +27,7 @@
     using std::runtime_error::runtime_error;
 };
 
-[[noreturn]] inline void bad(const std::string& what) {
+[[noreturn]] inline void throw_field_error(const std::string& what) {
     throw FieldError(what);
 }
 
@@ -38,67 +38,68 @@
     return value;
 }
 
-inline element need(const object& from, std::string_view name) {
+inline element require(const object& from, std::string_view name) {
     if (auto value = find(from, name)) return *value;
-    bad("field '" + std::string(name) + "' is missing");
+    throw_field_error("field '" + std::string(name) + "' is missing");
 }
 
 template <typename T>
 T as(const element& value, std::string_view name, const char* kind) {
     T result;
-    if (value.get(result) != simdjson::SUCCESS) bad("field '" + std::string(name) + "' is not " + kind);
+    if (value.get(result) != simdjson::SUCCESS)
+        throw_field_error("field '" + std::string(name) + "' is not " + kind);
     return result;
 }
 
 inline std::uint64_t to_unsigned(const element& value, std::string_view name,
-                                 std::uint64_t most = std::numeric_limits<std::uint64_t>::max()) {
+                                 std::uint64_t max = std::numeric_limits<std::uint64_t>::max()) {
     const auto number = as<std::uint64_t>(value, name, "a whole number of 0 or more");
-    if (number > most) bad("field '" + std::string(name) + "' is out of range");
+    if (number > max) throw_field_error("field '" + std::string(name) + "' is out of range");
     return number;
 }
-constexpr std::uint64_t kMost32 = std::numeric_limits<std::uint32_t>::max();
+constexpr std::uint64_t kMaxU32 = std::numeric_limits<std::uint32_t>::max();
 
-inline std::uint32_t need_u32(const object& from, std::string_view name, std::uint64_t most = kMost32) {
-    return static_cast<std::uint32_t>(to_unsigned(need(from, name), name, most));
+inline std::uint32_t require_u32(const object& from, std::string_view name, std::uint64_t max = kMaxU32) {
+    return static_cast<std::uint32_t>(to_unsigned(require(from, name), name, max));
 }
-inline std::uint32_t u32_or(const object& from, std::string_view name, std::uint32_t otherwise) {
+inline std::uint32_t u32_or(const object& from, std::string_view name, std::uint32_t fallback) {
     const auto value = find(from, name);
-    return value ? static_cast<std::uint32_t>(to_unsigned(*value, name, kMost32)) : otherwise;
+    return value ? static_cast<std::uint32_t>(to_unsigned(*value, name, kMaxU32)) : fallback;
 }
 inline Duration to_duration(const element& value, std::string_view name) {
     return Duration{as<std::int64_t>(value, name, "a time in whole nanoseconds")};
 }
-inline Duration to_span(const element& value, std::string_view name) {
+inline Duration to_nonnegative_duration(const element& value, std::string_view name) {
     const Duration span = to_duration(value, name);
-    if (span < Duration{}) bad("field '" + std::string(name) + "' is a negative span");
+    if (span < Duration{}) throw_field_error("field '" + std::string(name) + "' is a negative span");
     return span;
 }
-inline Duration need_span(const object& from, std::string_view name) {
-    return to_span(need(from, name), name);
+inline Duration require_duration(const object& from, std::string_view name) {
+    return to_nonnegative_duration(require(from, name), name);
 }
-inline Duration span_or_zero(const object& from, std::string_view name) {
+inline Duration duration_or_zero(const object& from, std::string_view name) {
     const auto value = find(from, name);
-    return value ? to_span(*value, name) : Duration{};
+    return value ? to_nonnegative_duration(*value, name) : Duration{};
 }
-inline Time need_time(const object& from, std::string_view name) {
-    return Time{to_duration(need(from, name), name)};
+inline Time require_time(const object& from, std::string_view name) {
+    return Time{to_duration(require(from, name), name)};
 }
-inline double need_number(const object& from, std::string_view name) {
-    return as<double>(need(from, name), name, "a number");
+inline double require_number(const object& from, std::string_view name) {
+    return as<double>(require(from, name), name, "a number");
 }
-inline double number_or(const object& from, std::string_view name, double otherwise) {
+inline double number_or(const object& from, std::string_view name, double fallback) {
     const auto value = find(from, name);
-    return value ? as<double>(*value, name, "a number") : otherwise;
+    return value ? as<double>(*value, name, "a number") : fallback;
 }
-inline bool flag_or(const object& from, std::string_view name, bool otherwise) {
+inline bool bool_or(const object& from, std::string_view name, bool fallback) {
     const auto value = find(from, name);
-    return value ? as<bool>(*value, name, "true or false") : otherwise;
+    return value ? as<bool>(*value, name, "true or false") : fallback;
 }
-inline std::string_view need_text(const object& from, std::string_view name) {
-    return as<std::string_view>(need(from, name), name, "a text");
+inline std::string_view require_string(const object& from, std::string_view name) {
+    return as<std::string_view>(require(from, name), name, "a text");
 }
-inline object need_object(const object& from, std::string_view name) {
-    return as<object>(need(from, name), name, "an object");
+inline object require_object(const object& from, std::string_view name) {
+    return as<object>(require(from, name), name, "an object");
 }
 /// An absent array reads as an empty one.
 inline std::vector<element> elements(const object& from, std::string_view name) {
@@ -115,12 +116,12 @@
 }
 
 template <typename T>
-T word_of(std::string_view text, std::string_view name,
-          std::initializer_list<std::pair<std::string_view, T>> words) {
-    for (const auto& [word, meaning] : words) {
-        if (word == text) return meaning;
+T enum_value(std::string_view text, std::string_view name,
+             std::initializer_list<std::pair<std::string_view, T>> values) {
+    for (const auto& [name_text, meaning] : values) {
+        if (name_text == text) return meaning;
     }
-    bad("field '" + std::string(name) + "' has an unknown word");
+    throw_field_error("field '" + std::string(name) + "' has an unknown word");
 }
 
 }  // namespace martenford::decision::json
--- a/src/config/read_settings.cpp
+++ b/src/config/read_settings.cpp
@@ -5,54 +5,54 @@
 
 RequestClass read_class(const object& from) {
     RequestClass result;
-    result.name = need_text(from, "name");
+    result.name = require_string(from, "name");
     result.worth = number_or(from, "credit", 1.0);
     result.late_worth = number_or(from, "late_value", 0.0);
-    result.aim = need_span(from, "slo");
+    result.aim = require_duration(from, "slo");
     result.aim_stretch = number_or(from, "aim_stretch", 0.0);
-    result.deadline = need_span(from, "deadline");
-    result.effect = word_of<Effect>(
-        need_text(from, "effect"), "effect",
+    result.deadline = require_duration(from, "deadline");
+    result.effect = enum_value<Effect>(
+        require_string(from, "effect"), "effect",
         {{"free", Effect::Free}, {"guarded", Effect::Guarded}, {"single_shot", Effect::SingleShot}});
     if (find(from, "group")) {
-        result.group = word_of<Group>(need_text(from, "group"), "group",
-                                      {{"all", Group::All}, {"zone", Group::Zone}, {"cell", Group::Cell}});
+        result.group = enum_value<Group>(require_string(from, "group"), "group",
+                                         {{"all", Group::All}, {"zone", Group::Zone}, {"cell", Group::Cell}});
     }
-    result.window = span_or_zero(from, "window");
-    result.stream = flag_or(from, "stream", false);
-    result.sequential = flag_or(from, "sequential", false);
+    result.window = duration_or_zero(from, "window");
+    result.stream = bool_or(from, "stream", false);
+    result.sequential = bool_or(from, "sequential", false);
     return result;
 }
 
 Limits read_limits(const object& from) {
     Limits result;
-    result.may_cancel = flag_or(from, "may_cancel", false);
-    result.probing = flag_or(from, "probing", false);
-    result.second_copies = flag_or(from, "second_copies", false);
-    result.peers = flag_or(from, "peers", false);
-    result.retry_after = flag_or(from, "retry_after", false);
-    result.max_attempts = need_u32(from, "try_limit");
+    result.may_cancel = bool_or(from, "may_cancel", false);
+    result.probing = bool_or(from, "probing", false);
+    result.second_copies = bool_or(from, "second_copies", false);
+    result.peers = bool_or(from, "peers", false);
+    result.retry_after = bool_or(from, "retry_after", false);
+    result.max_attempts = require_u32(from, "try_limit");
     result.streams_per_connection = u32_or(from, "max_streams", 1);
-    result.connection_idle = span_or_zero(from, "conn_idle");
-    result.connect_timeout = span_or_zero(from, "dial_timeout");
-    result.max_retry_after = span_or_zero(from, "max_retry_after");
+    result.connection_idle = duration_or_zero(from, "conn_idle");
+    result.connect_timeout = duration_or_zero(from, "dial_timeout");
+    result.max_retry_after = duration_or_zero(from, "max_retry_after");
     return result;
 }
 
 Rules read_rules(const object& from) {
     Rules result;
-    result.answer_slack = need_span(from, "answer_slack");
-    result.ask_every = span_or_zero(from, "ask_every");
-    result.drain_grace = need_span(from, "stop_sending_within");
-    result.cold_from = need_number(from, "cold_from");
-    result.ramp_time = need_span(from, "ramp_time");
-    result.fall_multiple = need_number(from, "fall_multiple");
-    result.tip_after = need_span(from, "tip_after");
-    result.turn_gap = span_or_zero(from, "turn_gap");
+    result.answer_slack = require_duration(from, "answer_slack");
+    result.ask_every = duration_or_zero(from, "ask_every");
+    result.drain_grace = require_duration(from, "stop_sending_within");
+    result.cold_from = require_number(from, "cold_from");
+    result.ramp_time = require_duration(from, "ramp_time");
+    result.fall_multiple = require_number(from, "fall_multiple");
+    result.tip_after = require_duration(from, "tip_after");
+    result.turn_gap = duration_or_zero(from, "turn_gap");
     // Any one of the three says that attempts are rationed; validation finds what is missing then.
     if (find(from, "extra_floor") || find(from, "resend_ratio") || find(from, "look_back")) {
         result.attempt_budget = {number_or(from, "extra_floor", 0.0), number_or(from, "resend_ratio", 0.0),
-                                 span_or_zero(from, "look_back")};
+                                 duration_or_zero(from, "look_back")};
     }
     return result;
 }
@@ -73,54 +73,55 @@
 
 Settings read_settings(const object& from) {
     Settings result;
-    result.position = need_u32(from, "position");
-    result.replicas = need_u32(from, "replicas_of_me");
+    result.position = require_u32(from, "position");
+    result.replicas = require_u32(from, "replicas_of_me");
     result.zone = u32_or(from, "zone", 0);
     result.zones = count_or_one(from, "dcs");
     result.kinds = count_or_one(from, "kinds");
     result.tier = u32_or(from, "layer", 0);
     result.tiers = count_or_one(from, "tiers");
-    result.subscribe =
-        word_of<bool>(need_text(from, "discovery"), "discovery", {{"automatic", false}, {"subscribe", true}});
+    result.subscribe = enum_value<bool>(require_string(from, "discovery"), "discovery",
+                                        {{"automatic", false}, {"subscribe", true}});
     if (find(from, "family_info")) {
-        result.passes_deadline = flag_or(need_object(from, "family_info"), "passes_deadline", true);
+        result.passes_deadline = bool_or(require_object(from, "family_info"), "passes_deadline", true);
     }
     if (find(from, "clients")) {
-        result.marks_retry = flag_or(need_object(from, "clients"), "marks_retry", false);
+        result.marks_retry = bool_or(require_object(from, "clients"), "marks_retry", false);
     }
     if (find(from, "worth_by")) {
-        result.worth_by_work =
-            word_of<bool>(need_text(from, "worth_by"), "worth_by", {{"request", false}, {"work", true}});
+        result.worth_by_work = enum_value<bool>(require_string(from, "worth_by"), "worth_by",
+                                                {{"request", false}, {"work", true}});
     }
     result.over_share_worth = number_or(from, "over_share_worth", 1.0);
     if (find(from, "weights")) {
-        result.weights = word_of<Weights>(need_text(from, "weights"), "weights",
-                                          {{"none", Weights::None},
-                                           {"nominal", Weights::Nominal},
-                                           {"rough", Weights::Rough},
-                                           {"live", Weights::Live}});
+        result.weights = enum_value<Weights>(require_string(from, "weights"), "weights",
+                                             {{"none", Weights::None},
+                                              {"nominal", Weights::Nominal},
+                                              {"rough", Weights::Rough},
+                                              {"live", Weights::Live}});
     }
     if (find(from, "load_report")) {
-        result.report_via = word_of<ReportVia>(
-            need_text(need_object(from, "load_report"), "via"), "via",
+        result.report_via = enum_value<ReportVia>(
+            require_string(require_object(from, "load_report"), "via"), "via",
             {{"none", ReportVia::None}, {"answers", ReportVia::Answers}, {"probe", ReportVia::Probe}});
     }
-    result.tick = span_or_zero(from, "tick");
+    result.tick = duration_or_zero(from, "tick");
     for (const element& item : elements(from, "classes")) {
         result.classes.push_back(read_class(as<object>(item, "classes", "an array of objects")));
     }
     for (const element& item : elements(from, "accounts")) {
         const auto account = as<object>(item, "accounts", "an array of objects");
-        result.tenants.push_back({std::string(need_text(account, "name")), number_or(account, "share", 0.0),
+        result.tenants.push_back({std::string(require_string(account, "name")),
+                                  number_or(account, "share", 0.0),
                                   number_or(account, "allowance_per_s", 0.0)});
     }
-    result.limits = read_limits(need_object(from, "limits"));
-    if (find(from, "prices")) result.prices = read_prices(need_object(from, "prices"));
-    result.rules = read_rules(need_object(from, "invariants"));
+    result.limits = read_limits(require_object(from, "limits"));
+    if (find(from, "prices")) result.prices = read_prices(require_object(from, "prices"));
+    result.rules = read_rules(require_object(from, "invariants"));
     try {
         validate(result);
     } catch (const std::invalid_argument& error) {
-        bad(error.what());
+        throw_field_error(error.what());
     }
     return result;
 }
--- a/src/config/targets.cpp
+++ b/src/config/targets.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-constexpr std::int64_t kMostBootMs = std::int64_t{1} << 42;  // the year 2109: what is later is no time
+constexpr std::int64_t kMaxBootMs = std::int64_t{1} << 42;  // the year 2109: what is later is no time
 
 std::optional<std::uint32_t> index_of(const std::vector<std::string>& names, std::string_view name) {
     if (names.empty()) return 0;
@@ -23,30 +23,31 @@
 
 Target parse_target(const object& from, const Names& names) {
     Target result;
-    result.uid = need_text(from, "uid");
-    if (result.uid.empty()) bad("field 'uid' is empty");
-    result.endpoint.availability = word_of<Availability>(need_text(from, "state"), "state",
-                                                         {{"Ready", Availability::Ready},
-                                                          {"Terminating", Availability::Draining},
-                                                          {"Gone", Availability::Gone}});
+    result.uid = require_string(from, "uid");
+    if (result.uid.empty()) throw_field_error("field 'uid' is empty");
+    result.endpoint.availability = enum_value<Availability>(require_string(from, "state"), "state",
+                                                            {{"Ready", Availability::Ready},
+                                                             {"Terminating", Availability::Draining},
+                                                             {"Gone", Availability::Gone}});
     if (result.endpoint.availability == Availability::Gone) return result;  // nothing more is needed
-    const auto address = parse_address(need_text(from, "endpoint"));
-    if (!address) bad("field 'endpoint' is no address");
+    const auto address = parse_address(require_string(from, "endpoint"));
+    if (!address) throw_field_error("field 'endpoint' is no address");
     result.address = *address;
     // The zone may decide where a keyed repeat goes: one that the settings don't name is no use.
-    const auto zone = find(from, "az") ? index_of(names.zones, need_text(from, "az")) : 0;
-    if (!zone) bad("field 'az' names no zone of the settings");
+    const auto zone = find(from, "az") ? index_of(names.zones, require_string(from, "az")) : 0;
+    if (!zone) throw_field_error("field 'az' names no zone of the settings");
     result.endpoint.zone = *zone;
     if (find(from, "model"))
-        result.endpoint.kind = index_of(names.kinds, need_text(from, "model")).value_or(0);
+        result.endpoint.kind = index_of(names.kinds, require_string(from, "model")).value_or(0);
     result.endpoint.cell = u32_or(from, "pod_group", 0);
     result.endpoint.weight = number_or(from, "capacity_hint", 1.0);
     if (!std::isfinite(result.endpoint.weight) || result.endpoint.weight < 0.0) {
-        bad("field 'capacity_hint' is out of range");
+        throw_field_error("field 'capacity_hint' is out of range");
     }
     if (const auto boot = find(from, "boot_ms")) {
         result.boot_ms = as<std::int64_t>(*boot, "boot_ms", "a time in whole milliseconds");
-        if (result.boot_ms < 0 || result.boot_ms > kMostBootMs) bad("field 'boot_ms' is out of range");
+        if (result.boot_ms < 0 || result.boot_ms > kMaxBootMs)
+            throw_field_error("field 'boot_ms' is out of range");
     }
     return result;
 }
@@ -55,9 +56,9 @@
 
 TargetList parse_targets(const object& from, const Names& names) {
     TargetList result;
-    result.revision = to_unsigned(need(from, "rev"), "rev");
-    result.all = as<bool>(need(from, "all"), "all", "true or false");
-    need(from, "targets");
+    result.revision = to_unsigned(require(from, "rev"), "rev");
+    result.all = as<bool>(require(from, "all"), "all", "true or false");
+    require(from, "targets");
     std::string first;
     for (const element& item : elements(from, "targets")) {
         try {
@@ -71,9 +72,9 @@
     }
     // One line for a list, however long: nothing from the network may fill the log.
     if (!result.unreadable.empty()) {
-        tell(martenford::Event::EntriesSkipped,
-             "discovery: entries were skipped: " + std::to_string(result.unreadable.size()) +
-                 "; the first: " + first);
+        log_event(martenford::Event::EntriesSkipped,
+                  "discovery: entries were skipped: " + std::to_string(result.unreadable.size()) +
+                      "; the first: " + first);
     }
     return result;
 }
--- a/src/config/toml_reader.h
+++ b/src/config/toml_reader.h
@@ -24,9 +24,9 @@
 };
 
 /// Entries of one array at most: events, overrides and so on.
-constexpr std::size_t kMostTomlItems = 10'000;
+constexpr std::size_t kMaxTomlItems = 10'000;
 /// Bytes of a file at most; a slip of the pen would otherwise fill the machine.
-constexpr std::size_t kMostTomlFile = 1 << 20;
+constexpr std::size_t kMaxTomlFileBytes = 1 << 20;
 
 /// Knows where it is in the file, so that whatever is wrong can be pointed at.
 class TomlReader {
@@ -52,18 +52,18 @@
             taken_.insert(std::string(key));
             return table_.get(key);
         }
-        const toml::node& need(std::string_view key) {
+        const toml::node& require(std::string_view key) {
             if (const auto* node = find(key)) return *node;
             reader_.fail(table_, fmt::format("'{}' is missing in {}", key, name_));
         }
-        void text(std::string_view key, std::string& into, bool needed = false) {
-            const auto* node = needed ? &need(key) : find(key);
+        void string(std::string_view key, std::string& into, bool required = false) {
+            const auto* node = required ? &require(key) : find(key);
             if (!node) return;
             const auto value = node->value_exact<std::string>();
             if (!value) reader_.fail(*node, fmt::format("'{}' must be a text in quotes", key));
             into = *value;
         }
-        void span(std::string_view key, Duration& into, bool above_zero = false) {
+        void duration(std::string_view key, Duration& into, bool above_zero = false) {
             const auto* node = find(key);
             if (!node) return;
             const auto text = node->value_exact<std::string>();
@@ -74,25 +74,24 @@
                 reader_.fail(*node, fmt::format("'{}' must be above 0", key));
             into = *value;
         }
-        void number(std::string_view key, double& into, double least, double most) {
+        void number(std::string_view key, double& into, double min, double max) {
             const auto* node = find(key);
             if (!node) return;
             const auto value = node->value<double>();
-            if (!value || node->is_boolean() || !(*value >= least && *value <= most))
-                reader_.fail(*node, fmt::format("'{}' must be a number from {:g} to {:g}", key, least, most));
+            if (!value || node->is_boolean() || !(*value >= min && *value <= max))
+                reader_.fail(*node, fmt::format("'{}' must be a number from {:g} to {:g}", key, min, max));
             into = *value;
         }
         template <typename T>
-        void whole(std::string_view key, T& into, std::int64_t least, std::int64_t most) {
+        void integer(std::string_view key, T& into, std::int64_t min, std::int64_t max) {
             const auto* node = find(key);
             if (!node) return;
             const auto value = node->value_exact<std::int64_t>();
-            if (!value || *value < least || *value > most)
-                reader_.fail(*node,
-                             fmt::format("'{}' must be a whole number from {} to {}", key, least, most));
+            if (!value || *value < min || *value > max)
+                reader_.fail(*node, fmt::format("'{}' must be a whole number from {} to {}", key, min, max));
             into = static_cast<T>(*value);
         }
-        void flag(std::string_view key, bool& into) {
+        void boolean(std::string_view key, bool& into) {
             const auto* node = find(key);
             if (!node) return;
             const auto value = node->value_exact<bool>();
@@ -100,20 +99,20 @@
             into = *value;
         }
         template <typename T>
-        void word(std::string_view key, T& into,
-                  std::initializer_list<std::pair<std::string_view, T>> words) {
+        void choice(std::string_view key, T& into,
+                    std::initializer_list<std::pair<std::string_view, T>> choices) {
             const auto* node = find(key);
             if (!node) return;
             const auto value = node->value_exact<std::string>();
-            std::string known;
-            for (const auto& [name, meaning] : words) {
+            std::string allowed;
+            for (const auto& [name, option] : choices) {
                 if (value && *value == name) {
-                    into = meaning;
+                    into = option;
                     return;
                 }
-                known += fmt::format("{}\"{}\"", known.empty() ? "" : ", ", name);
+                allowed += fmt::format("{}\"{}\"", allowed.empty() ? "" : ", ", name);
             }
-            reader_.fail(*node, fmt::format("'{}' must be one of {}", key, known));
+            reader_.fail(*node, fmt::format("'{}' must be one of {}", key, allowed));
         }
         /// A table within; nothing where it is absent.
         std::optional<Table> table(std::string_view key) {
@@ -136,12 +135,12 @@
             if (!node) return result;
             if (!node->is_array()) reader_.fail(*node, fmt::format("'{}' must be an array", key));
             for (const toml::node& item : *node->as_array()) result.push_back(&item);
-            if (result.size() > kMostTomlItems)
+            if (result.size() > kMaxTomlItems)
                 reader_.fail(*node, fmt::format("'{}' has too many entries", key));
             return result;
         }
         /// To be called last.
-        void end() const {
+        void reject_unknown_fields() const {
             for (const auto& [key, node] : table_) {
                 if (!taken_.contains(std::string(key.str()))) {
                     reader_.fail(key.source(), fmt::format("unknown field '{}' in {}", key.str(), name_));
@@ -168,7 +167,7 @@
 
 /// Parses a text and gives it to `read(reader, root)`. Throws TomlError.
 template <typename Read>
-auto with_toml(std::string_view text, const std::string& file, Read read) {
+auto parse_toml(std::string_view text, const std::string& file, Read read) {
     const TomlReader reader(file);
     try {
         const toml::table root = toml::parse(text, file);
--- a/src/config/units.cpp
+++ b/src/config/units.cpp
@@ -8,8 +8,8 @@
 namespace martenford {
 
 namespace {
-constexpr double kMostSeconds = 86'400.0;  // a longer scenario is a slip of the pen
-constexpr double kMostFactor = 1000.0;
+constexpr double kMaxSeconds = 86'400.0;  // a longer scenario is a slip of the pen
+constexpr double kMaxFactor = 1000.0;
 }  // namespace
 
 std::optional<double> parse_number(std::string_view text) {
@@ -30,7 +30,7 @@
                          : name == "s"  ? 1.0
                          : name == "m"  ? 60.0
                                         : 0.0;
-    if (!number || scale == 0.0 || *number * scale > kMostSeconds) return std::nullopt;
+    if (!number || scale == 0.0 || *number * scale > kMaxSeconds) return std::nullopt;
     return Duration{std::llround(*number * scale * 1e9)};
 }
 
@@ -44,11 +44,11 @@
 std::optional<double> parse_factor(std::string_view text) {
     if (!text.starts_with('x')) return std::nullopt;
     const auto number = parse_number(text.substr(1));
-    if (!number || *number <= 0.0 || *number > kMostFactor) return std::nullopt;
+    if (!number || *number <= 0.0 || *number > kMaxFactor) return std::nullopt;
     return number;
 }
 
-std::string show_seconds(Duration d) {
+std::string format_seconds(Duration d) {
     return fmt::format("{:.3f} s", seconds(d));
 }
 
--- a/src/config/units.h
+++ b/src/config/units.h
@@ -19,7 +19,7 @@
 std::optional<double> parse_number(std::string_view text);
 
 /// "12.345 s": three decimals.
-std::string show_seconds(Duration d);
+std::string format_seconds(Duration d);
 
 inline double seconds(Duration d) {
     return static_cast<double>(d.count()) * 1e-9;
--- a/src/console/console.cpp
+++ b/src/console/console.cpp
@@ -26,7 +26,7 @@
 
     void start(Callers::iterator place) {
         place_ = place;
-        limit_.set(Loop::monotonic() + kLineTime, [self = shared_from_this()] {
+        limit_.set(EventLoop::monotonic() + kLineTime, [self = shared_from_this()] {
             self->console_.cut_off_.add();
             self->close();
         });
@@ -62,7 +62,7 @@
     void reply(std::string text) {
         replied_ = true;
         text_ = std::move(text);
-        limit_.set(Loop::monotonic() + kReadTime, [self = shared_from_this()] { self->close(); });
+        limit_.set(EventLoop::monotonic() + kReadTime, [self = shared_from_this()] { self->close(); });
         asio::async_write(socket_, asio::buffer(text_),
                           [self = shared_from_this()](const error_code& error, std::size_t) {
                               if (self->closed_) return;
@@ -83,7 +83,7 @@
     bool replied_ = false, closed_ = false;
 };
 
-Console::Console(Loop& loop, const Address& listen, Calls calls, Counters& counters)
+Console::Console(EventLoop& loop, const Address& listen, Calls calls, Counters& counters)
     : loop_(loop),
       calls_(std::move(calls)),
       acceptor_(loop.io()),
@@ -108,7 +108,7 @@
         if (error) {
             // Guards against spinning on a listener that stays ready while nothing can be accepted.
             if (!callers_.empty()) callers_.front()->close();
-            return again_.set(Loop::monotonic() + kAcceptAgain, [this] { accept(); });
+            return again_.set(EventLoop::monotonic() + kAcceptAgain, [this] { accept(); });
         }
         if (callers_.size() >= kMostCallers) {
             cut_off_.add();
--- a/src/console/console.h
+++ b/src/console/console.h
@@ -19,7 +19,7 @@
     static constexpr std::size_t kMostCallers = 16;
 
     /// Listens at once. Throws boost::system::system_error where it can't.
-    Console(Loop& loop, const Address& listen, Calls calls, Counters& counters);
+    Console(EventLoop& loop, const Address& listen, Calls calls, Counters& counters);
     ~Console();
     Address listens_at() const { return acceptor_.local_endpoint(); }
 
@@ -29,7 +29,7 @@
 
     void accept();
 
-    Loop& loop_;
+    EventLoop& loop_;
     Calls calls_;
     asio::ip::tcp::acceptor acceptor_;
     Timer again_;
--- a/src/control_api/control_api.cpp
+++ b/src/control_api/control_api.cpp
@@ -91,7 +91,7 @@
     return result;
 }
 
-ApiServer::ApiServer(Loop& loop, std::map<CallName, Handler> handlers, std::size_t max_connections,
+ApiServer::ApiServer(EventLoop& loop, std::map<CallName, Handler> handlers, std::size_t max_connections,
                      martenford::Counters& counters)
     : handlers_(std::move(handlers)),
       front_(
@@ -115,7 +115,7 @@
     return request;
 }
 
-bool ApiServer::take(decision::Request request, std::shared_ptr<const Message> message, Reply reply) {
+bool ApiServer::submit(decision::Request request, std::shared_ptr<const Message> message, Reply reply) {
     const auto& http_message = static_cast<const HttpMessage&>(*message);
     const CallSpec& spec = call_table()[request.class_index];
     pending_replies_[request.id] = std::move(reply);
--- a/src/control_api/control_api.h
+++ b/src/control_api/control_api.h
@@ -75,7 +75,7 @@
   public:
     /// Serves the calls for which there is a handler; others are answered with 404, and 405 for a wrong
     /// method. Accepts up to `max_connections`.
-    ApiServer(Loop& loop, std::map<CallName, Handler> handlers, std::size_t max_connections,
+    ApiServer(EventLoop& loop, std::map<CallName, Handler> handlers, std::size_t max_connections,
               martenford::Counters& counters);
     /// Throws boost::system::system_error if the address can't be listened on.
     void listen(const Address& address) { front_.listen(address); }
@@ -87,9 +87,9 @@
     std::variant<decision::Request, LocalReply> read(Fields& head, Time arrived) override;
     void write(const Answer& answer, const decision::RequestId& id, http::response_header<>& head) override;
     // RequestHandler (core/engine.h): takes the requests that the front has read
-    bool take(decision::Request request, std::shared_ptr<const Message> message, Reply reply) override;
-    void received(const decision::RequestId&, Time) override {}
-    void leave(const decision::RequestId& id) override { pending_replies_.erase(id); }
+    bool submit(decision::Request request, std::shared_ptr<const Message> message, Reply reply) override;
+    void body_received(const decision::RequestId&, Time) override {}
+    void client_disconnected(const decision::RequestId& id) override { pending_replies_.erase(id); }
 
     void respond_to(const decision::RequestId& id, Response&& response);
 
--- a/src/controller/controller.cpp
+++ b/src/controller/controller.cpp
@@ -16,7 +16,7 @@
 
 class ReconnectingPeerLink final : public PeerLink {
   public:
-    ReconnectingPeerLink(Loop& loop, const Address& address, rpc::Channel::OnMessage on_message,
+    ReconnectingPeerLink(EventLoop& loop, const Address& address, rpc::Channel::OnMessage on_message,
                          std::function<void()> on_connected)
         : client_(loop, address, std::move(on_message), std::move(on_connected), [] {}) {}
     void send(const rpc::Message& message) override { client_.send(message); }
--- a/src/controller/controller.h
+++ b/src/controller/controller.h
@@ -54,7 +54,7 @@
 
     // Timers and links below refer to the loop, callbacks to what is declared before them.
     const bootstrap::Settings& settings_;
-    Loop loop_;
+    EventLoop loop_;
     Counters counters_;
     RegisterStorage storage_;
     const raft::Member self_;
--- a/src/controller/inbound_connections.cpp
+++ b/src/controller/inbound_connections.cpp
@@ -4,7 +4,7 @@
 
 namespace martenford::controller {
 
-InboundConnections::InboundConnections(Loop& loop, const Address& listen_address, Handlers handlers)
+InboundConnections::InboundConnections(EventLoop& loop, const Address& listen_address, Handlers handlers)
     : handlers_(std::move(handlers)),
       listener_(loop, listen_address, [this](const auto& channel) { accept(channel); }) {}
 
--- a/src/controller/inbound_connections.h
+++ b/src/controller/inbound_connections.h
@@ -23,7 +23,7 @@
     };
 
     /// Listens from now on. Throws boost::system::system_error if it can't.
-    InboundConnections(Loop& loop, const Address& listen_address, Handlers handlers);
+    InboundConnections(EventLoop& loop, const Address& listen_address, Handlers handlers);
 
     /// No-op where the connection is gone.
     void send(ConnectionId connection, const rpc::Message& message);
--- a/src/core/endpoint_table.h
+++ b/src/core/endpoint_table.h
@@ -8,15 +8,15 @@
 
 namespace martenford {
 
-class Placement {
+class EndpointTable {
   public:
-    virtual ~Placement() = default;
+    virtual ~EndpointTable() = default;
     /// Where an endpoint is. Connections to another address of its, and to one that drains, carry nothing
     /// new.
-    virtual void place(EndpointId id, const Address& address, bool ready) = 0;
+    virtual void set_endpoint(EndpointId id, const Address& address, bool ready) = 0;
     virtual void remove(EndpointId id) = 0;
     /// Its name in discovery, told before place().
-    virtual void name(EndpointId, const std::string&) {}
+    virtual void set_name(EndpointId, const std::string&) {}
 };
 
 }  // namespace martenford
--- a/src/core/engine.cpp
+++ b/src/core/engine.cpp
@@ -6,116 +6,120 @@
 namespace martenford {
 
 using namespace martenford::decision;
-using Why = Observer::Why;
+using CompletionReason = Observer::CompletionReason;
 
 namespace {
 /// The module speaks first at its deadline: a time-out there may still be a refusal, the backstop's is not.
-constexpr Duration kBackstopAfter = 3ms;
+constexpr Duration kBackstopDelay = 3ms;
 }  // namespace
 
-Engine::Engine(Scheduler& scheduler, Back& back, const Limits& limits, std::unique_ptr<Policy> policy,
-               Tally& tally)
-    : scheduler_(scheduler), back_(back), limits_(limits), policy_(std::move(policy)), tally_(tally) {}
+Engine::Engine(Scheduler& scheduler, EndpointClient& endpoint_client, const Limits& limits,
+               std::unique_ptr<Policy> policy, RequestCounters& request_counters)
+    : scheduler_(scheduler),
+      endpoint_client_(endpoint_client),
+      limits_(limits),
+      policy_(std::move(policy)),
+      request_counters_(request_counters) {}
 
 void Engine::start() {
     std::vector<Action> actions;
-    handling_ = true;
+    dispatching_ = true;
     policy_->start(scheduler_.now(), actions);
-    for (const Action& action : actions) act(action);
-    handling_ = false;
+    for (const Action& action : actions) execute(action);
+    dispatching_ = false;
 }
 
-bool Engine::take(Request request, std::shared_ptr<const Message> message, Reply reply) {
-    const auto [it, fresh] = calls_.try_emplace(request.id, scheduler_);
+bool Engine::submit(Request request, std::shared_ptr<const Message> message, Reply reply) {
+    const auto [it, fresh] = requests_.try_emplace(request.id, scheduler_);
     if (!fresh) return false;
-    Call& call = it->second;
-    call.message = std::move(message);
-    call.deadline = request.deadline;
-    call.reply = std::move(reply);
-    call.ticket = tally_.open(request.class_index);
-    if (observer_) observer_->taken(request);
-    if (witness_ && !witness_->admits(request)) {
-        complete(request.id, Answer{Answer::Kind::Refused, {}, {}, {}}, Why::Journal);
+    OpenRequest& request_state = it->second;
+    request_state.message = std::move(message);
+    request_state.deadline = request.deadline;
+    request_state.reply = std::move(reply);
+    request_state.ticket = request_counters_.open(request.class_index);
+    if (observer_) observer_->request_accepted(request);
+    if (interceptor_ && !interceptor_->admits(request)) {
+        complete(request.id, Answer{Answer::Kind::Refused, {}, {}, {}}, CompletionReason::Journal);
         return true;
     }
-    call.arriving = request.arriving;
-    call.held = witness_ && witness_->holds(request);
-    request.arriving |= call.held;
+    request_state.arriving = request.arriving;
+    request_state.held = interceptor_ && interceptor_->holds(request);
+    request.arriving |= request_state.held;
     // Guards against a request that is lost because the module holds it, or has forgotten it.
-    call.backstop.set(call.deadline + kBackstopAfter, [this, id = request.id] {
-        if (complete(id, Answer{}, Why::Deadline)) post(DeadlineExpired{id});
+    request_state.backstop.set(request_state.deadline + kBackstopDelay, [this, id = request.id] {
+        if (complete(id, Answer{}, CompletionReason::Deadline)) post(DeadlineExpired{id});
     });
     post(std::move(request));
     return true;
 }
 
-void Engine::received(const RequestId& id, Time deadline) {
-    const auto it = calls_.find(id);
-    if (it == calls_.end() || !it->second.reply) return;
-    Call& call = it->second;
-    call.deadline = deadline;
-    call.backstop.set(deadline + kBackstopAfter, [this, id] {
-        if (complete(id, Answer{}, Why::Deadline)) post(DeadlineExpired{id});
+void Engine::body_received(const RequestId& id, Time deadline) {
+    const auto it = requests_.find(id);
+    if (it == requests_.end() || !it->second.reply) return;
+    OpenRequest& request_state = it->second;
+    request_state.deadline = deadline;
+    request_state.backstop.set(deadline + kBackstopDelay, [this, id] {
+        if (complete(id, Answer{}, CompletionReason::Deadline)) post(DeadlineExpired{id});
     });
-    for (const Attempt& attempt : call.attempts) {
-        if (!attempt.out) continue;
-        if (const auto handle = attempt.handle.lock()) handle->end_at(deadline);
+    for (const Attempt& attempt : request_state.attempts) {
+        if (!attempt.in_flight) continue;
+        if (const auto handle = attempt.handle.lock()) handle->set_deadline(deadline);
     }
-    call.arriving = false;
-    if (!call.held) begin_work(id, call);
+    request_state.arriving = false;
+    if (!request_state.held) post_received(id, request_state);
 }
 
 void Engine::released(const RequestId& id) {
-    const auto it = calls_.find(id);
-    if (it == calls_.end() || !std::exchange(it->second.held, false) || !it->second.reply) return;
-    if (!it->second.arriving) begin_work(id, it->second);
+    const auto it = requests_.find(id);
+    if (it == requests_.end() || !std::exchange(it->second.held, false) || !it->second.reply) return;
+    if (!it->second.arriving) post_received(id, it->second);
 }
 
-void Engine::begin_work(const RequestId& id, Call& call) {
-    for (Attempt& attempt : call.attempts) {
-        if (attempt.out) attempt.sent = scheduler_.now();
+void Engine::post_received(const RequestId& id, OpenRequest& request_state) {
+    for (Attempt& attempt : request_state.attempts) {
+        if (attempt.in_flight) attempt.sent = scheduler_.now();
     }
-    post(Received{id, call.deadline});
+    post(Received{id, request_state.deadline});
 }
 
-void Engine::leave(const RequestId& id) {
-    const auto it = calls_.find(id);
-    if (it == calls_.end() || !it->second.reply) return;
+void Engine::client_disconnected(const RequestId& id) {
+    const auto it = requests_.find(id);
+    if (it == requests_.end() || !it->second.reply) return;
     it->second.reply = [](Answer&&) {};  // nobody is left to read one
-    if (witness_) witness_->left(id);
-    complete(id, Answer{}, Why::Client);
+    if (interceptor_) interceptor_->client_disconnected(id);
+    complete(id, Answer{}, CompletionReason::ClientDisconnected);
     post(DeadlineExpired{id});
 }
 
-void Engine::give_up(const RequestId& id, bool refused) {
+void Engine::abort(const RequestId& id, bool refused) {
     if (complete(id, Answer{refused ? Answer::Kind::Refused : Answer::Kind::Failed, {}, {}, {}},
-                 Why::Journal))
+                 CompletionReason::Journal))
         post(DeadlineExpired{id});
 }
 
 void Engine::cancel(const RequestId& id, AttemptNumber number) {
-    const auto it = calls_.find(id);
-    if (it == calls_.end() || number >= it->second.attempts.size()) return;
+    const auto it = requests_.find(id);
+    if (it == requests_.end() || number >= it->second.attempts.size()) return;
     const Attempt& attempt = it->second.attempts[number];
-    if (const auto handle = attempt.handle.lock(); handle && attempt.out) handle->cancel();
+    if (const auto handle = attempt.handle.lock(); handle && attempt.in_flight) handle->cancel();
 }
 
 /// The module is never entered from within: what arises while its actions run waits here.
 void Engine::post(Event event) {
     events_.push_back(std::move(event));
-    if (std::exchange(handling_, true)) return;
+    if (std::exchange(dispatching_, true)) return;
     std::vector<Action> actions;
     while (!events_.empty()) {
         const Event next = std::move(events_.front());
         events_.pop_front();
         actions.clear();
         policy_->handle(scheduler_.now(), next, actions);
-        for (const Action& action : actions) act(action);
+        for (const Action& action : actions) execute(action);
     }
-    handling_ = false;
+    dispatching_ = false;
 }
 
-void Engine::act(const Action& action) {
+void Engine::execute(const Action& action) {
     struct Visitor {
         Engine& engine;
         void operator()(const Send& send) const { engine.send(send); }
@@ -129,67 +133,72 @@
                 timer.at, [&engine = engine, token = timer.token] { engine.post(TimerFired{token}); });
         }
         void operator()(const Probe& probe) const {
-            engine.back_.probe(probe.endpoint, [&engine = engine, id = probe.endpoint,
-                                                sent = engine.scheduler_.now()](Result&& result) {
+            engine.endpoint_client_.probe(probe.endpoint, [&engine = engine, id = probe.endpoint,
+                                                           sent = engine.scheduler_.now()](Result&& result) {
                 engine.post(ProbeResult{id, result.status, engine.scheduler_.now() - sent, std::nullopt});
             });
         }
         void operator()(const Subscribe&) const {
             if (engine.subscribe_) engine.subscribe_();
         }
-        void operator()(const ShutIdle& shut) const { engine.back_.shut_idle(shut.endpoint); }
+        void operator()(const ShutIdle& shut) const {
+            engine.endpoint_client_.close_idle_connections(shut.endpoint);
+        }
 
         void finish(const RequestId& id, Answer&& answer) const {
-            engine.complete(id, std::move(answer), Why::Module);
+            engine.complete(id, std::move(answer), CompletionReason::Policy);
         }
     };
     std::visit(Visitor{*this}, action);
 }
 
-bool Engine::Call::may_send(Time now, std::size_t max_attempts) const {
+bool Engine::OpenRequest::may_send(Time now, std::size_t max_attempts) const {
     if (!reply || now >= deadline || attempts.size() >= max_attempts) return false;
-    const bool is_out = std::any_of(attempts.begin(), attempts.end(), [](const Attempt& a) { return a.out; });
-    return !is_out || !message || !message->arrives_in_pieces();
+    const bool any_in_flight =
+        std::any_of(attempts.begin(), attempts.end(), [](const Attempt& a) { return a.in_flight; });
+    return !any_in_flight || !message || !message->is_streamed();
 }
 
 void Engine::send(const Send& send) {
-    const auto it = calls_.find(send.id);
+    const auto it = requests_.find(send.id);
     const Time now = scheduler_.now();
     // Nothing goes out for a request that is complete, out of time or out of attempts.
-    if (it == calls_.end()) return;
-    Call& call = it->second;
-    const std::size_t number = call.attempts.size();
-    const bool may_send = call.may_send(now, limits_.max_attempts);
-    call.attempts.push_back({{}, now});
+    if (it == requests_.end()) return;
+    OpenRequest& request_state = it->second;
+    const std::size_t number = request_state.attempts.size();
+    const bool may_send = request_state.may_send(now, limits_.max_attempts);
+    request_state.attempts.push_back({{}, now});
     if (!may_send) {
         return ended(send.id, number, send.endpoint, Result{Status::NotSent});
     }
-    if (observer_) observer_->sent(send.id, number, send.endpoint);
-    const Time end = send.timeout == Duration{} ? call.deadline : std::min(call.deadline, now + send.timeout);
-    const auto handle = back_.send(send.endpoint, call.message, end,
-                                   [this, id = send.id, number, endpoint = send.endpoint](Result&& result) {
-                                       ended(id, number, endpoint, std::move(result));
-                                   });
-    if (const auto still = calls_.find(send.id); still != calls_.end()) {
+    if (observer_) observer_->attempt_sent(send.id, number, send.endpoint);
+    const Time end = send.timeout == Duration{} ? request_state.deadline
+                                                : std::min(request_state.deadline, now + send.timeout);
+    const auto handle =
+        endpoint_client_.send(send.endpoint, request_state.message, end,
+                              [this, id = send.id, number, endpoint = send.endpoint](Result&& result) {
+                                  ended(id, number, endpoint, std::move(result));
+                              });
+    if (const auto still = requests_.find(send.id); still != requests_.end()) {
         still->second.attempts[number].handle = handle;
     }
 }
 
 void Engine::ended(const RequestId& id, std::size_t number, EndpointId endpoint, Result&& result) {
-    const auto it = calls_.find(id);
-    if (it == calls_.end()) return;
-    Call& call = it->second;
-    call.attempts[number].out = false;
+    const auto it = requests_.find(id);
+    if (it == requests_.end()) return;
+    OpenRequest& request_state = it->second;
+    request_state.attempts[number].in_flight = false;
     const Status status = result.status;
-    if (observer_) observer_->ended(id, number, status);
+    if (observer_) observer_->attempt_ended(id, number, status);
     Outcome outcome{id,
                     static_cast<AttemptNumber>(number),
                     endpoint,
                     result.status,
-                    scheduler_.now() - call.attempts[number].sent,
+                    scheduler_.now() - request_state.attempts[number].sent,
                     false,
                     std::nullopt,
-                    result.kept};
+                    result.connection_reusable};
     if (result.status == Status::Ok) {
         Answer answer{Answer::Kind::Served, std::move(result.body), std::move(result.content_type), {}};
         answer.rest = std::move(result.rest);
@@ -197,66 +206,67 @@
         answer.length = result.length;
         const auto rest = answer.rest;
         // Guards against an endpoint that goes on answering a caller who has left.
-        if (!complete(id, std::move(answer), Why::Endpoint) && rest) rest->stop_reading();
+        if (!complete(id, std::move(answer), CompletionReason::Endpoint) && rest) rest->stop_reading();
     } else if (result.status == Status::Error && result.head) {
-        call.failure = std::move(result.head);
-        call.failure_body = std::move(result.body);
-    } else if (call.message && !call.message->resendable()) {
+        request_state.failure = std::move(result.head);
+        request_state.failure_body = std::move(result.body);
+    } else if (request_state.message && !request_state.message->resendable()) {
         // Its body has been handed on and let go: there is nothing left that could be sent.
         const bool never_ran = result.status == Status::Full || result.status == Status::ConnectFailed ||
                                result.status == Status::NotSent;
         complete(id, Answer{never_ran ? Answer::Kind::Refused : Answer::Kind::Failed, {}, {}, {}},
-                 Why::Spent);
+                 CompletionReason::BodyConsumed);
     }
-    const auto still = calls_.find(id);
-    outcome.last = still == calls_.end() || !still->second.reply;
-    forget_if_over(id);
+    const auto still = requests_.find(id);
+    outcome.last = still == requests_.end() || !still->second.reply;
+    erase_if_finished(id);
     post(std::move(outcome));
     if (ended_) ended_(endpoint, status);
 }
 
 /// The one place that completes a request: at most once, and nothing more of it goes out.
-bool Engine::complete(const RequestId& id, Answer&& answer, Why why) {
-    const auto it = calls_.find(id);
-    const Reply reply = it == calls_.end() ? nullptr : std::exchange(it->second.reply, nullptr);
+bool Engine::complete(const RequestId& id, Answer&& answer, CompletionReason reason) {
+    const auto it = requests_.find(id);
+    const Reply reply = it == requests_.end() ? nullptr : std::exchange(it->second.reply, nullptr);
     if (!reply) return false;
     it->second.backstop.cancel();
     if (answer.kind == Answer::Kind::Failed && it->second.failure) {
         answer.head = std::move(it->second.failure);
         answer.body = std::move(it->second.failure_body);
     }
-    Tally::Ticket ticket = std::move(it->second.ticket);
-    const Tally::End how = answer.kind == Answer::Kind::Served    ? Tally::End::Served
-                           : answer.kind == Answer::Kind::Refused ? Tally::End::Refused
-                                                                  : Tally::End::Failed;
+    RequestCounters::Ticket ticket = std::move(it->second.ticket);
+    const RequestCounters::Outcome outcome =
+        answer.kind == Answer::Kind::Served    ? RequestCounters::Outcome::Served
+        : answer.kind == Answer::Kind::Refused ? RequestCounters::Outcome::Refused
+                                               : RequestCounters::Outcome::Failed;
     if (answer.rest) {
         answer.ticket = std::move(ticket);
     } else {
-        ticket.end(how);
+        ticket.end(outcome);
     }
-    if (observer_) observer_->completed(id, how, why);
+    if (observer_) observer_->request_completed(id, outcome, reason);
     // Guards against an attempt that was waiting for its connection and would be written after the answer.
     // Each that ends may end the call too: go by a copy.
-    std::vector<Back::Handle> out;
+    std::vector<EndpointClient::Handle> in_flight;
     for (const Attempt& attempt : it->second.attempts) {
-        if (attempt.out) out.push_back(attempt.handle);
+        if (attempt.in_flight) in_flight.push_back(attempt.handle);
     }
-    for (const Back::Handle& attempt : out) {
-        if (const auto handle = attempt.lock()) handle->withdraw_unwritten();
+    for (const EndpointClient::Handle& attempt : in_flight) {
+        if (const auto handle = attempt.lock()) handle->withdraw_if_unsent();
     }
-    forget_if_over(id);
-    if (witness_) answer.on_written = witness_->completed(id, answer.kind);
+    erase_if_finished(id);
+    if (interceptor_) answer.on_written = interceptor_->completed(id, answer.kind);
     reply(std::move(answer));
     return true;
 }
 
 /// Kept while an answer is owed or an attempt is out: the id may not come anew before.
-void Engine::forget_if_over(const RequestId& id) {
-    const auto it = calls_.find(id);
-    if (it == calls_.end() || it->second.reply) return;
+void Engine::erase_if_finished(const RequestId& id) {
+    const auto it = requests_.find(id);
+    if (it == requests_.end() || it->second.reply) return;
     const auto& attempts = it->second.attempts;
-    if (std::none_of(attempts.begin(), attempts.end(), [](const Attempt& a) { return a.out; }))
-        calls_.erase(it);
+    if (std::none_of(attempts.begin(), attempts.end(), [](const Attempt& a) { return a.in_flight; }))
+        requests_.erase(it);
 }
 
 }  // namespace martenford
--- a/src/core/events.cpp
+++ b/src/core/events.cpp
@@ -19,13 +19,13 @@
 
 namespace {
 
-constexpr std::chrono::minutes kWindow{1};
-constexpr std::size_t kLongest = 2048;  // bytes of a line: under what a pipe takes whole
+constexpr std::chrono::minutes kRateLimitWindow{1};
+constexpr std::size_t kMaxLineBytes = 2048;  // bytes of a line: under what a pipe takes whole
 
 /// Standard error, without ever waiting for who reads it.
-class PatientSink : public spdlog::sinks::base_sink<spdlog::details::null_mutex> {
+class NonBlockingSink : public spdlog::sinks::base_sink<spdlog::details::null_mutex> {
   public:
-    PatientSink() {
+    NonBlockingSink() {
         struct stat about {};
         // A pipe gets a description of its own: the flag must not change for others that write to it.
         if (::fstat(STDERR_FILENO, &about) == 0 && S_ISFIFO(about.st_mode)) {
@@ -33,11 +33,11 @@
             if (own >= 0) fd_ = own;
         }
     }
-    ~PatientSink() override {
+    ~NonBlockingSink() override {
         if (fd_ != STDERR_FILENO) ::close(fd_);
     }
     std::uint64_t lost() const { return lost_; }
-    void told_of_lost() { lost_ = 0; }
+    void reset_lost() { lost_ = 0; }
 
   protected:
     void sink_it_(const spdlog::details::log_msg& message) override {
@@ -53,86 +53,98 @@
 };
 
 struct Log {
-    Log() : sink(std::make_shared<PatientSink>()), logger("martenford", sink) {
+    Log() : sink(std::make_shared<NonBlockingSink>()), logger("martenford", sink) {
         sink->set_formatter(std::make_unique<spdlog::pattern_formatter>("%n: %v"));
     }
-    std::shared_ptr<PatientSink> sink;
+    std::shared_ptr<NonBlockingSink> sink;
     spdlog::logger logger;
-    struct Count {
-        std::chrono::steady_clock::time_point from{};
-        unsigned told = 0;
-        std::uint64_t untold = 0;
+    struct RateLimit {
+        std::chrono::steady_clock::time_point window_start{};
+        unsigned emitted = 0;
+        std::uint64_t suppressed = 0;
     };
-    std::vector<Count> counts{event_kinds().size()};
+    std::vector<RateLimit> rate_limits{event_kinds().size()};
 };
 
-Log& the_log() {
+Log& log_state() {
     static Log log;
     return log;
 }
 
-spdlog::level::level_enum level_of(Weight weight) {
-    return weight == Weight::Info      ? spdlog::level::info
-           : weight == Weight::Warning ? spdlog::level::warn
-                                       : spdlog::level::err;
+spdlog::level::level_enum level_of(Severity severity) {
+    return severity == Severity::Info      ? spdlog::level::info
+           : severity == Severity::Warning ? spdlog::level::warn
+                                           : spdlog::level::err;
 }
 
 }  // namespace
 
 const std::vector<EventKind>& event_kinds() {
-    constexpr unsigned kRare = 60;    // things that happen some times a day
-    constexpr unsigned kOften = 120;  // in a large fleet that starts or falls, many at once
+    constexpr unsigned kRareLinesPerMinute = 60;       // things that happen some times a day
+    constexpr unsigned kFrequentLinesPerMinute = 120;  // in a large fleet that starts or falls, many at once
     using enum Event;
     static const std::vector<EventKind> kinds{
-        {Listening, "MF001", "front.listening", Weight::Info, kRare, "It takes clients, at this address"},
-        {Console, "MF002", "console.listening", Weight::Info, kRare, "Operators call at this address"},
-        {TakesOver, "MF003", "handover.takes_over", Weight::Info, kRare,
+        {Listening, "MF001", "front.listening", Severity::Info, kRareLinesPerMinute,
+         "It takes clients, at this address"},
+        {ConsoleListening, "MF002", "console.listening", Severity::Info, kRareLinesPerMinute,
+         "Operators call at this address"},
+        {TakeoverStarted, "MF003", "handover.takes_over", Severity::Info, kRareLinesPerMinute,
          "An earlier process of this sidecar hands over to it"},
-        {NoHeir, "MF004", "handover.no_heir", Weight::Warning, kRare,
+        {NoSuccessor, "MF004", "handover.no_heir", Severity::Warning, kRareLinesPerMinute,
          "No later process can take over from it: the next upgrade refuses connections"},
-        {Evacuates, "MF005", "front.evacuates", Weight::Info, kRare, "An operator sends its clients away"},
-        {Activates, "MF006", "front.activates", Weight::Info, kRare, "An operator has it serve again"},
-        {ConfigKept, "MF007", "config.kept", Weight::Error, kRare,
+        {Evacuates, "MF005", "front.evacuates", Severity::Info, kRareLinesPerMinute,
+         "An operator sends its clients away"},
+        {Activates, "MF006", "front.activates", Severity::Info, kRareLinesPerMinute,
+         "An operator has it serve again"},
+        {ConfigRejected, "MF007", "config.kept", Severity::Error, kRareLinesPerMinute,
          "A new configuration can't be read; the old one stays"},
-        {DiscoveryMoves, "MF010", "discovery.moves", Weight::Info, kRare,
+        {DiscoveryAddressChanged, "MF010", "discovery.moves", Severity::Info, kRareLinesPerMinute,
          "Discovery is asked at another address"},
-        {DiscoveryAnew, "MF011", "discovery.anew", Weight::Warning, kRare,
+        {DiscoveryResync, "MF011", "discovery.anew", Severity::Warning, kRareLinesPerMinute,
          "Endpoints are not as listed: discovery is asked anew"},
-        {DiscoveryTrouble, "MF012", "discovery.trouble", Weight::Warning, kRare,
+        {DiscoveryCallFailed, "MF012", "discovery.trouble", Severity::Warning, kRareLinesPerMinute,
          "A call of discovery failed; it is repeated"},
-        {DiscoveryRemark, "MF013", "discovery.remark", Weight::Warning, kRare,
+        {DiscoveryListSuspicious, "MF013", "discovery.remark", Severity::Warning, kRareLinesPerMinute,
          "A list is doubted, or takes away much of the tier"},
-        {EntriesSkipped, "MF014", "discovery.skipped", Weight::Warning, kRare,
+        {EntriesSkipped, "MF014", "discovery.skipped", Severity::Warning, kRareLinesPerMinute,
          "Entries of a list can't be read and were left out"},
-        {JournalLost, "MF020", "ledger.lost", Weight::Error, kRare,
+        {JournalWriterLost, "MF020", "ledger.lost", Severity::Error, kRareLinesPerMinute,
          "The journal's writer died, hung or can keep nothing; it is started again"},
-        {JournalWorks, "MF021", "ledger.works", Weight::Info, kRare, "The journal keeps records again"},
-        {JournalUnkept, "MF022", "ledger.unkept", Weight::Error, kRare,
+        {JournalRecovered, "MF021", "ledger.works", Severity::Info, kRareLinesPerMinute,
+         "The journal keeps records again"},
+        {JournalBypassed, "MF022", "ledger.unkept", Severity::Error, kRareLinesPerMinute,
          "Requests that must not run twice go out unjournaled, as configured"},
-        {FleetListens, "MF100", "fleet.listens", Weight::Info, kRare, "Others of the fleet reach it here"},
-        {FleetNoPlace, "MF101", "fleet.no_place", Weight::Error, kRare,
+        {FleetListening, "MF100", "fleet.listens", Severity::Info, kRareLinesPerMinute,
+         "Others of the fleet reach it here"},
+        {FleetCannotListen, "MF101", "fleet.no_place", Severity::Error, kRareLinesPerMinute,
          "It can't listen for others; it serves without a fleet and tries again"},
-        {FleetJoined, "MF102", "fleet.joined", Weight::Info, kOften, "A member is new here"},
-        {FleetLeft, "MF103", "fleet.left", Weight::Info, kOften, "A member ended in order"},
-        {FleetDied, "MF104", "fleet.died", Weight::Warning, kOften, "Nobody reaches a member any more"},
-        {FleetLostAtOnce, "MF105", "fleet.lost_at_once", Weight::Error, kRare,
+        {FleetJoined, "MF102", "fleet.joined", Severity::Info, kFrequentLinesPerMinute,
+         "A member is new here"},
+        {FleetLeft, "MF103", "fleet.left", Severity::Info, kFrequentLinesPerMinute,
+         "A member ended in order"},
+        {FleetDied, "MF104", "fleet.died", Severity::Warning, kFrequentLinesPerMinute,
+         "Nobody reaches a member any more"},
+        {FleetMassLoss, "MF105", "fleet.lost_at_once", Severity::Error, kRareLinesPerMinute,
          "Several members went together: a partition, a zone, a rollout"},
-        {FleetReturned, "MF106", "fleet.returned", Weight::Info, kOften,
+        {FleetReturned, "MF106", "fleet.returned", Severity::Info, kFrequentLinesPerMinute,
          "A member that was held dead was not"},
-        {FleetDoubled, "MF107", "fleet.doubled", Weight::Error, kRare,
+        {FleetDuplicateName, "MF107", "fleet.doubled", Severity::Error, kRareLinesPerMinute,
          "Two live processes have one name, and neither takes over from the other"},
-        {FleetStood, "MF108", "fleet.stood", Weight::Warning, kRare, "This process stood still"},
-        {FleetAccused, "MF109", "fleet.accused", Weight::Warning, kRare,
+        {FleetProcessPaused, "MF108", "fleet.stood", Severity::Warning, kRareLinesPerMinute,
+         "This process stood still"},
+        {FleetSuspicionRefuted, "MF109", "fleet.accused", Severity::Warning, kRareLinesPerMinute,
          "This process was suspected, and has refuted it"},
-        {StateCaughtUp, "MF120", "state.caught_up", Weight::Info, kRare,
+        {StateCaughtUp, "MF120", "state.caught_up", Severity::Info, kRareLinesPerMinute,
          "It has had all shared state that another sidecar had"},
-        {StateUnkept, "MF121", "state.unkept", Weight::Error, kRare,
+        {StateNotPersisted, "MF121", "state.unkept", Severity::Error, kRareLinesPerMinute,
          "Shared state is not kept on disk now; it is shared all the same"},
-        {StateKept, "MF122", "state.kept", Weight::Info, kRare, "Shared state is kept on disk again"},
-        {StateAside, "MF123", "state.aside", Weight::Error, kRare,
+        {StatePersisted, "MF122", "state.kept", Severity::Info, kRareLinesPerMinute,
+         "Shared state is kept on disk again"},
+        {StateCopyRejected, "MF123", "state.aside", Severity::Error, kRareLinesPerMinute,
          "A copy on disk, or entries of it, can't be used: old, damaged, of another fleet or a later "
          "version"},
-        {LinesLost, "MF900", "log.lost", Weight::Warning, kRare, "Nobody read the log fast enough"}};
+        {LogLinesLost, "MF900", "log.lost", Severity::Warning, kRareLinesPerMinute,
+         "Nobody read the log fast enough"}};
     return kinds;
 }
 
@@ -144,40 +156,42 @@
         "is counted and "
         "told of with the next of its kind.\n\n| code | name | weight | a minute | meaning |\n| --- | --- | "
         "--- | --- | --- |\n";
-    constexpr const char* kWeights[] = {"info", "warning", "error"};
+    constexpr const char* kSeverities[] = {"info", "warning", "error"};
     for (const EventKind& kind : event_kinds()) {
         page += fmt::format("| `{}` | `{}` | {} | {} | {} |\n", kind.code, kind.name,
-                            kWeights[static_cast<std::size_t>(kind.weight)], kind.most, kind.meaning);
+                            kSeverities[static_cast<std::size_t>(kind.severity)], kind.max_lines_per_minute,
+                            kind.meaning);
     }
     return page;
 }
 
-void tell(Event event, const std::string& text, std::initializer_list<Field> fields) {
-    Log& log = the_log();
+void log_event(Event event, const std::string& text, std::initializer_list<Field> fields) {
+    Log& log = log_state();
     const EventKind& kind = event_kinds()[static_cast<std::size_t>(event)];
-    Log::Count& count = log.counts[static_cast<std::size_t>(event)];
+    Log::RateLimit& rate_limit = log.rate_limits[static_cast<std::size_t>(event)];
     const auto now = std::chrono::steady_clock::now();
-    if (now >= count.from + kWindow) {
-        count.from = now;
-        count.told = 0;
+    if (now >= rate_limit.window_start + kRateLimitWindow) {
+        rate_limit.window_start = now;
+        rate_limit.emitted = 0;
     }
-    if (count.told >= kind.most) {
-        ++count.untold;
+    if (rate_limit.emitted >= kind.max_lines_per_minute) {
+        ++rate_limit.suppressed;
         return;
     }
-    ++count.told;
+    ++rate_limit.emitted;
     std::string line = fmt::format("{} {}", kind.code, text);
     bool first = true;
     for (const auto& [key, value] : fields) {
         line += fmt::format("{}{}={}", std::exchange(first, false) ? " | " : " ", key, value);
     }
-    if (count.untold > 0) line += fmt::format(" ({} more before)", std::exchange(count.untold, 0));
-    if (line.size() > kLongest) line.resize(kLongest);
-    log.logger.log(level_of(kind.weight), "{}", line);
-    if (event != Event::LinesLost && log.sink->lost() > 0) {
+    if (rate_limit.suppressed > 0)
+        line += fmt::format(" ({} more before)", std::exchange(rate_limit.suppressed, 0));
+    if (line.size() > kMaxLineBytes) line.resize(kMaxLineBytes);
+    log.logger.log(level_of(kind.severity), "{}", line);
+    if (event != Event::LogLinesLost && log.sink->lost() > 0) {
         const auto lost = log.sink->lost();
-        log.sink->told_of_lost();
-        tell(Event::LinesLost, fmt::format("{} lines found no reader", lost));
+        log.sink->reset_lost();
+        log_event(Event::LogLinesLost, fmt::format("{} lines found no reader", lost));
     }
 }
 
--- a/src/core/events.h
+++ b/src/core/events.h
@@ -13,45 +13,46 @@
 
 enum class Event {
     Listening,
-    Console,
-    TakesOver,
-    NoHeir,
+    ConsoleListening,
+    TakeoverStarted,
+    NoSuccessor,
     Evacuates,
     Activates,
-    ConfigKept,
-    DiscoveryMoves,
-    DiscoveryAnew,
-    DiscoveryTrouble,
-    DiscoveryRemark,
+    ConfigRejected,
+    DiscoveryAddressChanged,
+    DiscoveryResync,
+    DiscoveryCallFailed,
+    DiscoveryListSuspicious,
     EntriesSkipped,
-    JournalLost,
-    JournalWorks,
-    JournalUnkept,
-    FleetListens,
-    FleetNoPlace,
+    JournalWriterLost,
+    JournalRecovered,
+    JournalBypassed,
+    FleetListening,
+    FleetCannotListen,
     FleetJoined,
     FleetLeft,
     FleetDied,
-    FleetLostAtOnce,
+    FleetMassLoss,
     FleetReturned,
-    FleetDoubled,
-    FleetStood,
-    FleetAccused,
+    FleetDuplicateName,
+    FleetProcessPaused,
+    FleetSuspicionRefuted,
     StateCaughtUp,
-    StateUnkept,
-    StateKept,
-    StateAside,
-    LinesLost
+    StateNotPersisted,
+    StatePersisted,
+    StateCopyRejected,
+    LogLinesLost
 };
 
-enum class Weight { Info, Warning, Error };
+enum class Severity { Info, Warning, Error };
 
 struct EventKind {
     Event event;
     const char* code;  ///< "MF101": stays with its meaning for good
     const char* name;  ///< "package.what"
-    Weight weight;
-    unsigned most;  ///< lines a minute; what comes more often is counted, and told of with the next one
+    Severity severity;
+    unsigned max_lines_per_minute;  ///< lines a minute; what comes more often is counted, and told of with
+                                    ///< the next one
     const char* meaning;
 };
 const std::vector<EventKind>& event_kinds();
@@ -60,6 +61,6 @@
 
 using Field = std::pair<std::string_view, std::string>;
 /// One line: "martenford: CODE text | key=value ...".
-void tell(Event event, const std::string& text, std::initializer_list<Field> fields = {});
+void log_event(Event event, const std::string& text, std::initializer_list<Field> fields = {});
 
 }  // namespace martenford
--- a/src/core/loop.cpp
+++ b/src/core/loop.cpp
@@ -3,20 +3,20 @@
 namespace martenford {
 
 namespace {
-constexpr int kMostHandlers = 1000;  // run in one turn at most, so that timers fire under any load
+constexpr int kMaxHandlersPerTurn = 1000;  // run in one turn at most, so that timers fire under any load
 }
 
-Time Loop::monotonic() {
+Time EventLoop::monotonic() {
     return Time{std::chrono::duration_cast<Duration>(std::chrono::steady_clock::now().time_since_epoch())};
 }
 
-Loop::Key Loop::add(Time when, std::function<void()> what) {
-    const Key key{when, ++last_};
-    timers_.emplace(key, std::move(what));
+EventLoop::Key EventLoop::add(Time when, std::function<void()> callback) {
+    const Key key{when, ++last_id_};
+    timers_.emplace(key, std::move(callback));
     return key;
 }
 
-void Loop::run() {
+void EventLoop::run() {
     const auto guard = asio::make_work_guard(io_);
     while (!stopped_) {
         if (timers_.empty()) {
@@ -27,13 +27,13 @@
         }
         // Guards against a process that got no core for a while and then takes an answer that is already here
         // for one that never came: all that is ready is read before any time-out is looked at.
-        for (int i = 0; i < kMostHandlers && !stopped_ && io_.poll_one() > 0; ++i) {
+        for (int i = 0; i < kMaxHandlersPerTurn && !stopped_ && io_.poll_one() > 0; ++i) {
         }
         fire_due();
     }
 }
 
-void Loop::fire_due() {
+void EventLoop::fire_due() {
     const Time until = now();
     while (!stopped_ && !timers_.empty() && timers_.begin()->first.first <= until) {
         const auto node = timers_.extract(timers_.begin());
--- a/src/core/loop.h
+++ b/src/core/loop.h
@@ -11,17 +11,17 @@
 
 namespace asio = boost::asio;
 
-class Loop : public Scheduler {
+class EventLoop : public Scheduler {
   public:
-    Loop() = default;
+    EventLoop() = default;
     /// What pending timers hold may hold timers of its own: those find the table empty.
-    ~Loop() override { const auto pending = std::exchange(timers_, {}); }
+    ~EventLoop() override { const auto pending = std::exchange(timers_, {}); }
 
     asio::io_context& io() { return io_; }
     /// The monotonic clock, as the module counts time.
     static Time monotonic();
     Time now() const override { return monotonic(); }
-    Key add(Time when, std::function<void()> what) override;
+    Key add(Time when, std::function<void()> callback) override;
     void remove(const Key& key) override { timers_.erase(key); }
     /// Runs until stop().
     void run();
@@ -33,7 +33,7 @@
     void fire_due();
 
     std::map<Key, std::function<void()>> timers_;  // outlives io_, whose handlers own timers
-    std::uint64_t last_ = 0;
+    std::uint64_t last_id_ = 0;
     bool stopped_ = false;
     asio::io_context io_{1};
 };
--- a/src/core/observer.h
+++ b/src/core/observer.h
@@ -12,21 +12,23 @@
 class Observer {
   public:
     /// Who answered a request, where no endpoint did.
-    enum class Why {
-        Endpoint,  ///< an endpoint did
-        Module,    ///< the decision module: turned away, or given up on
-        Journal,   ///< the journal could not take it
-        Deadline,  ///< the module had not spoken by its deadline
-        Client,    ///< its client left
-        Spent,     ///< its body had been passed on and can't go again
+    enum class CompletionReason {
+        Endpoint,            ///< an endpoint did
+        Policy,              ///< the decision module: turned away, or given up on
+        Journal,             ///< the journal could not take it
+        Deadline,            ///< the module had not spoken by its deadline
+        ClientDisconnected,  ///< its client left
+        BodyConsumed,        ///< its body had been passed on and can't go again
     };
 
     virtual ~Observer() = default;
-    virtual void taken(const decision::Request& request) = 0;
-    virtual void sent(const decision::RequestId& id, std::size_t attempt, EndpointId endpoint) = 0;
-    virtual void ended(const decision::RequestId& id, std::size_t attempt, decision::Status status) = 0;
-    virtual void completed(const decision::RequestId& id, Tally::End how, Why why) = 0;
-    virtual void listed(const decision::Discovered& news) = 0;
+    virtual void request_accepted(const decision::Request& request) = 0;
+    virtual void attempt_sent(const decision::RequestId& id, std::size_t attempt, EndpointId endpoint) = 0;
+    virtual void attempt_ended(const decision::RequestId& id, std::size_t attempt,
+                               decision::Status status) = 0;
+    virtual void request_completed(const decision::RequestId& id, RequestCounters::Outcome outcome,
+                                   CompletionReason reason) = 0;
+    virtual void endpoints_listed(const decision::Discovered& news) = 0;
 };
 
 }  // namespace martenford
--- a/src/core/pipe.h
+++ b/src/core/pipe.h
@@ -13,67 +13,67 @@
 /// be told when nothing has changed for it.
 class Pipe {
   public:
-    enum class State { Open, Whole, Broken };
+    enum class State { Open, Complete, Failed };
 
     /// The writer stops for a while once `most` bytes are held; a piece put before that may go beyond it.
-    explicit Pipe(std::size_t most) : most_(most) {}
+    explicit Pipe(std::size_t max_bytes) : max_bytes_(max_bytes) {}
     Pipe(const Pipe&) = delete;
     Pipe& operator=(const Pipe&) = delete;
 
     // ---- the writer's side
-    void on_room(std::function<void()> told) { told_writer_ = std::move(told); }
-    bool has_room() const { return held_.size() < most_; }
+    void on_writable(std::function<void()> callback) { on_writable_ = std::move(callback); }
+    bool has_room() const { return buffered_.size() < max_bytes_; }
     /// Nobody reads what is put here any more.
-    bool unread() const { return unread_; }
+    bool reader_closed() const { return reader_closed_; }
     void put(std::string&& piece) {
-        if (state_ != State::Open || unread_ || piece.empty()) return;
+        if (state_ != State::Open || reader_closed_ || piece.empty()) return;
         // The reader has mostly taken what was there: then nothing is copied.
-        if (held_.empty()) {
-            held_ = std::move(piece);
+        if (buffered_.empty()) {
+            buffered_ = std::move(piece);
         } else {
-            held_.append(piece);
+            buffered_.append(piece);
         }
-        tell(told_reader_);
+        notify(on_readable_);
     }
     /// The body is complete.
-    void finish() { end(State::Whole); }
+    void finish() { end(State::Complete); }
     /// The rest will never come: whoever passes it on must let its peer see that.
-    void fail() { end(State::Broken); }
+    void fail() { end(State::Failed); }
 
     // ---- the reader's side
-    void on_more(std::function<void()> told) { told_reader_ = std::move(told); }
+    void on_readable(std::function<void()> callback) { on_readable_ = std::move(callback); }
     State state() const { return state_; }
-    bool empty() const { return held_.empty(); }
+    bool empty() const { return buffered_.empty(); }
     /// All that is held now.
     std::string take() {
-        std::string taken = std::exchange(held_, {});
-        if (!taken.empty()) tell(told_writer_);
+        std::string taken = std::exchange(buffered_, {});
+        if (!taken.empty()) notify(on_writable_);
         return taken;
     }
     void stop_reading() {
-        if (std::exchange(unread_, true)) return;
-        held_ = {};
-        told_reader_ = nullptr;
-        tell(std::exchange(told_writer_, nullptr));
+        if (std::exchange(reader_closed_, true)) return;
+        buffered_ = {};
+        on_readable_ = nullptr;
+        notify(std::exchange(on_writable_, nullptr));
     }
 
   private:
-    void end(State how) {
+    void end(State state) {
         if (state_ != State::Open) return;
-        state_ = how;
-        told_writer_ = nullptr;
-        tell(told_reader_);
+        state_ = state;
+        on_writable_ = nullptr;
+        notify(on_readable_);
     }
     /// By a copy: what is told may set another, or end the pipe.
-    static void tell(std::function<void()> whom) {
-        if (whom) whom();
+    static void notify(std::function<void()> callback) {
+        if (callback) callback();
     }
 
-    std::size_t most_;
-    std::string held_;
+    std::size_t max_bytes_;
+    std::string buffered_;
     State state_ = State::Open;
-    bool unread_ = false;
-    std::function<void()> told_writer_, told_reader_;
+    bool reader_closed_ = false;
+    std::function<void()> on_writable_, on_readable_;
 };
 
 }  // namespace martenford
--- a/src/core/request_counters.h
+++ b/src/core/request_counters.h
@@ -11,36 +11,38 @@
 
 namespace martenford {
 
-class Tally {
+class RequestCounters {
   public:
-    enum class End { Served, Refused, Failed };
+    enum class Outcome { Served, Refused, Failed };
 
     /// A request under way; it ends once. One that is dropped unended has failed.
     class Ticket {
       public:
         Ticket() = default;
         Ticket(Ticket&& other) noexcept
-            : tally_(std::exchange(other.tally_, nullptr)), class_index_(other.class_index_) {}
+            : counters_(std::exchange(other.counters_, nullptr)), class_index_(other.class_index_) {}
         Ticket& operator=(Ticket&& other) noexcept {
-            end(End::Failed);
-            tally_ = std::exchange(other.tally_, nullptr);
+            end(Outcome::Failed);
+            counters_ = std::exchange(other.counters_, nullptr);
             class_index_ = other.class_index_;
             return *this;
         }
-        ~Ticket() { end(End::Failed); }
-        void end(End how) {
-            if (Tally* tally = std::exchange(tally_, nullptr)) tally->ended(class_index_, how);
+        ~Ticket() { end(Outcome::Failed); }
+        void end(Outcome outcome) {
+            if (RequestCounters* request_counters = std::exchange(counters_, nullptr))
+                request_counters->ended(class_index_, outcome);
         }
 
       private:
-        friend class Tally;
-        Ticket(Tally& tally, std::uint32_t class_index) : tally_(&tally), class_index_(class_index) {}
-        Tally* tally_ = nullptr;
+        friend class RequestCounters;
+        Ticket(RequestCounters& request_counters, std::uint32_t class_index)
+            : counters_(&request_counters), class_index_(class_index) {}
+        RequestCounters* counters_ = nullptr;
         std::uint32_t class_index_ = 0;
     };
 
     /// Outlives the tickets; `counters` outlives it.
-    Tally(Counters& counters, const std::vector<decision::RequestClass>& classes) {
+    RequestCounters(Counters& counters, const std::vector<decision::RequestClass>& classes) {
         for (const decision::RequestClass& c : classes) {
             by_class_.push_back(
                 {&counters.counter("requests.served", "answered by an endpoint", c.name),
@@ -50,8 +52,8 @@
         counters.gauge("requests.in_flight", "taken and not yet ended",
                        [this] { return static_cast<double>(in_flight_); });
     }
-    Tally(const Tally&) = delete;
-    Tally& operator=(const Tally&) = delete;
+    RequestCounters(const RequestCounters&) = delete;
+    RequestCounters& operator=(const RequestCounters&) = delete;
 
     Ticket open(std::uint32_t class_index) {
         ++in_flight_;
@@ -63,11 +65,14 @@
     struct Ends {
         Counter *served, *refused, *failed;
     };
-    void ended(std::uint32_t class_index, End how) {
+    void ended(std::uint32_t class_index, Outcome outcome) {
         --in_flight_;
         if (class_index >= by_class_.size()) return;
         const Ends& ends = by_class_[class_index];
-        (how == End::Served ? ends.served : how == End::Refused ? ends.refused : ends.failed)->add();
+        (outcome == Outcome::Served    ? ends.served
+         : outcome == Outcome::Refused ? ends.refused
+                                       : ends.failed)
+            ->add();
     }
     std::vector<Ends> by_class_;
     std::uint64_t in_flight_ = 0;
--- a/src/core/scheduler.h
+++ b/src/core/scheduler.h
@@ -28,7 +28,7 @@
 
     virtual Time now() const = 0;
     /// Calls `what` once, at `when` or as soon as it can be after it.
-    virtual Key add(Time when, std::function<void()> what) = 0;
+    virtual Key add(Time when, std::function<void()> callback) = 0;
     /// No-op where the timer has fired or is gone.
     virtual void remove(const Key& key) = 0;
 };
@@ -40,9 +40,9 @@
     Timer(const Timer&) = delete;
     Timer& operator=(const Timer&) = delete;
     ~Timer() { cancel(); }
-    void set(Time when, std::function<void()> what) {
+    void set(Time when, std::function<void()> callback) {
         cancel();
-        key_ = scheduler_.add(when, std::move(what));
+        key_ = scheduler_.add(when, std::move(callback));
     }
     void cancel() {
         if (key_) scheduler_.remove(*std::exchange(key_, std::nullopt));
--- a/src/core/transport.h
+++ b/src/core/transport.h
@@ -6,9 +6,9 @@
 namespace martenford {
 
 /// An answer sent later than this before its client's end misses it: fronts take it off a caller's time.
-constexpr Duration kOnTheWay = 5ms;
+constexpr Duration kResponseTransitTime = 5ms;
 /// Share of an endpoint's idle limit after which a back closes an idle connection: from there on the endpoint
 /// may close it, unseen by us.
-constexpr double kIdleShare = 0.8;
+constexpr double kIdleTimeoutShare = 0.8;
 
 }  // namespace martenford
--- a/src/core/words.h
+++ b/src/core/words.h
@@ -10,7 +10,7 @@
 
 namespace martenford {
 
-inline std::string escaped(std::string_view text) {
+inline std::string percent_encode(std::string_view text) {
     constexpr char kDigits[] = "0123456789abcdef";
     std::string result;
     for (const char c : text) {
@@ -27,7 +27,7 @@
 }
 
 /// Nothing where a % is followed by no two digits.
-inline std::optional<std::string> unescaped(std::string_view text) {
+inline std::optional<std::string> percent_decode(std::string_view text) {
     const auto digit = [](char c) {
         return c >= '0' && c <= '9'   ? c - '0'
                : c >= 'a' && c <= 'f' ? c - 'a' + 10
@@ -48,7 +48,7 @@
 }
 
 /// The first word, and the rest.
-inline std::pair<std::string_view, std::string_view> first_word(std::string_view line) {
+inline std::pair<std::string_view, std::string_view> split_first_word(std::string_view line) {
     const std::size_t end = std::min(line.find(' '), line.size());
     return {line.substr(0, end), line.substr(std::min(end + 1, line.size()))};
 }
--- a/src/discovery/discovery.cpp
+++ b/src/discovery/discovery.cpp
@@ -31,14 +31,14 @@
 /// When the Unix epoch was, on the loop's clock.
 Time unix_epoch() {
     const auto wall = std::chrono::system_clock::now().time_since_epoch();
-    return Loop::monotonic() - std::chrono::duration_cast<Duration>(wall);
+    return EventLoop::monotonic() - std::chrono::duration_cast<Duration>(wall);
 }
 
 }  // namespace
 
 /// A connection to discovery and the call on it. Handlers hold it, so it may be dropped at any time.
 struct Discovery::Exchange {
-    explicit Exchange(Loop& loop) : socket(loop.io()), limit(loop) {}
+    explicit Exchange(EventLoop& loop) : socket(loop.io()), limit(loop) {}
     asio::ip::tcp::socket socket;
     Timer limit;
     boost::beast::flat_buffer buffer;
@@ -46,7 +46,7 @@
     std::optional<http::response_parser<http::string_body>> answer;
 };
 
-Discovery::Discovery(Loop& loop, Placement& placement, Engine& engine, const Config& config,
+Discovery::Discovery(EventLoop& loop, EndpointTable& placement, Engine& engine, const Config& config,
                      const Membership::Options& options, Counters& counters)
     : loop_(loop),
       placement_(placement),
@@ -86,7 +86,7 @@
 Discovery::~Discovery() = default;
 
 void Discovery::start() {
-    if (config_.known) apply(membership_.take(*config_.known, true, Loop::monotonic(), unix_epoch()));
+    if (config_.known) apply(membership_.take(*config_.known, true, EventLoop::monotonic(), unix_epoch()));
     if (!config_.settings.subscribe) subscribe();
 }
 
@@ -97,8 +97,8 @@
 void Discovery::move(const Address& address) {
     if (address == address_) return;
     drop(silent_);
-    tell(martenford::Event::DiscoveryMoves,
-         "discovery: moves to " + address.address().to_string() + ":" + std::to_string(address.port()));
+    log_event(martenford::Event::DiscoveryAddressChanged,
+              "discovery: moves to " + address.address().to_string() + ":" + std::to_string(address.port()));
     address_ = address;
     // Guards against a revision that means something else to the new agent: it is asked for the whole list,
     // and changes from it are no use before that.
@@ -133,7 +133,7 @@
             failed(why);
         }
     };
-    exchange->limit.set(Loop::monotonic() + kConnect, [fail] { fail("no connection in time"); });
+    exchange->limit.set(EventLoop::monotonic() + kConnect, [fail] { fail("no connection in time"); });
     const auto current = [this, exchange, fail](const error_code& error, const char* what) {
         if (exchange_ != exchange && silent_ != exchange) return false;
         if (error) fail(std::string(what) + ": " + error.message());
@@ -153,15 +153,17 @@
         if (!current(error, "write")) return;
         // Guards against a list that breaks off in silence: what it has to tell would be missed until the
         // watch's end, while a fresh call brings it at once.
-        exchange->socket.async_wait(asio::ip::tcp::socket::wait_read, [exchange, current, fail,
-                                                                       read](const error_code& e) {
-            if (!current(e, "wait")) return;
-            exchange->limit.set(Loop::monotonic() + kWhole, [fail] { fail("an answer stopped half way"); });
-            http::async_read(exchange->socket, exchange->buffer, *exchange->answer, read);
-        });
+        exchange->socket.async_wait(
+            asio::ip::tcp::socket::wait_read, [exchange, current, fail, read](const error_code& e) {
+                if (!current(e, "wait")) return;
+                exchange->limit.set(EventLoop::monotonic() + kWhole,
+                                    [fail] { fail("an answer stopped half way"); });
+                http::async_read(exchange->socket, exchange->buffer, *exchange->answer, read);
+            });
     };
     const auto write = [exchange, fail, written] {
-        exchange->limit.set(Loop::monotonic() + kWatch + kPatience, [fail] { fail("no answer in time"); });
+        exchange->limit.set(EventLoop::monotonic() + kWatch + kPatience,
+                            [fail] { fail("no answer in time"); });
         http::async_write(exchange->socket, exchange->call, written);
     };
     if (!fresh) return write();
@@ -174,12 +176,12 @@
 }
 
 void Discovery::saw(EndpointId id, Status status) {
-    if (!staleness_.ended(id, status, Loop::monotonic()) || !exchange_) return;
+    if (!staleness_.ended(id, status, EventLoop::monotonic()) || !exchange_) return;
     Random random(random_);
     random_ = random.next();
-    suspect_.set(Loop::monotonic() + scaled(kAskSpread, random.unit()), [this] {
+    suspect_.set(EventLoop::monotonic() + scaled(kAskSpread, random.unit()), [this] {
         if (!exchange_) return;
-        tell(martenford::Event::DiscoveryAnew, "discovery: endpoints are not as listed; asked anew");
+        log_event(martenford::Event::DiscoveryResync, "discovery: endpoints are not as listed; asked anew");
         asked_anew_.add();
         // The old watch is heard on until the fresh call is answered. Guards against losing what discovery
         // has just written to it: that counts as told, and the fresh call may wait its turn for longer than
@@ -199,29 +201,29 @@
 }
 
 void Discovery::failed(const std::string& why) {
-    tell(martenford::Event::DiscoveryTrouble, "discovery: " + why);
+    log_event(martenford::Event::DiscoveryCallFailed, "discovery: " + why);
     drop(exchange_);
-    if (config_.settings.subscribe) return engine_.tell({Discovered::Kind::Failed, nullptr});
+    if (config_.settings.subscribe) return engine_.handle_discovery({Discovered::Kind::Failed, nullptr});
     // The module asks only where lists must be asked for. Jitter: all sidecars may have failed at once.
     wait_ = std::clamp(wait_ * 2, kAgainFirst, kAgainMost);
     Random random(random_);
     random_ = random.next();
-    again_.set(Loop::monotonic() + scaled(wait_, 0.5 + random.unit() / 2), [this] { subscribe(); });
+    again_.set(EventLoop::monotonic() + scaled(wait_, 0.5 + random.unit() / 2), [this] { subscribe(); });
 }
 
 void Discovery::arrived(const std::string& body) {
     try {
         json::element root;
-        if (parser_.parse(body).get(root) != simdjson::SUCCESS) json::bad("not valid JSON");
+        if (parser_.parse(body).get(root) != simdjson::SUCCESS) json::throw_field_error("not valid JSON");
         const auto list = parse_targets(json::as<json::object>(root, "answer", "an object"), config_.names);
         whole_ = false;
-        auto update = membership_.take(list, false, Loop::monotonic(), unix_epoch());
+        auto update = membership_.take(list, false, EventLoop::monotonic(), unix_epoch());
         if (update.news.kind == Discovered::Kind::Failed) {
             return failed("an answer was skipped: " + update.remark);
         }
         heard_ = true;
         suspect_.cancel();
-        staleness_.told(!list.targets.empty(), Loop::monotonic());
+        staleness_.told(!list.targets.empty(), EventLoop::monotonic());
         apply(std::move(update));
         // The parser keeps some ten times the longest text that it has read.
         if (body.size() > kLargeList) parser_ = simdjson::dom::parser();
@@ -233,20 +235,21 @@
 }
 
 void Discovery::apply(Membership::Update&& update) {
-    if (!update.remark.empty()) tell(martenford::Event::DiscoveryRemark, "discovery: " + update.remark);
+    if (!update.remark.empty())
+        log_event(martenford::Event::DiscoveryListSuspicious, "discovery: " + update.remark);
     for (const EndpointId id : update.removed) placement_.remove(id);
     for (const auto& [id, address, ready, uid] : update.placed) {
-        if (uid) placement_.name(id, *uid);
-        placement_.place(id, address, ready);
+        if (uid) placement_.set_name(id, *uid);
+        placement_.set_endpoint(id, address, ready);
     }
-    if (update.news.kind != Discovered::Kind::Failed) engine_.tell(std::move(update.news));
+    if (update.news.kind != Discovered::Kind::Failed) engine_.handle_discovery(std::move(update.news));
     if (on_drained_ && heard_) {
         for (const Membership::Drained& each : update.drained)
             on_drained_(each, membership_.revision().value_or(0));
     }
     if (update.ask_whole) whole_ = true;
     if (const auto due = membership_.next_due()) {
-        doubt_.set(*due, [this] { apply(membership_.believe(Loop::monotonic())); });
+        doubt_.set(*due, [this] { apply(membership_.believe(EventLoop::monotonic())); });
     } else {
         doubt_.cancel();
     }
--- a/src/discovery/discovery.h
+++ b/src/discovery/discovery.h
@@ -21,7 +21,7 @@
 
 class Discovery {
   public:
-    Discovery(Loop& loop, Placement& placement, Engine& engine, const Config& config,
+    Discovery(EventLoop& loop, EndpointTable& placement, Engine& engine, const Config& config,
               const Membership::Options& options, Counters& counters);
     ~Discovery();
 
@@ -60,8 +60,8 @@
     void apply(Membership::Update&& update);
     void ask_anew();
 
-    Loop& loop_;
-    Placement& placement_;
+    EventLoop& loop_;
+    EndpointTable& placement_;
     Engine& engine_;
     const Config& config_;
     Address address_;
--- a/src/fleet/wire.cpp
+++ b/src/fleet/wire.cpp
@@ -56,7 +56,7 @@
     to.set_oldest(hello.oldest);
     to.set_newest(hello.newest);
     to.set_version(hello.version);
-    return framing::framed(out);
+    return framing::encode_message(out);
 }
 
 std::string frame_of(const Message& message) {
@@ -71,17 +71,17 @@
     to.set_want(message.want);
     to.set_stalled_ms(message.stalled_ms);
     for (const Claim& claim : message.claims) fill(*to.add_claims(), claim);
-    return framing::framed(out);
+    return framing::encode_message(out);
 }
 
 std::string frame_of(const Carried& carried) {
     wire::Frame out;
     out.set_state(carried.bytes);
-    return framing::framed(out);
+    return framing::encode_message(out);
 }
 
 Said read_said(std::string_view bytes) {
-    const auto in = framing::parsed<wire::Frame>(bytes);
+    const auto in = framing::decode_message<wire::Frame>(bytes);
     if (in.has_hello()) {
         const auto& from = in.hello();
         if (from.boot() == 0) throw FrameError("a hello can't be used");
--- a/src/framing/frame.cpp
+++ b/src/framing/frame.cpp
@@ -23,10 +23,10 @@
 
 }  // namespace
 
-std::string frame_of(std::string_view message, std::size_t most) {
-    if (message.size() > most) throw FrameError("a message is longer than a frame may be");
+std::string encode_frame(std::string_view message, std::size_t max_bytes) {
+    if (message.size() > max_bytes) throw FrameError("a message is longer than a frame may be");
     std::string frame;
-    frame.reserve(kFrameHead + message.size());
+    frame.reserve(kFrameHeaderBytes + message.size());
     put32(frame, static_cast<std::uint32_t>(message.size()));
     put32(frame, checksum(message));
     frame += message;
@@ -34,14 +34,14 @@
 }
 
 std::optional<std::string_view> FrameReader::next() {
-    const std::string_view rest = std::string_view(held_).substr(used_);
-    if (rest.size() < kFrameHead) return std::nullopt;
+    const std::string_view rest = std::string_view(buffer_).substr(consumed_);
+    if (rest.size() < kFrameHeaderBytes) return std::nullopt;
     const std::size_t size = get32(rest);
-    if (size > most_) throw FrameError("a frame is longer than one may be");
-    if (rest.size() < kFrameHead + size) return std::nullopt;
-    const std::string_view message = rest.substr(kFrameHead, size);
+    if (size > max_bytes_) throw FrameError("a frame is longer than one may be");
+    if (rest.size() < kFrameHeaderBytes + size) return std::nullopt;
+    const std::string_view message = rest.substr(kFrameHeaderBytes, size);
     if (checksum(message) != get32(rest.substr(4))) throw FrameError("a frame's checksum is wrong");
-    used_ += kFrameHead + size;
+    consumed_ += kFrameHeaderBytes + size;
     return message;
 }
 
--- a/src/grpc/routes.cpp
+++ b/src/grpc/routes.cpp
@@ -27,25 +27,25 @@
     Routes result;
     for (TomlReader::Table& entry : table.tables("route")) {
         std::string path, name;
-        entry.text("path", path, true);
+        entry.string("path", path, true);
         if (!is_path(path)) {
-            entry.reader().fail(entry.need("path"),
+            entry.reader().fail(entry.require("path"),
                                 "'path' must be \"/package.Service/Method\" or \"/package.Service/*\"");
         }
-        entry.text("class", name, true);
+        entry.string("class", name, true);
         const auto known =
             std::find_if(classes.begin(), classes.end(), [&](const auto& c) { return c.name == name; });
         if (known == classes.end()) {
-            entry.reader().fail(entry.need("class"),
+            entry.reader().fail(entry.require("class"),
                                 fmt::format("'class' is none of the platform's: '{}'", name));
         }
         Route route;
         route.class_index = static_cast<std::uint32_t>(known - classes.begin());
-        entry.flag("streaming", route.streaming);
+        entry.boolean("streaming", route.streaming);
         if (!result.by_path_.emplace(path, route).second) {
-            entry.reader().fail(entry.need("path"), fmt::format("'{}' is there twice", path));
+            entry.reader().fail(entry.require("path"), fmt::format("'{}' is there twice", path));
         }
-        entry.end();
+        entry.reject_unknown_fields();
     }
     return result;
 }
--- a/src/handover/handover.cpp
+++ b/src/handover/handover.cpp
@@ -69,7 +69,7 @@
 
 }  // namespace
 
-Handover::Handover(Loop& loop, const std::string& directory, const std::string& name)
+Handover::Handover(EventLoop& loop, const std::string& directory, const std::string& name)
     : loop_(loop),
       directory_(::open(directory.c_str(), O_PATH | O_DIRECTORY | O_CLOEXEC)),
       name_("martenford-" + name),
@@ -93,7 +93,7 @@
     found_ = std::move(found);
     if (directory_ < 0) return this->found(std::nullopt);
     earlier_ = std::make_shared<Local::socket>(loop_.io());
-    limit_.set(Loop::monotonic() + kAnswerTime, [this] { this->found(std::nullopt); });
+    limit_.set(EventLoop::monotonic() + kAnswerTime, [this] { this->found(std::nullopt); });
     earlier_->async_connect(Local::endpoint(path(name_)), [this, socket = earlier_](const error_code& error) {
         if (!found_) return;
         if (error || !of_same_user(socket->native_handle())) return this->found(std::nullopt);
@@ -151,7 +151,8 @@
         accept();
     } catch (const boost::system::system_error& error) {
         acceptor_.reset();
-        tell(Event::NoHeir, "no later process can take over from this one: " + std::string(error.what()));
+        log_event(Event::NoSuccessor,
+                  "no later process can take over from this one: " + std::string(error.what()));
     }
 }
 
@@ -160,7 +161,7 @@
         if (error == asio::error::operation_aborted) return;
         if (!error) welcome(std::move(socket));
         // Guards against spinning where there is no descriptor for it: it is asked for again in time.
-        if (error) return limit_.set(Loop::monotonic() + kAnswerTime, [this] { accept(); });
+        if (error) return limit_.set(EventLoop::monotonic() + kAnswerTime, [this] { accept(); });
         accept();
     });
 }
--- a/src/handover/handover.h
+++ b/src/handover/handover.h
@@ -16,7 +16,7 @@
 class Handover {
   public:
     /// `directory`: private to this sidecar; `name`: the sidecar's, the same for each of its processes.
-    Handover(Loop& loop, const std::string& directory, const std::string& name);
+    Handover(EventLoop& loop, const std::string& directory, const std::string& name);
     ~Handover();
 
     /// Looks for an earlier process and calls `found` once: with a descriptor of its listener, which is the
@@ -43,7 +43,7 @@
     void await_earlier();
     std::string path(const std::string& name) const;
 
-    Loop& loop_;
+    EventLoop& loop_;
     int directory_ = -1;
     std::string name_;
     std::function<void(std::optional<int>)> found_;
--- a/src/http1/client_connection.cpp
+++ b/src/http1/client_connection.cpp
@@ -14,23 +14,25 @@
 namespace martenford {
 
 using namespace martenford::decision;
-using Reply = Writer<false>;
+using Reply = MessageWriter<false>;
 
 namespace {
 
-constexpr double kSlowestBody = 24'000;  // bytes a second, after as long again: the platform's send 64,000
-constexpr std::uint64_t kLongestBody = 64 * 1024 * 1024;  // taken for the length of one that tells none
-constexpr Duration kAnswerTime = 10s;                     // for the client to read an answer
+constexpr double kMinBodyBytesPerSecond =
+    24'000;  // bytes a second, after as long again: the platform's send 64,000
+constexpr std::uint64_t kAssumedBodyBytes = 64 * 1024 * 1024;  // taken for the length of one that tells none
+constexpr Duration kAnswerStallTimeout = 10s;                  // for the client to read an answer
 /// For the client to read the last answer and close, and for it to stop sending: so long after the last bytes
 /// of a body that nobody wants.
-constexpr Duration kLingerTime = 1s;
-constexpr Duration kLingerMost = 2500ms;  // in all
-constexpr Duration kAskTime = 600ms;      // in which a new connection says what it wants then
-
-/// Whether the length of the body is told in one way that all read alike. Guards against a second request
-/// hidden in the body: Boost 1.74 refuses Content-Length beside Transfer-Encoding and lengths that differ,
-/// but takes the same length twice, and reads no body where a coding other than chunked is named.
-bool framed_clearly(const http::request_header<>& message) {
+constexpr Duration kLingerTimeout = 1s;
+constexpr Duration kMaxLinger = 2500ms;  // in all
+constexpr Duration kEvacuationFirstRequestTimeout =
+    600ms;  // in which a new connection says what it wants then
+
+/// Whether the length of the body is told in one way that all read alike. Guards against a second
+/// request hidden in the body: Boost 1.74 refuses Content-Length beside Transfer-Encoding and lengths that
+/// differ, but takes the same length twice, and reads no body where a coding other than chunked is named.
+bool has_unambiguous_length(const http::request_header<>& message) {
     const auto lengths = message.count(http::field::content_length);
     const auto codings = message.count(http::field::transfer_encoding);
     if (lengths + codings > 1) return false;
@@ -56,14 +58,14 @@
 
 void ClientConnection::start(HttpListener::Clients::iterator place) {
     position_ = place;
-    next_request();
+    await_request();
     // In an evacuation none is held idle; whoever asks whether it is over does so at once.
-    const Duration most = listener_.evacuated() ? kAskTime : limits().head_time;
-    timer_.set(Loop::monotonic() + most, [self = shared_from_this()] { self->close(); });
+    const Duration most = listener_.evacuated() ? kEvacuationFirstRequestTimeout : limits().head_time;
+    timer_.set(EventLoop::monotonic() + most, [self = shared_from_this()] { self->close(); });
     read();
 }
 
-bool ClientConnection::silent() const {
+bool ClientConnection::has_no_unread_data() const {
     error_code error;
     return socket_.available(error) == 0;
 }
@@ -75,15 +77,15 @@
 }
 
 bool ClientConnection::awaits_answer() const {
-    const bool owed = stage_ == Stage::Waiting || (stage_ == Stage::Writing && begun_in_drain_);
-    return owed && !upload_ && Loop::monotonic() < deadline_;
+    const bool answer_owed = stage_ == Stage::Waiting || (stage_ == Stage::Writing && answer_begun_in_drain_);
+    return answer_owed && !upload_ && EventLoop::monotonic() < deadline_;
 }
 
 void ClientConnection::give_up() {
     if (stage_ != Stage::Waiting || upload_) return;
     const auto self = shared_from_this();
     held_answer_.reset();
-    listener_.request_handler_.leave(id_);
+    listener_.request_handler_.client_disconnected(id_);
     write_answer(Answer{});
 }
 
@@ -93,37 +95,37 @@
     held_answer_.reset();
     if (upload_) std::exchange(upload_, nullptr)->fail();
     if (reply_) std::exchange(reply_, nullptr)->stop();
-    if (rest_) std::exchange(rest_, nullptr)->stop_reading();
+    if (answer_rest_) std::exchange(answer_rest_, nullptr)->stop_reading();
     error_code ignored;
     socket_.close(ignored);
-    listener_.closed(*list_, position_);
+    listener_.connection_closed(*list_, position_);
 }
 
-void ClientConnection::next_request() {
+void ClientConnection::await_request() {
     stage_ = Stage::Reading;
-    move_to(listener_.waiting_);
-    renew(parser_, limits().max_header_bytes, limits().max_body_bytes);
+    move_to(listener_.idle_);
+    reset_parser(parser_, limits().max_header_bytes, limits().max_body_bytes);
     continue_sent_ = false;
     deadline_ = {};
-    paused_ = {};
+    paused_time_ = {};
     paused_since_.reset();
 }
 
 void ClientConnection::move_to(HttpListener::Clients& to) {
     to.splice(to.end(), *list_, position_);
     list_ = &to;
-    listed_since_ = Loop::monotonic();
+    in_list_since_ = EventLoop::monotonic();
 }
 
 void ClientConnection::read() {
     if (stage_ == Stage::Closed || reading_) return;
     const bool passing = stage_ == Stage::Waiting && upload_;
     if (passing && !upload_->has_room()) {  // whoever it goes to is slower
-        if (!paused_since_) paused_since_ = Loop::monotonic();
+        if (!paused_since_) paused_since_ = EventLoop::monotonic();
         return;
     }
     if (!passing && stage_ != Stage::Lingering && buffer_.size() > limits().max_header_bytes) return;
-    if (paused_since_) paused_ += Loop::monotonic() - *std::exchange(paused_since_, std::nullopt);
+    if (paused_since_) paused_time_ += EventLoop::monotonic() - *std::exchange(paused_since_, std::nullopt);
     reading_ = true;
     socket_.async_read_some(incoming_.prepare(read_size(buffer_, passing)),
                             [self = shared_from_this()](const error_code& error, std::size_t size) {
@@ -132,10 +134,10 @@
                                 if (error) return self->handle_disconnect();
                                 self->record_early_bytes(size);
                                 self->incoming_.commit(size);
-                                self->take_incoming();
+                                self->append_incoming();
                                 if (self->stage_ == Stage::Lingering) {
                                     self->buffer_.clear();
-                                    self->linger_on();
+                                    self->restart_linger_timer();
                                 }
                                 self->parse();
                                 self->read();
@@ -149,7 +151,7 @@
     record_.add_early_bytes(size);
 }
 
-void ClientConnection::take_incoming() {
+void ClientConnection::append_incoming() {
     if (buffer_.size() == 0) {
         std::swap(buffer_, incoming_);
     } else {
@@ -165,7 +167,7 @@
     const auto upload = std::exchange(upload_, nullptr);
     close();
     // Before its body breaks off: guards against blaming the endpoint that was getting it.
-    if (open) listener_.request_handler_.leave(id_);
+    if (open) listener_.request_handler_.client_disconnected(id_);
     if (upload) upload->fail();
 }
 
@@ -174,21 +176,22 @@
     if ((stage_ != Stage::Reading && !arriving) || buffer_.size() == 0) return;
     if (!parser_->got_some()) {
         // The first request's time began with the connection.
-        const Time from = had_request_ ? Loop::monotonic() : connected_;
+        const Time from = had_request_ ? EventLoop::monotonic() : connected_;
         timer_.set(from + limits().head_time, [self = shared_from_this()] { self->handle_read_timeout(); });
     }
-    if (!arriving) move_to(listener_.begun_);  // who keeps sending is the last to be closed for want of room
+    if (!arriving)
+        move_to(listener_.partial_);  // who keeps sending is the last to be closed for want of room
     const bool had_head = parser_->is_header_done();
     const error_code error = feed(*parser_, buffer_);
     if (arriving && error) return abandon_upload();
-    if (error == http::error::body_limit) return reject(http::status::payload_too_large, false);
+    if (error == http::error::body_limit) return send_local_reply(http::status::payload_too_large, false);
     if (error == http::error::header_limit) {
-        return reject(http::status::request_header_fields_too_large, false);
+        return send_local_reply(http::status::request_header_fields_too_large, false);
     }
-    if (error) return reject(http::status::bad_request, false);
+    if (error) return send_local_reply(http::status::bad_request, false);
     if (!parser_->is_header_done()) return;
     if (!had_head) {
-        head_at_ = Loop::monotonic();
+        header_time_ = EventLoop::monotonic();
         received_ = 0;
     }
     if (arriving) {
@@ -196,117 +199,122 @@
         upload_->put(std::exchange(parser_->get().body(), {}));
         if (stage_ != Stage::Waiting || !upload_) return;  // its attempt ended at that
         if (parser_->is_done()) return handle_body_end();
-        return await_body();
+        return set_body_deadline();
     }
     received_ = parser_->get().body().size();
     if (parser_->is_done()) return handle_request(false);
     // A body too long to be held goes on as it comes; the request is taken with what is here.
     if (received_ > limits().max_buffered_body_bytes) return handle_request(true);
     if (!had_head) expect_body();
-    await_body();
+    set_body_deadline();
 }
 
 void ClientConnection::expect_body() {
-    if (!framed_clearly(parser_->get().base())) return;  // handle_request() rejects it
+    if (!has_unambiguous_length(parser_->get().base())) return;  // handle_request() rejects it
     if (!boost::beast::iequals(parser_->get()[http::field::expect], "100-continue") ||
         std::exchange(continue_sent_, true) || parser_->get().version() < 11 || buffer_.size() > 0 ||
         received_ > 0) {
         return;
     }
-    http::response<http::empty_body> go_on{http::status::continue_, 11};
+    http::response<http::empty_body> continue_response{http::status::continue_, 11};
     // 25 bytes into the empty buffer of a socket on which nothing was written since its last answer.
     error_code error;
     socket_.non_blocking(true, error);
-    http::write(socket_, go_on, error);
+    http::write(socket_, continue_response, error);
 }
 
-void ClientConnection::await_body() {
-    const auto allowed = std::chrono::duration<double>(static_cast<double>(received_) / kSlowestBody);
-    const Time due = head_at_ + limits().head_time + paused_ + std::chrono::duration_cast<Duration>(allowed);
+void ClientConnection::set_body_deadline() {
+    const auto allowed =
+        std::chrono::duration<double>(static_cast<double>(received_) / kMinBodyBytesPerSecond);
+    const Time due =
+        header_time_ + limits().head_time + paused_time_ + std::chrono::duration_cast<Duration>(allowed);
     timer_.set(due, [self = shared_from_this()] {
-        if (self->paused_since_) return self->await_body_again();
+        if (self->paused_since_) return self->restart_body_deadline();
         self->handle_read_timeout();
     });
 }
 
-void ClientConnection::await_body_again() {
-    timer_.set(Loop::monotonic() + limits().head_time, [self = shared_from_this()] {
-        if (self->stage_ == Stage::Waiting && self->upload_) self->await_body();
+void ClientConnection::restart_body_deadline() {
+    timer_.set(EventLoop::monotonic() + limits().head_time, [self = shared_from_this()] {
+        if (self->stage_ == Stage::Waiting && self->upload_) self->set_body_deadline();
     });
 }
 
 void ClientConnection::handle_read_timeout() {
     if (stage_ == Stage::Waiting) return abandon_upload();
-    reject(http::status::request_timeout, false);
+    send_local_reply(http::status::request_timeout, false);
 }
 
 void ClientConnection::abandon_upload() {
     const auto self = shared_from_this();
     const auto upload = std::exchange(upload_, nullptr);
-    held_answer_.reset();                   // before it can end: the rejection is the one answer
-    listener_.request_handler_.leave(id_);  // before the body breaks off, as in handle_disconnect()
+    held_answer_.reset();  // before it can end: the rejection is the one answer
+    listener_.request_handler_.client_disconnected(
+        id_);  // before the body breaks off, as in handle_disconnect()
     upload->fail();
-    reject(http::status::bad_request, false);
+    send_local_reply(http::status::bad_request, false);
 }
 
 void ClientConnection::handle_request(bool arriving) {
     timer_.cancel();
     had_request_ = true;
     record_.add_request(buffer_.size());
-    move_to(listener_.busy_);
+    move_to(listener_.active_);
     const bool keep = parser_->keep_alive();
-    parser_version_ = parser_->get().version();
+    http_version_ = parser_->get().version();
     const auto length = parser_->content_length();
     auto& head = parser_->get().base();
-    if (!framed_clearly(head)) return reject(http::status::bad_request, false);
+    if (!has_unambiguous_length(head)) return send_local_reply(http::status::bad_request, false);
     head.target(origin_form(head.target()));
     const auto ready_path = listener_.protocol_.ready_path();
     if (!ready_path.empty() && head.target() == ready_path) return answer_readiness(keep && !arriving);
-    const Time now = Loop::monotonic();
-    auto request = listener_.protocol_.read(head, now - since_arrival());
-    if (const auto* away = std::get_if<LocalReply>(&request))
-        return reject(away->status, keep && away->keep && !arriving, away->retry_after, away->fields);
-    if (listener_.sends_all_away()) return reject(http::status::service_unavailable, false);
+    const Time now = EventLoop::monotonic();
+    auto request = listener_.protocol_.read(head, now - time_since_last_data());
+    if (const auto* rejection = std::get_if<LocalReply>(&request))
+        return send_local_reply(rejection->status, keep && rejection->keep && !arriving,
+                                rejection->retry_after, rejection->fields);
+    if (listener_.refuses_requests()) return send_local_reply(http::status::service_unavailable, false);
     auto& event = std::get<Request>(request);
-    timeout_ = event.deadline - (now - since_arrival());
+    timeout_ = event.deadline - (now - time_since_last_data());
     if (arriving) {
         // Its time begins with its last byte, which may be as far away as the slowest body allows.
-        const std::uint64_t whole = length ? *length : kLongestBody;
-        const std::chrono::duration<double> at_most{static_cast<double>(whole) / kSlowestBody};
+        const std::uint64_t whole = length ? *length : kAssumedBodyBytes;
+        const std::chrono::duration<double> at_most{static_cast<double>(whole) / kMinBodyBytesPerSecond};
         event.deadline += limits().head_time + std::chrono::duration_cast<Duration>(at_most);
         event.arriving = true;
     }
     deadline_ = event.deadline;
     limit_deadline(event.deadline);
-    keep_ = keep;
+    keep_alive_ = keep;
     stage_ = Stage::Waiting;
     id_ = event.id;
     record_.set_name(id_);
-    const auto message = take_message(arriving);
+    const auto message = make_message(arriving);
     message->class_index = event.class_index;
-    auto reply = [self = shared_from_this(), request = ++request_](Answer&& answer) {
+    auto reply = [self = shared_from_this(), request = ++request_number_](Answer&& answer) {
         self->answer(request, std::move(answer));
     };
-    const bool fresh = listener_.request_handler_.take(std::move(event), message, std::move(reply));
-    if (!fresh) return reject(http::status::conflict, keep && !arriving);
-    if (stage_ == Stage::Waiting && arriving) await_body();
+    const bool accepted = listener_.request_handler_.submit(std::move(event), message, std::move(reply));
+    if (!accepted) return send_local_reply(http::status::conflict, keep && !arriving);
+    if (stage_ == Stage::Waiting && arriving) set_body_deadline();
 }
 
 void ClientConnection::answer_readiness(bool keep) {
-    if (parser_->get().method() != http::verb::get) return reject(http::status::method_not_allowed, keep);
+    if (parser_->get().method() != http::verb::get)
+        return send_local_reply(http::status::method_not_allowed, keep);
     const auto status = listener_.is_ready() ? http::status::ok : http::status::service_unavailable;
-    reject(status, keep && !listener_.leaving());
+    send_local_reply(status, keep && !listener_.rejects_new_clients());
 }
 
-std::shared_ptr<HttpMessage> ClientConnection::take_message(bool arriving) {
+std::shared_ptr<HttpMessage> ClientConnection::make_message(bool arriving) {
     std::shared_ptr<HttpMessage> message;
     if (arriving) {
-        http::request<PieceBody> begun{parser_->get().base()};
+        http::request<IncrementalBody> begun{parser_->get().base()};
         begun.body() = std::exchange(parser_->get().body(), {});
         message = std::make_shared<HttpMessage>(std::move(begun));
-        message->rest = upload_ = std::make_shared<Pipe>(kMostHeld);
+        message->rest = upload_ = std::make_shared<Pipe>(kMaxPipeBytes);
         if (const auto length = parser_->content_length()) message->length = *length;
-        upload_->on_room([weak = weak_from_this()] {
+        upload_->on_writable([weak = weak_from_this()] {
             if (const auto self = weak.lock()) self->read();
         });
     } else {
@@ -321,17 +329,17 @@
     timer_.cancel();
     std::exchange(upload_, nullptr)->finish();
     if (stage_ != Stage::Waiting) return;
-    Time deadline = Loop::monotonic() - since_arrival() + timeout_;
+    Time deadline = EventLoop::monotonic() - time_since_last_data() + timeout_;
     deadline_ = deadline;
     limit_deadline(deadline);
-    listener_.request_handler_.received(id_, deadline);
+    listener_.request_handler_.body_received(id_, deadline);
 }
 
 void ClientConnection::limit_deadline(Time& deadline) const {
-    if (listener_.draining()) deadline = std::min(deadline, listener_.answers_end_);
+    if (listener_.draining()) deadline = std::min(deadline, listener_.answer_deadline_);
 }
 
-Duration ClientConnection::since_arrival() {
+Duration ClientConnection::time_since_last_data() {
     tcp_info info{};
     socklen_t size = sizeof info;
     if (getsockopt(socket_.native_handle(), IPPROTO_TCP, TCP_INFO, &info, &size) != 0) return {};
@@ -340,11 +348,11 @@
 
 void ClientConnection::answer(std::uint64_t request, Answer&& answer) {
     // Guards against the answer to an earlier request, whose client has gone on to the next one.
-    if (stage_ != Stage::Waiting || request != request_) {
+    if (stage_ != Stage::Waiting || request != request_number_) {
         if (answer.rest) answer.rest->stop_reading();
         return;
     }
-    if (answer.rest && listener_.holds_answers() && deadline_ > listener_.answers_end_) {
+    if (answer.rest && listener_.holds_answers() && deadline_ > listener_.answer_deadline_) {
         return hold(std::move(answer));
     }
     write_answer(std::move(answer));
@@ -355,7 +363,7 @@
     held_answer_->start([this](HeldAnswer::End end) {
         const auto self = shared_from_this();
         const auto held = std::exchange(held_answer_, nullptr);
-        write_answer(end == HeldAnswer::End::Broken ? Answer{} : held->take());
+        write_answer(end == HeldAnswer::End::Failed ? Answer{} : held->take());
     });
 }
 
@@ -375,26 +383,26 @@
     listener_.protocol_.write(answer, id_, head);
     const auto* endpoint_head = dynamic_cast<const HttpAnswerHead*>(answer.head.get());
     record_.set_answer(head.result_int(), endpoint_head ? endpoint_head->origin : AnswerOrigin{});
-    rest_ = std::move(answer.rest);
+    answer_rest_ = std::move(answer.rest);
     ticket_ = std::move(answer.ticket);
     on_written_ = std::move(answer.on_written);
     body_ = std::move(answer.body);
     // An HTTP/1.0 client knows no chunks: a body of untold length ends with its connection there.
-    const bool chunks = rest_ && !answer.length && parser_version_ >= 11;
-    if (!rest_) {
+    const bool chunked = answer_rest_ && !answer.length && http_version_ >= 11;
+    if (!answer_rest_) {
         head.content_length(body_.size());
     } else if (answer.length) {
         head.content_length(*answer.length);
     } else {
-        head.chunked(chunks);
+        head.chunked(chunked);
     }
-    const bool told = !rest_ || answer.length || chunks;
+    const bool delimited = !answer_rest_ || answer.length || chunked;
     // A body that is still arriving when its request is over is read no further.
-    write(std::move(head), keep_ && told && !upload_);
+    write(std::move(head), keep_alive_ && delimited && !upload_);
 }
 
-void ClientConnection::reject(http::status status, bool keep, Duration retry_after,
-                              const std::vector<std::pair<std::string, std::string>>& fields) {
+void ClientConnection::send_local_reply(http::status status, bool keep, Duration retry_after,
+                                        const std::vector<std::pair<std::string, std::string>>& fields) {
     body_.clear();
     record_.set_answer(static_cast<unsigned>(status), {});
     Reply::Head head{status, 11};
@@ -406,34 +414,35 @@
 
 void ClientConnection::write(Reply::Head&& head, bool keep) {
     stage_ = Stage::Writing;
-    begun_in_drain_ = listener_.draining();
+    answer_begun_in_drain_ = listener_.draining();
     if (upload_) std::exchange(upload_, nullptr)->fail();
     restart_write_timer();
-    const bool goes_on = keep && !listener_.lets_go();
-    head.keep_alive(goes_on);
-    reply_ = std::make_shared<Reply>(std::move(head), body_, rest_);
+    const bool keeps_open = keep && !listener_.closes_after_answer();
+    head.keep_alive(keeps_open);
+    reply_ = std::make_shared<Reply>(std::move(head), body_, answer_rest_);
     reply_->on_progress = [this] { restart_write_timer(); };
-    reply_->run(socket_, shared_from_this(), [self = shared_from_this(), goes_on](const error_code& error) {
-        if (self->stage_ == Stage::Closed) return;
-        self->ticket_.end(error ? Tally::End::Failed : Tally::End::Served);
-        if (error) return self->reset();
-        if (const auto tell = std::exchange(self->on_written_, nullptr)) tell();
-        self->rest_.reset();
-        self->reply_.reset();
-        if (!goes_on) return self->linger();
-        self->body_ = {};
-        self->next_request();
-        self->timer_.set(Loop::monotonic() + self->limits().idle_time, [self] { self->close(); });
-        self->parse();
-        // Guards against a full house in which nobody leaves: who waits outside may need this
-        // one's place.
-        self->listener_.accept();
-        self->read();
-    });
+    reply_->run(
+        socket_, shared_from_this(), [self = shared_from_this(), keeps_open](const error_code& error) {
+            if (self->stage_ == Stage::Closed) return;
+            self->ticket_.end(error ? RequestCounters::Outcome::Failed : RequestCounters::Outcome::Served);
+            if (error) return self->reset();
+            if (const auto tell = std::exchange(self->on_written_, nullptr)) tell();
+            self->answer_rest_.reset();
+            self->reply_.reset();
+            if (!keeps_open) return self->linger();
+            self->body_ = {};
+            self->await_request();
+            self->timer_.set(EventLoop::monotonic() + self->limits().idle_time, [self] { self->close(); });
+            self->parse();
+            // Guards against a full house in which nobody leaves: who waits outside may need this
+            // one's place.
+            self->listener_.accept();
+            self->read();
+        });
 }
 
 void ClientConnection::restart_write_timer() {
-    timer_.set(Loop::monotonic() + kAnswerTime, [self = shared_from_this()] { self->close(); });
+    timer_.set(EventLoop::monotonic() + kAnswerStallTimeout, [self = shared_from_this()] { self->close(); });
 }
 
 void ClientConnection::reset() {
@@ -444,17 +453,17 @@
 
 void ClientConnection::linger() {
     stage_ = Stage::Lingering;
-    move_to(listener_.waiting_);
+    move_to(listener_.idle_);
     error_code error;
     socket_.shutdown(asio::socket_base::shutdown_send, error);
     buffer_.clear();
-    linger_end_ = Loop::monotonic() + kLingerMost;
-    linger_on();
+    linger_end_ = EventLoop::monotonic() + kMaxLinger;
+    restart_linger_timer();
     read();
 }
 
-void ClientConnection::linger_on() {
-    timer_.set(std::min(Loop::monotonic() + kLingerTime, linger_end_),
+void ClientConnection::restart_linger_timer() {
+    timer_.set(std::min(EventLoop::monotonic() + kLingerTimeout, linger_end_),
                [self = shared_from_this()] { self->close(); });
 }
 
--- a/src/http1/client_connection.h
+++ b/src/http1/client_connection.h
@@ -1,6 +1,6 @@
 // One client's connection of an HttpListener: reads requests, hands them to the request handler and writes
-// their answers. Private to the front, which owns its life: each is in one of the front's lists until it is
-// closed.
+// their answers. Private to the listener, which owns its life: each is in one of the listener's lists until
+// it is closed.
 #pragma once
 
 #include <boost/asio/ip/tcp.hpp>
@@ -28,21 +28,23 @@
 /// leaves is seen.
 class ClientConnection : public std::enable_shared_from_this<ClientConnection> {
   public:
-    ClientConnection(HttpListener& front, asio::ip::tcp::socket socket)
-        : listener_(front),
+    ClientConnection(HttpListener& listener, asio::ip::tcp::socket socket)
+        : listener_(listener),
           socket_(std::move(socket)),
-          timer_(front.loop_),
-          record_(++front.last_connection_),
-          buffer_(kMostBuffer),
-          incoming_(kMostBuffer) {}
+          timer_(listener.loop_),
+          record_(++listener.last_connection_),
+          buffer_(kMaxBufferBytes),
+          incoming_(kMaxBufferBytes) {}
     void start(HttpListener::Clients::iterator place);
     /// Nothing of it is waiting to be read. Guards against closing a connection under a request that has come
     /// whole and counts as taken.
-    bool silent() const;
+    bool has_no_unread_data() const;
     /// Silent, and no byte of a next request has been read either.
-    bool idle() const { return between() && silent(); }
+    bool idle() const { return between_requests() && has_no_unread_data(); }
     /// The same, as far as has been read.
-    bool between() const { return stage_ == Stage::Reading && !parser_->got_some() && buffer_.size() == 0; }
+    bool between_requests() const {
+        return stage_ == Stage::Reading && !parser_->got_some() && buffer_.size() == 0;
+    }
     /// Bytes that the kernel holds and the client's kernel has not acknowledged.
     std::uint64_t unsent_bytes();
     /// Its request was read whole, its client still waits, and no answer was begun before the drain: one that
@@ -51,7 +53,7 @@
     /// Answers that the request failed, unless an answer has begun: the process is about to end.
     void give_up();
     /// Since when it has its place among those like it.
-    Time listed_since() const { return listed_since_; }
+    Time in_list_since() const { return in_list_since_; }
     void close();
 
   private:
@@ -64,26 +66,26 @@
     };
 
     const ListenerLimits& limits() const { return listener_.protocol_.limits(); }
-    void next_request();
+    void await_request();
 
-    /// To the end of one of the front's lists.
+    /// To the end of one of the listener's lists.
     void move_to(HttpListener::Clients& to);
     void read();
     /// Puts what a read has brought behind what is not parsed yet.
-    void take_incoming();
+    void append_incoming();
     /// Notes bytes that come while a request is open, other than those of its body.
     void record_early_bytes(std::size_t size);
     void handle_disconnect();
     void parse();
 
-    /// Answers a client that asks whether to send its body (RFC 9110, section 10.1.1), and turns away at once
-    /// one whose length is more than may be or can be read in two ways.
+    /// Answers a client that asks whether to send its body (RFC 9110, section 10.1.1), and turns away at
+    /// once one whose length is more than may be or can be read in two ways.
     void expect_body();
 
     /// A body may be slow, but not stand still.
-    void await_body();
+    void set_body_deadline();
     /// It was not read for a while: its time stands still until it is.
-    void await_body_again();
+    void restart_body_deadline();
     void handle_read_timeout();
 
     /// The rest of a request that has been taken will not come, or can't be read.
@@ -92,7 +94,7 @@
     void handle_request(bool arriving);
     void answer_readiness(bool keep);
     /// The request as the request handler gets it, without what concerns this connection alone.
-    std::shared_ptr<HttpMessage> take_message(bool arriving);
+    std::shared_ptr<HttpMessage> make_message(bool arriving);
 
     /// The last byte of a body that went on as it came.
     void handle_body_end();
@@ -102,7 +104,7 @@
 
     /// How long the last byte has been waiting here to be read. Guards against counting the client's time
     /// from when the loop got to its request.
-    Duration since_arrival();
+    Duration time_since_last_data();
     /// @param request number of the request on this connection that the answer is to.
     void answer(std::uint64_t request, Answer&& answer);
 
@@ -114,9 +116,9 @@
     void withhold(Answer&& answer);
 
     /// Answers without the module.
-    void reject(http::status status, bool keep, Duration retry_after = {},
-                const std::vector<std::pair<std::string, std::string>>& fields = {});
-    void write(Writer<false>::Head&& head, bool keep);
+    void send_local_reply(http::status status, bool keep, Duration retry_after = {},
+                          const std::vector<std::pair<std::string, std::string>>& fields = {});
+    void write(MessageWriter<false>::Head&& head, bool keep);
     /// A client may be slow, but not stand still.
     void restart_write_timer();
     /// The client must see that what it has got is not whole: a reset does that for every framing.
@@ -125,7 +127,7 @@
     /// Waits for the client to close first. Guards against a reset that takes the answer with it, where bytes
     /// of the client's are still unread.
     void linger();
-    void linger_on();
+    void restart_linger_timer();
 
     HttpListener& listener_;
     asio::ip::tcp::socket socket_;
@@ -136,33 +138,33 @@
     /// bytes would be counted where those of an earlier request lie.
     boost::beast::flat_buffer incoming_;
     HttpListener::Clients::iterator position_;
-    HttpListener::Clients* list_ = &listener_.waiting_;
+    HttpListener::Clients* list_ = &listener_.idle_;
     Stage stage_ = Stage::Reading;
-    const Time connected_ = Loop::monotonic();
-    Time listed_since_ = connected_;
-    bool reading_ = false, keep_ = false, had_request_ = false, continue_sent_ = false;
-    bool begun_in_drain_ = false;  // the answer
+    const Time connected_ = EventLoop::monotonic();
+    Time in_list_since_ = connected_;
+    bool reading_ = false, keep_alive_ = false, had_request_ = false, continue_sent_ = false;
+    bool answer_begun_in_drain_ = false;  // the answer
     std::optional<Parser<true>> parser_;
     decision::RequestId id_;
-    std::uint64_t request_ =
+    std::uint64_t request_number_ =
         0;  // number of the present request among those that the request handler was handed
-    unsigned parser_version_ = 11;  // of HTTP, as its client speaks it
+    unsigned http_version_ = 11;  // of HTTP, as its client speaks it
     // A body that goes on as it comes.
     std::shared_ptr<Pipe> upload_;
     std::uint64_t received_ = 0;  // bytes of the body
-    Time head_at_{};
-    Duration paused_{};  // in which it was not read, since nobody took it
+    Time header_time_{};
+    Duration paused_time_{};  // in which it was not read, since nobody took it
     std::optional<Time> paused_since_;
     Duration timeout_{};  // that its client waits, from the last byte on
-    Time deadline_{};  // until which it waits; in a drain the request handler may have been told an earlier
-                       // one
+    Time deadline_{};     // until which it waits; in a drain the request handler may have been told an
+                       // earlier one
     // The answer.
     std::unique_ptr<HeldAnswer> held_answer_;
     std::string body_;
-    std::shared_ptr<Pipe> rest_;
-    Tally::Ticket ticket_;  // where there is a rest
+    std::shared_ptr<Pipe> answer_rest_;
+    RequestCounters::Ticket ticket_;  // where there is a rest
     std::function<void()> on_written_;
-    std::shared_ptr<Writer<false>> reply_;
+    std::shared_ptr<MessageWriter<false>> reply_;
     Time linger_end_{};
 };
 
