--- a/src/http1/endpoint_connection.cpp
+++ b/src/http1/endpoint_connection.cpp
@@ -20,7 +20,7 @@
 constexpr Duration kStallTimeout = 10s;
 
 /// Whether a connect failed for want of something of our own.
-bool is_own_fault(const error_code& error) {
+bool is_local_resource_error(const error_code& error) {
     return error == asio::error::no_descriptors || error == asio::error::no_memory ||
            error == asio::error::no_buffer_space || error == boost::system::errc::address_not_available ||
            error == boost::system::errc::too_many_files_open_in_system;
@@ -28,19 +28,20 @@
 
 }  // namespace
 
-EndpointConnection::EndpointConnection(Http1Back& pool, EndpointId id, const Address& address,
+EndpointConnection::EndpointConnection(Http1EndpointClient& pool, EndpointId id, const Address& address,
                                        std::uint64_t number)
     : id(id),
       address(address),
       pool_(pool),
       socket_(pool.loop_.io()),
-      limit_(pool.loop_),
-      end_(pool.loop_),
-      buffer_(kMostBuffer),
+      stage_timer_(pool.loop_),
+      deadline_timer_(pool.loop_),
+      buffer_(kMaxBufferBytes),
       origin_{id, number} {}
 
 void EndpointConnection::start(std::shared_ptr<const HttpMessage> message,
-                               std::shared_ptr<Http1Back::Outgoing> outgoing, Time end, Back::Done done) {
+                               std::shared_ptr<Http1EndpointClient::RequestWriter> outgoing, Time end,
+                               EndpointClient::Done done) {
     message_ = std::move(message);
     outgoing_ = std::move(outgoing);
     if (message_ && message_->rest) {
@@ -51,8 +52,8 @@
     }
     done_ = std::move(done);
     ++origin_.exchange;
-    limit_.cancel();
-    end_at(end);
+    stage_timer_.cancel();
+    set_deadline(end);
     if (message_) exchanges_.add(pool_.protocol_.exchange_name(*message_));
     if (stage_ == Stage::Connecting) {
         connect();
@@ -61,11 +62,11 @@
     }
 }
 
-bool EndpointConnection::may_carry(const HttpMessage& message) const {
+bool EndpointConnection::may_send(const HttpMessage& message) const {
     return !exchanges_.contains(pool_.protocol_.exchange_name(message));
 }
 
-bool EndpointConnection::clean() {
+bool EndpointConnection::is_reusable() {
     char byte = 0;
     const auto got = ::recv(socket_.native_handle(), &byte, 1, MSG_PEEK | MSG_DONTWAIT);
     return got < 0 && (errno == EAGAIN || errno == EWOULDBLOCK);
@@ -75,49 +76,52 @@
     end_attempt(Status::Cancelled);
 }
 
-void EndpointConnection::withdraw_unwritten() {
-    if (stage_ == Stage::Connecting || (stage_ == Stage::Writing && arriving())) end_attempt(Status::NotSent);
+void EndpointConnection::withdraw_if_unsent() {
+    if (stage_ == Stage::Connecting || (stage_ == Stage::Writing && request_arriving()))
+        end_attempt(Status::NotSent);
 }
 
-void EndpointConnection::end_at(Time end) {
+void EndpointConnection::set_deadline(Time end) {
     if (!done_) return;  // its outcome is known already
-    end_.set(end, [self = shared_from_this()] {
-        self->end_attempt(self->written_whole() ? Status::Timeout : Status::ConnectFailed);
+    deadline_timer_.set(end, [self = shared_from_this()] {
+        self->end_attempt(self->request_written() ? Status::Timeout : Status::ConnectFailed);
     });
 }
 
 void EndpointConnection::close() {
     if (std::exchange(stage_, Stage::Closed) == Stage::Closed) return;
     if (outgoing_) outgoing_->stop();
-    if (rest_) std::exchange(rest_, nullptr)->fail();
+    if (answer_rest_) std::exchange(answer_rest_, nullptr)->fail();
     if (message_ && message_->rest_begun) message_->rest->stop_reading();
-    pool_.gone(*this);
-    limit_.cancel();
-    end_.cancel();
+    pool_.connection_closed(*this);
+    stage_timer_.cancel();
+    deadline_timer_.cancel();
     error_code ignored;
     socket_.close(ignored);
 }
 
-bool EndpointConnection::arriving() const {
+bool EndpointConnection::request_arriving() const {
     return message_ && message_->rest && message_->rest->state() == Pipe::State::Open;
 }
 
-bool EndpointConnection::written_whole() const {
-    return stage_ == Stage::Waiting || (stage_ == Stage::Writing && !arriving());
+bool EndpointConnection::request_written() const {
+    return stage_ == Stage::Waiting || (stage_ == Stage::Writing && !request_arriving());
 }
 
 void EndpointConnection::connect() {
     const Duration most = pool_.limits_.connect_timeout;
     if (most > Duration{})
-        limit_.set(Loop::monotonic() + most,
-                   [self = shared_from_this()] { self->end_attempt(Status::ConnectFailed); });
+        stage_timer_.set(EventLoop::monotonic() + most,
+                         [self = shared_from_this()] { self->end_attempt(Status::ConnectFailed); });
     socket_.async_connect(address, [self = shared_from_this()](const error_code& error) {
         if (self->stage_ != Stage::Connecting) return;
-        self->limit_.cancel();
-        if (error) return self->end_attempt(is_own_fault(error) ? Status::NotSent : Status::ConnectFailed);
+        self->stage_timer_.cancel();
+        if (error)
+            return self->end_attempt(is_local_resource_error(error) ? Status::NotSent
+                                                                    : Status::ConnectFailed);
         error_code ignored;
         self->socket_.set_option(asio::ip::tcp::no_delay(true), ignored);
-        bound_send_buffer(self->socket_);
+        limit_send_buffer(self->socket_);
         self->read();
         self->write();
     });
@@ -125,8 +129,8 @@
 
 void EndpointConnection::write() {
     stage_ = Stage::Writing;
-    interim_ = 0;
-    renew(parser_);
+    interim_count_ = 0;
+    reset_parser(parser_);
     outgoing_->run(socket_, shared_from_this(), [self = shared_from_this()](const error_code& error) {
         if (self->stage_ != Stage::Writing) return;
         // Not whole: an endpoint begins no request whose last byte has not come.
@@ -134,113 +138,119 @@
         self->stage_ = Stage::Waiting;
         if (self->message_) self->pool_.written(*self->message_, self->id);  // probes are no attempts
         self->parse();
-        if (self->stage_ == Stage::Waiting && self->broken_) self->handle_read_end(self->broken_);
-        self->read_on();
+        if (self->stage_ == Stage::Waiting && self->read_error_) self->handle_read_end(self->read_error_);
+        self->continue_reading();
     });
 }
 
 void EndpointConnection::read() {
     reading_ = true;
-    if (stage_ == Stage::Passing) {
-        limit_.set(Loop::monotonic() + kStallTimeout, [self = shared_from_this()] { self->close(); });
+    if (stage_ == Stage::Streaming) {
+        stage_timer_.set(EventLoop::monotonic() + kStallTimeout,
+                         [self = shared_from_this()] { self->close(); });
     }
-    socket_.async_read_some(buffer_.prepare(read_size(buffer_, stage_ == Stage::Passing)),
+    socket_.async_read_some(buffer_.prepare(read_size(buffer_, stage_ == Stage::Streaming)),
                             [self = shared_from_this()](const error_code& error, std::size_t size) {
                                 self->reading_ = false;
                                 if (self->stage_ == Stage::Closed) return;
                                 self->buffer_.commit(size);
                                 if (error) return self->handle_read_end(error);
                                 if (self->stage_ == Stage::Idle)
-                                    return self->drop_idle();  // nothing was asked
+                                    return self->close_idle();  // nothing was asked
                                 // Guards against bytes that were on their way before the request was: an
                                 // answer that starts before its request is whole is none.
                                 if (self->stage_ == Stage::Writing) {
                                     return self->handle_early_bytes(http::error::unexpected_body);
                                 }
-                                if (self->stage_ == Stage::Waiting || self->stage_ == Stage::Passing) {
+                                if (self->stage_ == Stage::Waiting || self->stage_ == Stage::Streaming) {
                                     self->parse();
                                 }
-                                self->read_on();
+                                self->continue_reading();
                             });
 }
 
-void EndpointConnection::read_on() {
-    if (stage_ == Stage::Closed || reading_ || broken_) return;
-    if (stage_ == Stage::Passing && !rest_->has_room()) return limit_.cancel();  // the caller is slower
+void EndpointConnection::continue_reading() {
+    if (stage_ == Stage::Closed || reading_ || read_error_) return;
+    if (stage_ == Stage::Streaming && !answer_rest_->has_room())
+        return stage_timer_.cancel();  // the caller is slower
     read();
 }
 
 void EndpointConnection::handle_early_bytes(const error_code& error) {
-    if (arriving()) return end_attempt(Status::ConnectFailed);
-    broken_ = error;
+    if (request_arriving()) return end_attempt(Status::ConnectFailed);
+    read_error_ = error;
 }
 
 void EndpointConnection::handle_read_end(const error_code& error) {
-    if (stage_ == Stage::Idle) return drop_idle();
+    if (stage_ == Stage::Idle) return close_idle();
     if (stage_ == Stage::Writing) return handle_early_bytes(error);
     if (error == asio::error::eof && parser_->got_some()) {
         error_code fault;
         parser_->put_eof(fault);
-        if (!fault && parser_->is_done() && pool_.protocol_.ends_by_close()) {
-            if (stage_ == Stage::Passing) return finish_passing(false);
-            if (const auto status = classify()) return answered(*status, false);
+        if (!fault && parser_->is_done() && pool_.protocol_.allows_close_delimited()) {
+            if (stage_ == Stage::Streaming) return finish_streaming(false);
+            if (const auto status = classify()) return complete_attempt(*status, false);
         }
     }
-    if (stage_ == Stage::Passing) return close();  // its caller sees that it is not whole
+    if (stage_ == Stage::Streaming) return close();  // its caller sees that it is not whole
     end_attempt(Status::Reset);
 }
 
 void EndpointConnection::parse() {
     for (;;) {
         if (feed(*parser_, buffer_)) {  // nobody can tell what it answers
-            return stage_ == Stage::Passing ? close() : end_attempt(Status::Error);
+            return stage_ == Stage::Streaming ? close() : end_attempt(Status::Error);
         }
-        if (stage_ == Stage::Passing) return pass_on();
+        if (stage_ == Stage::Streaming) return forward_piece();
         if (!parser_->is_done()) break;
         // Guards against taking word that the answer is to come for the answer.
         if (parser_->get().result_int() / 100 != 1) break;
-        if (++interim_ > kMaxInterimAnswers) return end_attempt(Status::Error);
-        renew(parser_);
+        if (++interim_count_ > kMaxInterimAnswers) return end_attempt(Status::Error);
+        reset_parser(parser_);
     }
-    if (parser_->is_done()) return handle_whole_answer();
-    if (parser_->is_header_done()) handle_begun_answer();
+    if (parser_->is_done()) return handle_complete_answer();
+    if (parser_->is_header_done()) handle_partial_answer();
 }
 
-void EndpointConnection::handle_whole_answer() {
+void EndpointConnection::handle_complete_answer() {
     const auto status = classify();
-    if (status) return answered(*status, clean_end());
+    if (status) return complete_attempt(*status, ends_cleanly());
     // Guards against taking a late or surplus answer of an earlier request for the one to this.
     pool_.skipped_.add();
     ++origin_.skipped;
-    if (++interim_ > kMaxInterimAnswers || !parser_->keep_alive()) return end_attempt(Status::Reset);
-    renew(parser_);
+    if (++interim_count_ > kMaxInterimAnswers || !parser_->keep_alive()) return end_attempt(Status::Reset);
+    reset_parser(parser_);
     if (buffer_.size() > 0) parse();
 }
 
-void EndpointConnection::handle_begun_answer() {
+void EndpointConnection::handle_partial_answer() {
     const auto& held = parser_->get().body();
     const auto length = parser_->content_length();
     // A long one goes on before it is whole: it may be longer than what can be held, and its caller waits
     // for its first bytes. Guards, by the bytes wanted, against lengths that no body follows: those can
     // still go again.
-    if (held.size() <= (length && *length > kWholeBody ? kSurelyLong : kWholeBody)) return;
+    if (held.size() <=
+        (length && *length > kMaxBufferedBodyBytes ? kStreamThresholdBytes : kMaxBufferedBodyBytes))
+        return;
     const auto status = classify();
     // Somebody else's: read to its end and skipped.
     if (!status) return parser_->get().body().clear();
     if (*status != Status::Ok) return end_attempt(*status);  // its words are no use
-    begin_passing();
+    begin_streaming();
 }
 
-bool EndpointConnection::clean_end() {
-    return parser_->keep_alive() && buffer_.size() == 0 && !broken_ && !exchanges_.full() && clean();
+bool EndpointConnection::ends_cleanly() {
+    return parser_->keep_alive() && buffer_.size() == 0 && !read_error_ && !exchanges_.full() &&
+           is_reusable();
 }
 
 std::optional<Status> EndpointConnection::classify() {
     return pool_.protocol_.classify(parser_->get(), message_.get(), id);
 }
 
-std::shared_ptr<const AnswerHead> EndpointConnection::head_of(const http::response<PieceBody>& answer) const {
-    if (!pool_.protocol_.passes_heads()) return nullptr;
+std::shared_ptr<const AnswerHead> EndpointConnection::head_of(
+    const http::response<IncrementalBody>& answer) const {
+    if (!pool_.protocol_.forwards_heads()) return nullptr;
     auto head = std::make_shared<HttpAnswerHead>();
     head->status = answer.result_int();
     head->fields = answer;
@@ -249,7 +259,7 @@
     return head;
 }
 
-void EndpointConnection::begin_passing() {
+void EndpointConnection::begin_streaming() {
     const auto& answer = parser_->get();
     Result result{Status::Ok,
                   std::exchange(parser_->get().body(), {}),
@@ -259,36 +269,36 @@
                   false,
                   head_of(answer)};
     if (const auto length = parser_->content_length()) result.length = *length;
-    result.rest = rest_ = std::make_shared<Pipe>(kMostHeld);
+    result.rest = answer_rest_ = std::make_shared<Pipe>(kMaxPipeBytes);
     // Held by its pipe until the answer's end: while its caller is slow it reads nothing, and no handler
     // holds it.
-    rest_->on_room([self = shared_from_this()] {
-        if (self->stage_ != Stage::Passing) return;
-        if (self->rest_->unread()) return self->close();  // its caller has left
-        self->read_on();
+    answer_rest_->on_writable([self = shared_from_this()] {
+        if (self->stage_ != Stage::Streaming) return;
+        if (self->answer_rest_->reader_closed()) return self->close();  // its caller has left
+        self->continue_reading();
     });
-    stage_ = Stage::Passing;
-    end_.cancel();
-    limit_.cancel();
+    stage_ = Stage::Streaming;
+    deadline_timer_.cancel();
+    stage_timer_.cancel();
     const auto done = std::exchange(done_, nullptr);
     release();
     done(std::move(result));
 }
 
-void EndpointConnection::pass_on() {
+void EndpointConnection::forward_piece() {
     const auto self = shared_from_this();
-    rest_->put(std::exchange(parser_->get().body(), {}));
-    if (stage_ == Stage::Passing && parser_->is_done()) finish_passing(clean_end());
+    answer_rest_->put(std::exchange(parser_->get().body(), {}));
+    if (stage_ == Stage::Streaming && parser_->is_done()) finish_streaming(ends_cleanly());
 }
 
-void EndpointConnection::finish_passing(bool keep) {
+void EndpointConnection::finish_streaming(bool keep) {
     const auto self = shared_from_this();
-    rest_->put(std::exchange(parser_->get().body(), {}));
-    if (!rest_) return;  // its caller left at that
-    limit_.cancel();
-    std::exchange(rest_, nullptr)->finish();
+    answer_rest_->put(std::exchange(parser_->get().body(), {}));
+    if (!answer_rest_) return;  // its caller left at that
+    stage_timer_.cancel();
+    std::exchange(answer_rest_, nullptr)->finish();
     if (stage_ == Stage::Closed) return;
-    if (keep && pool_.keeps(*this)) {
+    if (keep && pool_.may_keep(*this)) {
         return_to_pool();
     } else {
         close();
@@ -298,13 +308,15 @@
 void EndpointConnection::return_to_pool() {
     stage_ = Stage::Idle;
     if (const Duration most = pool_.limits_.connection_idle; most > Duration{}) {
-        const Duration keep_for{static_cast<Duration::rep>(static_cast<double>(most.count()) * kIdleShare)};
-        limit_.set(Loop::monotonic() + keep_for, [self = shared_from_this()] { self->drop_idle(); });
+        const Duration keep_for{
+            static_cast<Duration::rep>(static_cast<double>(most.count()) * kIdleTimeoutShare)};
+        stage_timer_.set(EventLoop::monotonic() + keep_for,
+                         [self = shared_from_this()] { self->close_idle(); });
     }
-    pool_.put_back(shared_from_this());
+    pool_.add_idle(shared_from_this());
 }
 
-void EndpointConnection::answered(Status status, bool keep) {
+void EndpointConnection::complete_attempt(Status status, bool keep) {
     auto answer = parser_->release();
     Result result;
     result.status = status;
@@ -313,11 +325,11 @@
         result.body = std::move(answer.body());
         result.content_type = std::string(answer[http::field::content_type]);
     }
-    end_.cancel();
+    deadline_timer_.cancel();
     auto done = std::exchange(done_, nullptr);
     release();
-    result.kept = keep && pool_.keeps(*this);
-    if (result.kept) {
+    result.connection_reusable = keep && pool_.may_keep(*this);
+    if (result.connection_reusable) {
         return_to_pool();
     } else {
         close();
@@ -335,9 +347,9 @@
     if (done) done(std::move(result));
 }
 
-void EndpointConnection::drop_idle() {
+void EndpointConnection::close_idle() {
     const auto self = shared_from_this();
-    pool_.forget_idle(*this);
+    pool_.remove_idle(*this);
     close();
 }
 
--- a/src/http1/held_answer.cpp
+++ b/src/http1/held_answer.cpp
@@ -28,13 +28,13 @@
 void HeldAnswer::read() {
     Pipe& rest = *answer_.rest;
     // Not called from within take(), which may let the writer go on: this object could be destroyed there.
-    rest.on_more(nullptr);
+    rest.on_readable(nullptr);
     while (!rest.empty()) {
         if (!append(rest.take())) return end(End::LimitReached);
     }
-    if (rest.state() == Pipe::State::Whole) return end(End::Whole);
-    if (rest.state() == Pipe::State::Broken) return end(End::Broken);
-    rest.on_more([this] { read(); });
+    if (rest.state() == Pipe::State::Complete) return end(End::Complete);
+    if (rest.state() == Pipe::State::Failed) return end(End::Failed);
+    rest.on_readable([this] { read(); });
 }
 
 bool HeldAnswer::append(std::string&& piece) {
@@ -48,7 +48,7 @@
 
 void HeldAnswer::end(End how) {
     const Callback ended = std::exchange(ended_, nullptr);
-    if (how == End::Whole) {
+    if (how == End::Complete) {
         answer_.rest.reset();
         answer_.length.reset();
     }
--- a/src/http1/held_answer.h
+++ b/src/http1/held_answer.h
@@ -27,8 +27,8 @@
 class HeldAnswer {
   public:
     enum class End {
-        Whole,        ///< the answer has its whole body, and no rest
-        Broken,       ///< the rest will never come
+        Complete,     ///< the answer has its whole body, and no rest
+        Failed,       ///< the rest will never come
         LimitReached  ///< the limit has no room for more: the answer has what came, and a rest
     };
     /// Called once; may destroy the HeldAnswer.
--- a/src/http1/http.h
+++ b/src/http1/http.h
@@ -28,28 +28,30 @@
 namespace http = boost::beast::http;
 using boost::system::error_code;
 
-constexpr std::size_t kWholeBody = 64 * 1024;   // up to here a body is held whole, so that it can go again
-constexpr std::size_t kSurelyLong = 16 * 1024;  // of an answer that is said to be longer than that
-constexpr std::uint64_t kMostBody = 40 * 1024 * 1024;  // the platform's longest have 32 MB
-constexpr std::size_t kMostHeld = 32 * 1024;           // of a body that passes through
-constexpr std::size_t kMostHeader = 8 * 1024;
-constexpr std::size_t kReadSize = 4 * 1024;
-constexpr std::size_t kPassSize = 32 * 1024;                // read at once of a body that passes through
-constexpr std::size_t kMostBuffer = kPassSize + kReadSize;  // heads never fill it: kMostHeader bounds them
+constexpr std::size_t kMaxBufferedBodyBytes =
+    64 * 1024;  // up to here a body is held whole, so that it can go again
+constexpr std::size_t kStreamThresholdBytes = 16 * 1024;   // of an answer that is said to be longer than that
+constexpr std::uint64_t kMaxBodyBytes = 40 * 1024 * 1024;  // the platform's longest have 32 MB
+constexpr std::size_t kMaxPipeBytes = 32 * 1024;           // of a body that passes through
+constexpr std::size_t kMaxHeaderBytes = 8 * 1024;
+constexpr std::size_t kReadBytes = 4 * 1024;
+constexpr std::size_t kStreamReadBytes = 32 * 1024;  // read at once of a body that passes through
+constexpr std::size_t kMaxBufferBytes =
+    kStreamReadBytes + kReadBytes;  // heads never fill it: kMaxHeaderBytes bounds them
 
 /// Bounds what the kernel holds of what was written. Guards against megabytes on the way to a slow reader, of
 /// which a third must drain before the next piece may go: with the kernel's own choice that takes longer than
 /// a peer may stand still.
-constexpr int kSendBuffer = 64 * 1024;
+constexpr int kSendBufferBytes = 64 * 1024;
 template <class Socket>
-void bound_send_buffer(Socket& socket) {
+void limit_send_buffer(Socket& socket) {
     error_code ignored;
-    socket.set_option(typename Socket::send_buffer_size(kSendBuffer), ignored);
+    socket.set_option(typename Socket::send_buffer_size(kSendBufferBytes), ignored);
 }
 
 /// A body as the pieces of it that have come and were not taken yet. Unlike Beast's string_body it reserves
 /// nothing on the strength of a stated length.
-struct PieceBody {
+struct IncrementalBody {
     using value_type = std::string;
     class reader {
       public:
@@ -65,7 +67,8 @@
         }
         void init(const boost::optional<std::uint64_t>& length, error_code& error) {
             keep_head_();
-            held_.reserve(static_cast<std::size_t>(std::min<std::uint64_t>(length.value_or(0), kWholeBody)));
+            held_.reserve(
+                static_cast<std::size_t>(std::min<std::uint64_t>(length.value_or(0), kMaxBufferedBodyBytes)));
             error = {};
         }
         template <class Buffers>
@@ -92,16 +95,16 @@
 /// A caller's request as it came, less what concerns its connection alone. Its body is whole, or the rest of
 /// it comes through a pipe.
 struct HttpMessage : Message {
-    explicit HttpMessage(http::request<PieceBody>&& from)
+    explicit HttpMessage(http::request<IncrementalBody>&& from)
         : head(std::move(from.base())), body(std::move(from.body())) {}
     std::string_view id() const override { return field("X-Request-ID"); }
     std::string_view key() const override { return field("Idempotency-Key"); }
-    std::string_view held_body() const override { return body; }
+    std::string_view buffered_body() const override { return body; }
     std::string_view field(std::string_view name) const {
         const auto value = head[boost::beast::string_view(name.data(), name.size())];
         return {value.data(), value.size()};
     }
-    bool arrives_in_pieces() const override { return rest != nullptr; }
+    bool is_streamed() const override { return rest != nullptr; }
     bool resendable() const override { return !rest || !rest_begun; }
 
     http::request_header<> head;
@@ -112,11 +115,11 @@
 };
 
 template <bool isRequest>
-using Parser = http::parser<isRequest, PieceBody>;
+using Parser = http::parser<isRequest, IncrementalBody>;
 
 template <bool isRequest>
-void renew(std::optional<Parser<isRequest>>& parser, std::size_t max_header_bytes = kMostHeader,
-           std::uint64_t max_body_bytes = kMostBody) {
+void reset_parser(std::optional<Parser<isRequest>>& parser, std::size_t max_header_bytes = kMaxHeaderBytes,
+                  std::uint64_t max_body_bytes = kMaxBodyBytes) {
     parser.emplace();
     parser->header_limit(static_cast<std::uint32_t>(max_header_bytes));
     parser->body_limit(max_body_bytes);
@@ -144,17 +147,17 @@
 
 /// Reads at most as much as a connection may hold unparsed: little, but for a body that passes through.
 inline std::size_t read_size(const boost::beast::flat_buffer& buffer, bool passing) {
-    return passing ? std::min(kPassSize, buffer.max_size() - buffer.size()) : kReadSize;
+    return passing ? std::min(kStreamReadBytes, buffer.max_size() - buffer.size()) : kReadBytes;
 }
 
 /// Writes a message whose body is at hand, or comes through a pipe.
 template <bool isRequest>
-class Writer : public std::enable_shared_from_this<Writer<isRequest>> {
+class MessageWriter : public std::enable_shared_from_this<MessageWriter<isRequest>> {
   public:
     using Head = http::message<isRequest, http::buffer_body>;
 
     /// `rest` follows `body`; the head says how long the two are together, or that they come in chunks.
-    Writer(Head head, std::string_view body, std::shared_ptr<Pipe> rest)
+    MessageWriter(Head head, std::string_view body, std::shared_ptr<Pipe> rest)
         : message_(std::move(head)), serializer_(message_), rest_(std::move(rest)) {
         set_piece(body.data(), body.size(), rest_ != nullptr);
     }
@@ -174,7 +177,7 @@
         owner_ = owner;
         done_ = std::move(done);
         if (rest_) {
-            rest_->on_more([weak = this->weak_from_this(), &socket] {
+            rest_->on_readable([weak = this->weak_from_this(), &socket] {
                 if (const auto self = weak.lock(); self && std::exchange(self->waiting_, false))
                     self->next(socket);
             });
@@ -187,7 +190,7 @@
     void stop() {
         done_ = nullptr;
         on_progress = nullptr;
-        if (rest_) rest_->on_more(nullptr);
+        if (rest_) rest_->on_readable(nullptr);
     }
 
   private:
@@ -218,8 +221,8 @@
         if (on_rest) std::exchange(on_rest, nullptr)();
         piece_ = rest_->take();
         // What was taken may have let more in, from within.
-        if (piece_.empty() && rest_->state() == Pipe::State::Broken) return end(http::error::partial_message);
-        const bool more = rest_->state() != Pipe::State::Whole || !rest_->empty();
+        if (piece_.empty() && rest_->state() == Pipe::State::Failed) return end(http::error::partial_message);
+        const bool more = rest_->state() != Pipe::State::Complete || !rest_->empty();
         set_piece(piece_.data(), piece_.size(), more);
         write(socket);
     }
--- a/src/http1/listener.cpp
+++ b/src/http1/listener.cpp
@@ -15,33 +15,36 @@
 
 namespace {
 
-constexpr int kMostLooks = 8;            // at connections, to find one that can make room
-constexpr Duration kSettled = 300ms;     // a connection that has said nothing for so long may not mean to
-constexpr Duration kAcceptAgain = 20ms;  // after running out of descriptors
-constexpr Duration kSentAway = 300ms;    // after an evacuation began, by when no front sends anybody new
-constexpr Duration kLetGo = 1s;          // and by when idle connections are closed
-constexpr Duration kGiveUpAfter = 20ms;  // the request handler's own deadline, at the same time, says more
-constexpr Duration kNoMore = 1800ms;  // from when on requests are refused: none of the last 2 s may be held
+constexpr int kMaxEvictionCandidates = 8;  // at connections, to find one that can make room
+constexpr Duration kMinQuietTime = 300ms;  // a connection that has said nothing for so long may not mean to
+constexpr Duration kAcceptRetryDelay = 20ms;  // after running out of descriptors
+constexpr Duration kEvacuationNotice =
+    300ms;  // after an evacuation began, by when no front sends anybody new
+constexpr Duration kEvacuationCloseDelay = 1s;  // and by when idle connections are closed
+constexpr Duration kGiveUpDelay = 20ms;  // the request handler's own deadline, at the same time, says more
+constexpr Duration kEvacuationRefuseDelay =
+    1800ms;  // from when on requests are refused: none of the last 2 s may be held
 
 }  // namespace
 
-HttpListener::HttpListener(Loop& loop, RequestHandler& request_handler, ServerProtocol& protocol,
-                           std::size_t most, std::function<bool()> ready, Counters& counters)
+HttpListener::HttpListener(EventLoop& loop, RequestHandler& request_handler, ServerProtocol& protocol,
+                           std::size_t max_connections, std::function<bool()> ready, Counters& counters)
     : loop_(loop),
       request_handler_(request_handler),
       protocol_(protocol),
-      most_(most),
+      max_connections_(max_connections),
       ready_(std::move(ready)),
       acceptor_(loop.io()),
-      again_(loop),
-      quiet_(loop),
-      letting_go_(loop),
-      giving_up_(loop),
-      room_made_(
+      accept_retry_timer_(loop),
+      drain_timer_(loop),
+      evacuation_timer_(loop),
+      give_up_timer_(loop),
+      evicted_(
           counters.counter("clients.evicted", "connections without a whole request closed to make room")),
       withheld_(counters.counter("answers.withheld", "answers to another request than the one that waited")),
       early_(counters.counter("clients.early", "reads that brought bytes while a request was open")) {
-    counters.gauge("clients.open", "connections of clients", [this] { return static_cast<double>(held()); });
+    counters.gauge("clients.open", "connections of clients",
+                   [this] { return static_cast<double>(open_connections()); });
 }
 HttpListener::~HttpListener() = default;
 
@@ -65,10 +68,10 @@
 void HttpListener::accept() {
     if (accepting_ || !acceptor_.is_open()) return;
     if (full()) {
-        make_room();  // goes on when one closes
+        evict_one();  // goes on when one closes
         // Guards against a house that filled within one turn, with bytes of all still to be read: once they
         // are, one can be closed.
-        if (full()) again_.set(Loop::monotonic() + kAcceptAgain, [this] { accept(); });
+        if (full()) accept_retry_timer_.set(EventLoop::monotonic() + kAcceptRetryDelay, [this] { accept(); });
         return;
     }
     accepting_ = true;
@@ -83,16 +86,16 @@
     if (!error) {
         error_code ignored;
         socket.set_option(asio::ip::tcp::no_delay(true), ignored);
-        bound_send_buffer(socket);
+        limit_send_buffer(socket);
         const auto client = std::make_shared<ClientConnection>(*this, std::move(socket));
-        client->start(waiting_.insert(waiting_.end(), client));
+        client->start(idle_.insert(idle_.end(), client));
     }
     if (!acceptor_.is_open()) return;
     if (error == asio::error::no_descriptors || error == boost::system::errc::too_many_files_open_in_system ||
         error == asio::error::no_memory || error == asio::error::no_buffer_space) {
         // Guards against spinning on a listener that stays ready while nothing can be accepted.
-        make_room();
-        return again_.set(Loop::monotonic() + kAcceptAgain, [this] { accept(); });
+        evict_one();
+        return accept_retry_timer_.set(EventLoop::monotonic() + kAcceptRetryDelay, [this] { accept(); });
     }
     accept();
 }
@@ -100,58 +103,58 @@
 /// Closes the connection that has gone longest without a whole request: one that is between requests, says
 /// nothing, or sends its request too slowly. Guards against a house full of such clients that keeps out those
 /// who want something.
-bool HttpListener::make_room() {
-    const auto quiet = first_silent(waiting_), half = first_silent(begun_);
-    const Time settled = Loop::monotonic() - kSettled;
+bool HttpListener::evict_one() {
+    const auto quiet = first_without_unread_data(idle_), half = first_without_unread_data(partial_);
+    const Time settled = EventLoop::monotonic() - kMinQuietTime;
     // One that has only just connected is about to say something, more likely than one that stopped half way.
-    const auto& gone = quiet && quiet->listed_since() <= settled                       ? quiet
-                       : half && (half->listed_since() <= settled || !quiet)           ? half
-                       : quiet && half && half->listed_since() < quiet->listed_since() ? half
-                                                                                       : quiet;
+    const auto& gone = quiet && quiet->in_list_since() <= settled                        ? quiet
+                       : half && (half->in_list_since() <= settled || !quiet)            ? half
+                       : quiet && half && half->in_list_since() < quiet->in_list_since() ? half
+                                                                                         : quiet;
     if (!gone) return false;
-    room_made_.add();
+    evicted_.add();
     gone->close();
     return true;
 }
 
-std::shared_ptr<ClientConnection> HttpListener::first_silent(Clients& among) {
-    for (int looks = 0; looks < kMostLooks && !among.empty(); ++looks) {
-        if (auto client = among.front().lock(); client && client->silent()) return client;
+std::shared_ptr<ClientConnection> HttpListener::first_without_unread_data(Clients& among) {
+    for (int looks = 0; looks < kMaxEvictionCandidates && !among.empty(); ++looks) {
+        if (auto client = among.front().lock(); client && client->has_no_unread_data()) return client;
         among.splice(among.end(), among, among.begin());  // its turn to be read comes first
     }
     return nullptr;
 }
 
-void HttpListener::hold_at_most(std::size_t most) {
-    most_ = most;
-    while (held() > most_ && make_room()) {
+void HttpListener::set_max_connections(std::size_t max_connections) {
+    max_connections_ = max_connections;
+    while (open_connections() > max_connections_ && evict_one()) {
     }
     accept();
 }
 
-void HttpListener::closed(Clients& among, Clients::iterator place) {
+void HttpListener::connection_closed(Clients& among, Clients::iterator place) {
     among.erase(place);
-    if (closing_ && empty()) return ended();
+    if (stopped_serving_ && empty()) return finish_drain();
     accept();
 }
 
 void HttpListener::drain(std::function<void()> done, bool replaced) {
-    if (drained_) return;
-    drained_ = std::move(done);
+    if (on_drained_) return;
+    on_drained_ = std::move(done);
     replaced_ = replaced;
-    letting_go_.cancel();
+    evacuation_timer_.cancel();
     const DrainTimes times = protocol_.drain_times();
-    answers_end_ = Loop::monotonic() + times.answers_end;
+    answer_deadline_ = EventLoop::monotonic() + times.answer_deadline;
     if (times.max_held_bytes > 0) {
         hold_limit_ = std::make_unique<HoldLimit>(times.max_held_bytes);
-        giving_up_.set(answers_end_ + kGiveUpAfter, [this] { give_up(); });
+        give_up_timer_.set(answer_deadline_ + kGiveUpDelay, [this] { give_up(); });
     }
     if (replaced_) return stop_accepting();  // what waits in the listener is its other holder's
-    quiet_.set(Loop::monotonic() + times.last_call, [this] { stop_accepting(); });
+    drain_timer_.set(EventLoop::monotonic() + times.accept_period, [this] { stop_accepting(); });
 }
 
 void HttpListener::give_up() {
-    for (const auto& entry : Clients(busy_)) {
+    for (const auto& entry : Clients(active_)) {
         if (const auto client = entry.lock()) client->give_up();
     }
 }
@@ -165,32 +168,33 @@
     // Clients go on using open connections, and there may be nobody else to turn to while a fleet restarts:
     // these are served for as long as their answers will be in time.
     const DrainTimes times = protocol_.drain_times();
-    quiet_.set(std::max(Loop::monotonic() + times.last_request, answers_end_ - times.last_answers),
-               [this] { stop_serving(); });
+    drain_timer_.set(
+        std::max(EventLoop::monotonic() + times.request_grace, answer_deadline_ - times.answer_only_period),
+        [this] { stop_serving(); });
 }
 
 void HttpListener::stop_serving() {
-    closing_ = true;
+    stopped_serving_ = true;
     close_idle();
-    if (empty()) ended();
+    if (empty()) finish_drain();
 }
 
 /// Tells once that nothing is left. Guards against a process with two fronts that takes one's end told twice
 /// for both ends.
-void HttpListener::ended() {
-    if (!std::exchange(ended_, true)) drained_();
+void HttpListener::finish_drain() {
+    if (!std::exchange(drain_finished_, true)) on_drained_();
 }
 
 void HttpListener::close_idle() {
-    for (const auto& entry : Clients(waiting_)) {
+    for (const auto& entry : Clients(idle_)) {
         if (const auto client = entry.lock(); client && client->idle()) client->close();
     }
 }
 
 ClientBacklog HttpListener::backlog() const {
     ClientBacklog backlog;
-    backlog.requests = busy_.size();
-    for (const Clients* clients : {&waiting_, &begun_, &busy_}) {
+    backlog.requests = active_.size();
+    for (const Clients* clients : {&idle_, &partial_, &active_}) {
         for (const auto& entry : *clients) {
             const auto client = entry.lock();
             if (!client) continue;
@@ -202,22 +206,24 @@
 }
 
 void HttpListener::evacuate() {
-    if (evacuated_ || draining()) return;
-    evacuated_ = Loop::monotonic();
-    letting_go_.set(*evacuated_ + kLetGo, [this] { close_idle(); });
+    if (evacuated_since_ || draining()) return;
+    evacuated_since_ = EventLoop::monotonic();
+    evacuation_timer_.set(*evacuated_since_ + kEvacuationCloseDelay, [this] { close_idle(); });
 }
 
 void HttpListener::activate() {
-    evacuated_.reset();
-    letting_go_.cancel();
+    evacuated_since_.reset();
+    evacuation_timer_.cancel();
 }
 
-bool HttpListener::lets_go() const {
-    return closing_ || replaced_ || (evacuated_ && Loop::monotonic() >= *evacuated_ + kSentAway);
+bool HttpListener::closes_after_answer() const {
+    return stopped_serving_ || replaced_ ||
+           (evacuated_since_ && EventLoop::monotonic() >= *evacuated_since_ + kEvacuationNotice);
 }
 
-bool HttpListener::sends_all_away() const {
-    return evacuated_ && !draining() && Loop::monotonic() >= *evacuated_ + kNoMore;
+bool HttpListener::refuses_requests() const {
+    return evacuated_since_ && !draining() &&
+           EventLoop::monotonic() >= *evacuated_since_ + kEvacuationRefuseDelay;
 }
 
 }  // namespace martenford
--- a/src/http1/listener.h
+++ b/src/http1/listener.h
@@ -31,8 +31,8 @@
   public:
     /// Holds this many connections at most. Throws boost::system::system_error where it can't listen.
     /// `request_handler` and `protocol` outlive it.
-    HttpListener(Loop& loop, RequestHandler& request_handler, ServerProtocol& protocol, std::size_t most,
-                 std::function<bool()> ready, Counters& counters);
+    HttpListener(EventLoop& loop, RequestHandler& request_handler, ServerProtocol& protocol,
+                 std::size_t max_connections, std::function<bool()> ready, Counters& counters);
     ~HttpListener();
 
     /// Listens, beside others that share the address with SO_REUSEPORT. Throws boost::system::system_error
@@ -41,7 +41,7 @@
     /// Takes over a listening socket, with the connections that wait in it.
     void adopt(int descriptor);
     bool listening() const { return acceptor_.is_open(); }
-    int listener() { return acceptor_.native_handle(); }
+    int native_handle() { return acceptor_.native_handle(); }
 
     /// Stops in order: accepts and serves what still comes, answers all that was taken, then calls `done`
     /// once. Where another process accepts from the same listener (`replaced`), nothing more is accepted
@@ -53,9 +53,9 @@
     void evacuate();
     /// Ends that.
     void activate();
-    bool evacuated() const { return evacuated_.has_value(); }
+    bool evacuated() const { return evacuated_since_.has_value(); }
     /// From here on it holds so many; those that carry no request are closed to get there.
-    void hold_at_most(std::size_t most);
+    void set_max_connections(std::size_t max_connections);
 
     /// Answers that named another request than the one that waited, and were withheld.
     [[nodiscard]] std::uint64_t withheld_answers() const { return withheld_.value(); }
@@ -66,20 +66,20 @@
     [[nodiscard]] ClientBacklog backlog() const;
 
     /// Where it listens: the port is the system's choice where the configuration says 0.
-    Address listens_at() const { return acceptor_.local_endpoint(); }
-    bool draining() const { return static_cast<bool>(drained_); }
+    Address local_address() const { return acceptor_.local_endpoint(); }
+    bool draining() const { return static_cast<bool>(on_drained_); }
     /// Whether new clients are wanted.
-    bool is_ready() const { return ready_() && !leaving(); }
+    bool is_ready() const { return ready_() && !rejects_new_clients(); }
 
   private:
     friend class ClientConnection;
     using Clients = std::list<std::weak_ptr<ClientConnection>>;
 
-    bool leaving() const { return draining() || evacuated(); }
+    bool rejects_new_clients() const { return draining() || evacuated(); }
     /// Whether connections are given up after their answer.
-    bool lets_go() const;
+    bool closes_after_answer() const;
     /// Whether requests are refused, in an evacuation that should be over.
-    bool sends_all_away() const;
+    bool refuses_requests() const;
     void close_idle();
     /// Whether answers that may come whole only after the drain are held until they are.
     bool holds_answers() const { return hold_limit_ != nullptr; }
@@ -89,36 +89,36 @@
     void accept();
     void accepted(const boost::system::error_code& error, asio::ip::tcp::socket socket);
     /// False: nobody can be closed now.
-    bool make_room();
-    std::shared_ptr<ClientConnection> first_silent(Clients& among);
-    void closed(Clients& among, Clients::iterator place);
+    bool evict_one();
+    std::shared_ptr<ClientConnection> first_without_unread_data(Clients& among);
+    void connection_closed(Clients& among, Clients::iterator place);
     void stop_accepting();
     void stop_serving();
-    void ended();
-    std::size_t held() const { return waiting_.size() + begun_.size() + busy_.size(); }
-    bool full() const { return held() >= most_; }
-    bool empty() const { return held() == 0; }
+    void finish_drain();
+    std::size_t open_connections() const { return idle_.size() + partial_.size() + active_.size(); }
+    bool full() const { return open_connections() >= max_connections_; }
+    bool empty() const { return open_connections() == 0; }
 
-    Loop& loop_;
+    EventLoop& loop_;
     RequestHandler& request_handler_;
     ServerProtocol& protocol_;
-    std::size_t most_;
+    std::size_t max_connections_;
     std::function<bool()> ready_;
     asio::ip::tcp::acceptor acceptor_;
     // Each in the order in which that began; the first are closed where room is wanted.
-    Clients waiting_;  // those that have said nothing since their last answer
-    Clients begun_;    // those whose request has begun to come, by when it last did
-    Clients busy_;     // those with a request under way, which are never closed to make room
+    Clients idle_;     // those that have said nothing since their last answer
+    Clients partial_;  // those whose request has begun to come, by when it last did
+    Clients active_;   // those with a request under way, which are never closed to make room
     bool accepting_ = false;
-    Timer again_, quiet_, letting_go_, giving_up_;
-    std::optional<Time> evacuated_;  // since when
+    Timer accept_retry_timer_, drain_timer_, evacuation_timer_, give_up_timer_;
+    std::optional<Time> evacuated_since_;  // since when
     bool replaced_ = false;
-    Counter &room_made_, &withheld_, &early_;
+    Counter &evicted_, &withheld_, &early_;
     std::uint64_t last_connection_ = 0;  // numbers those that are accepted
-    std::function<void()> drained_;
-    Time answers_end_{};                     // after SIGTERM: when all that is taken must be answered
+    std::function<void()> on_drained_;
+    Time answer_deadline_{};                 // after SIGTERM: when all that is taken must be answered
     std::unique_ptr<HoldLimit> hold_limit_;  // null: answers are passed on as they come
-    bool closing_ = false, ended_ = false;
+    bool stopped_serving_ = false, drain_finished_ = false;
 };
 
 }  // namespace martenford
--- a/src/http1/protocol.cpp
+++ b/src/http1/protocol.cpp
@@ -10,7 +10,7 @@
 
 using namespace martenford::decision;
 
-std::optional<std::int64_t> whole_number(boost::beast::string_view text) {
+std::optional<std::int64_t> parse_integer(boost::beast::string_view text) {
     std::int64_t value = 0;
     const char* end = text.data() + text.size();
     const auto [stop, fault] = std::from_chars(text.data(), end, value);
@@ -22,14 +22,14 @@
 
 namespace {
 
-constexpr std::size_t kMostId = 128;
-constexpr std::int64_t kMostTimeoutMs = 24 * 3600 * 1000;
-constexpr Duration kLastCall = 450ms;      // connections come for 0.4 s after SIGTERM
-constexpr Duration kLastRequest = 200ms;   // and the requests on them
-constexpr Duration kKilledAfter = 700ms;   // SIGKILL comes this much later than the longest deadline
-constexpr Duration kKilledMost = 3s;       // of which no more than this counts
-constexpr Duration kKilledSlack = 150ms;   // all answers are out by this much before it
-constexpr Duration kLastAnswers = 1500ms;  // and no more requests are wanted by this much before that
+constexpr std::size_t kMaxIdBytes = 128;
+constexpr std::int64_t kMaxTimeoutMs = 24 * 3600 * 1000;
+constexpr Duration kAcceptPeriod = 450ms;       // connections come for 0.4 s after SIGTERM
+constexpr Duration kRequestGrace = 200ms;       // and the requests on them
+constexpr Duration kKillDelay = 700ms;          // SIGKILL comes this much later than the longest deadline
+constexpr Duration kMaxKillDeadline = 3s;       // of which no more than this counts
+constexpr Duration kKillMargin = 150ms;         // all answers are out by this much before it
+constexpr Duration kAnswerOnlyPeriod = 1500ms;  // and no more requests are wanted by this much before that
 
 std::uint64_t hash(std::string_view text) {  // FNV-1a: requests on one key meet the same number everywhere
     std::uint64_t value = 14695981039346656037u;
@@ -42,15 +42,15 @@
 DrainTimes SidecarServerProtocol::drain_times() const {
     Duration longest{};
     for (const RequestClass& c : settings_.classes) longest = std::max(longest, c.deadline);
-    return {kLastCall, kLastRequest, std::min(longest, kKilledMost) + kKilledAfter - kKilledSlack,
-            kLastAnswers};
+    return {kAcceptPeriod, kRequestGrace, std::min(longest, kMaxKillDeadline) + kKillDelay - kKillMargin,
+            kAnswerOnlyPeriod};
 }
 
 /// The event that a message stands for, or the status that turns it away.
 std::variant<Request, LocalReply> SidecarServerProtocol::read(Fields& message, Time arrived) {
     const Settings& settings = settings_;
     const auto id = message["X-Request-ID"], name = message["X-Priority-Class"];
-    if (id.empty() || id.size() > kMostId || name.empty()) return LocalReply{http::status::bad_request};
+    if (id.empty() || id.size() > kMaxIdBytes || name.empty()) return LocalReply{http::status::bad_request};
     std::string_view path(message.target().data(), message.target().size());
     path = path.substr(0, path.find('?'));
     if (path.empty() || path.front() != '/') return LocalReply{http::status::bad_request};
@@ -64,13 +64,13 @@
     if (message.method() != method) return LocalReply{http::status::method_not_allowed};
     if (known->effect == Effect::Guarded && message["Idempotency-Key"].empty())
         return LocalReply{http::status::bad_request};
-    const auto timeout = whole_number(message["X-Timeout-Ms"]);
-    if (!timeout || *timeout < 1 || *timeout > kMostTimeoutMs) return LocalReply{http::status::bad_request};
+    const auto timeout = parse_integer(message["X-Timeout-Ms"]);
+    if (!timeout || *timeout < 1 || *timeout > kMaxTimeoutMs) return LocalReply{http::status::bad_request};
 
     Request request;
     request.id = std::string(id);
     request.class_index = static_cast<std::uint32_t>(known - settings.classes.begin());
-    request.deadline = arrived + std::chrono::milliseconds(*timeout) - kOnTheWay;
+    request.deadline = arrived + std::chrono::milliseconds(*timeout) - kResponseTransitTime;
     request.write = known->effect != Effect::Free;
     request.resent = message["X-Retried"] == "1";
     if (!settings.tenants.empty()) {
@@ -82,8 +82,8 @@
     if (const auto slash = path.rfind('/'); slash != std::string_view::npos) {
         request.key = hash(path.substr(slash + 1));
     }
-    if (const auto cost = whole_number(message["X-Cost"]);
-        cost && *cost >= 0 && *cost < kMostTimeoutMs * 1000) {
+    if (const auto cost = parse_integer(message["X-Cost"]);
+        cost && *cost >= 0 && *cost < kMaxTimeoutMs * 1000) {
         request.work = std::chrono::microseconds(*cost);
     }
     return request;
@@ -102,7 +102,7 @@
 }
 
 void SidecarClientProtocol::prepare(http::request_header<>& head, const HttpMessage&, EndpointId, Time end) {
-    const auto left = std::chrono::ceil<std::chrono::milliseconds>(end - Loop::monotonic());
+    const auto left = std::chrono::ceil<std::chrono::milliseconds>(end - EventLoop::monotonic());
     head.set("X-Timeout-Ms", std::to_string(std::max<std::int64_t>(1, left.count())));
 }
 
--- a/src/http1/protocol.h
+++ b/src/http1/protocol.h
@@ -31,21 +31,21 @@
     Duration head_time = 2600ms;  ///< a head must be whole in this time from its first byte, the first on a
                                   ///< connection from the connect
     Duration idle_time = 15s;     ///< a connection between requests is kept for this long
-    std::size_t max_header_bytes = kMostHeader;
-    std::uint64_t max_body_bytes = kMostBody;
+    std::size_t max_header_bytes = kMaxHeaderBytes;
+    std::uint64_t max_body_bytes = kMaxBodyBytes;
     std::size_t max_buffered_body_bytes =
-        kWholeBody;  ///< up to here a body is held whole; longer ones go on as they come
+        kMaxBufferedBodyBytes;  ///< up to here a body is held whole; longer ones go on as they come
 };
 
 /// What is done after SIGTERM, counted from it.
 struct DrainTimes {
-    Duration last_call{};     ///< connections are accepted for so long
-    Duration last_request{};  ///< and the requests on them are taken for this much longer, at least
-    Duration answers_end{};   ///< all that was taken is answered by then
-    Duration last_answers{};  ///< and no more requests are taken for so long before that
-    /// The process ends soon after `answers_end`, whatever is under way. Answers to requests whose deadline
-    /// is later are held until they are whole, up to so many bytes in all; those that are not whole at
-    /// `answers_end` are given up. 0: answers are passed on as they come.
+    Duration accept_period{};       ///< connections are accepted for so long
+    Duration request_grace{};       ///< and the requests on them are taken for this much longer, at least
+    Duration answer_deadline{};     ///< all that was taken is answered by then
+    Duration answer_only_period{};  ///< and no more requests are taken for so long before that
+    /// The process ends soon after `answer_deadline`, whatever is under way. Answers to requests whose
+    /// deadline is later are held until they are whole, up to so many bytes in all; those that are not whole
+    /// at `answer_deadline` are given up. 0: answers are passed on as they come.
     std::size_t max_held_bytes = 0;
 };
 
@@ -99,9 +99,9 @@
     virtual std::optional<decision::Status> classify(const http::response_header<>& head,
                                                      const HttpMessage* message, EndpointId from) = 0;
     /// Whether answers are passed on with their heads.
-    virtual bool passes_heads() const { return false; }
+    virtual bool forwards_heads() const { return false; }
     /// Whether the end of a connection may end an answer of untold length.
-    virtual bool ends_by_close() const { return true; }
+    virtual bool allows_close_delimited() const { return true; }
 };
 
 /// Takes off what concerns one connection alone (RFC 9110, section 7.6.1).
@@ -121,7 +121,7 @@
 }
 
 /// A whole number and nothing else; nothing where the text is none.
-std::optional<std::int64_t> whole_number(boost::beast::string_view text);
+std::optional<std::int64_t> parse_integer(boost::beast::string_view text);
 
 /// The protocol of the platform in service: X-Request-ID, X-Timeout-Ms and the rest of it.
 class SidecarServerProtocol : public ServerProtocol {
--- a/src/ledger/frame.cpp
+++ b/src/ledger/frame.cpp
@@ -8,8 +8,8 @@
 
 namespace {
 
-using framing::framed;
-using framing::parsed;
+using framing::decode_message;
+using framing::encode_message;
 
 void fill(link::Record& to, const Record& from) {
     to.set_sequence(from.sequence);
@@ -87,7 +87,7 @@
     } else {
         fill(*out.mutable_record(), std::get<Record>(message));
     }
-    return framed(out);
+    return encode_message(out);
 }
 
 std::string frame_of(const FromWriter& message) {
@@ -99,11 +99,11 @@
     } else {
         out.mutable_trouble()->set_what(std::get<Trouble>(message).what);
     }
-    return framed(out);
+    return encode_message(out);
 }
 
 ToWriter read_to_writer(std::string_view message) {
-    const auto in = parsed<link::ToWriter>(message);
+    const auto in = decode_message<link::ToWriter>(message);
     if (in.has_hello()) {
         const auto& hello = in.hello();
         return Hello{hello.version(), hello.boot(), hello.name(), hello.started_ms()};
@@ -113,7 +113,7 @@
 }
 
 FromWriter read_from_writer(std::string_view message) {
-    const auto in = parsed<link::FromWriter>(message);
+    const auto in = decode_message<link::FromWriter>(message);
     if (in.has_ready()) return Ready{in.ready().version()};
     if (in.has_ack()) return Ack{in.ack().up_to()};
     if (in.has_trouble()) return Trouble{in.trouble().what()};
--- a/src/ledger/frame.h
+++ b/src/ledger/frame.h
@@ -15,8 +15,8 @@
 constexpr std::uint32_t kLinkVersion = 1;
 using framing::FrameError;
 using framing::FrameReader;
-using framing::kFrameHead;
-using framing::kMostFrame;
+using framing::kFrameHeaderBytes;
+using framing::kMaxFrameBytes;
 
 struct Hello {
     std::uint32_t version = kLinkVersion;
--- a/src/ledger/recorder.cpp
+++ b/src/ledger/recorder.cpp
@@ -54,7 +54,7 @@
 }  // namespace
 
 /// An attempt whose intent is not durable yet, and what it is once it is: the back's own.
-class Recorder::Held : public Back::Attempt, public std::enable_shared_from_this<Held> {
+class Recorder::Held : public EndpointClient::Attempt, public std::enable_shared_from_this<Held> {
   public:
     Held(Recorder& recorder, EndpointId id, std::shared_ptr<const Message> message, Time end, Done done,
          std::uint32_t attempt, bool refuses)
@@ -99,14 +99,14 @@
         if (waits()) return end(Ending::NotSent, Status::Cancelled);
         if (const auto inner = inner_.lock()) inner->cancel();
     }
-    void withdraw_unwritten() override {
+    void withdraw_if_unsent() override {
         if (waits()) return end(Ending::Withheld, Status::NotSent);
-        if (const auto inner = inner_.lock()) inner->withdraw_unwritten();
+        if (const auto inner = inner_.lock()) inner->withdraw_if_unsent();
     }
-    void end_at(Time end) override {
+    void set_deadline(Time end) override {
         end_ = end;
         if (waits()) return set_limit();
-        if (const auto inner = inner_.lock()) inner->end_at(end);
+        if (const auto inner = inner_.lock()) inner->set_deadline(end);
     }
 
   private:
@@ -136,7 +136,7 @@
     Handle inner_;
 };
 
-Recorder::Recorder(Scheduler& scheduler, Back& back, Placement& placement, WriterLink& link,
+Recorder::Recorder(Scheduler& scheduler, EndpointClient& back, EndpointTable& placement, WriterLink& link,
                    const Options& options, const std::vector<decision::RequestClass>& classes,
                    Counters& counters)
     : scheduler_(scheduler),
@@ -183,7 +183,8 @@
     return link_.outbox().decide(options.level, options.outage) == Outbox::Verdict::Hold;
 }
 
-Back::Handle Recorder::send(EndpointId id, std::shared_ptr<const Message> message, Time end, Done done) {
+EndpointClient::Handle Recorder::send(EndpointId id, std::shared_ptr<const Message> message, Time end,
+                                      Done done) {
     const ClassOptions& options = of(message->class_index);
     if (options.level == Level::Off) return back_.send(id, std::move(message), end, std::move(done));
     const RequestId request(message->id());
@@ -239,7 +240,7 @@
     intent.klass = class_names_[message.class_index];
     intent.key = message.key();
     // Only the first: a body that has begun to go out is no longer held here.
-    if (digest_ && attempt == 0) intent.digest = digest_->of(message.held_body());
+    if (digest_ && attempt == 0) intent.digest = digest_->of(message.buffered_body());
     if (const auto node = nodes_.find(id); node != nodes_.end()) {
         intent.uid = node->second.uid;
         intent.address = node->second.address;
@@ -247,8 +248,8 @@
     return tell(call.serial, urgent, std::move(intent));
 }
 
-Back::Handle Recorder::pass_on(EndpointId id, const std::shared_ptr<const Message>& message, Time end,
-                               Done done, std::uint32_t attempt) {
+EndpointClient::Handle Recorder::pass_on(EndpointId id, const std::shared_ptr<const Message>& message,
+                                         Time end, Done done, std::uint32_t attempt) {
     return back_.send(
         id, message, end,
         [this, request = RequestId(message->id()), attempt, done = std::move(done)](Result&& result) {
@@ -313,7 +314,7 @@
     return [this, serial, answer = final_of(kind)] { tell(serial, false, Answered{answer}); };
 }
 
-void Recorder::left(const RequestId& id) {
+void Recorder::client_disconnected(const RequestId& id) {
     const auto it = calls_.find(id);
     if (it != calls_.end() && it->second.told) tell(it->second.serial, false, Answered{Final::Left});
 }
@@ -331,8 +332,9 @@
         gap_.reason = link_.outbox().reason();
     }
     if (!std::exchange(said_unkept_, true)) {
-        martenford::tell(Event::JournalUnkept,
-                         "requests that must not run twice go out unjournaled: " + link_.outbox().reason());
+        martenford::log_event(
+            Event::JournalBypassed,
+            "requests that must not run twice go out unjournaled: " + link_.outbox().reason());
     }
 }
 
@@ -366,15 +368,15 @@
 
 // ---- who an endpoint is -----------------------------------------------------------------------------
 
-void Recorder::name(EndpointId id, const std::string& uid) {
+void Recorder::set_name(EndpointId id, const std::string& uid) {
     nodes_[id].uid = uid;
 }
 
-void Recorder::place(EndpointId id, const Address& address, bool ready) {
+void Recorder::set_endpoint(EndpointId id, const Address& address, bool ready) {
     std::ostringstream text;
     text << address;
     nodes_[id].address = text.str();
-    placement_.place(id, address, ready);
+    placement_.set_endpoint(id, address, ready);
 }
 
 void Recorder::remove(EndpointId id) {
--- a/src/ledger/recorder.h
+++ b/src/ledger/recorder.h
@@ -20,11 +20,11 @@
 
 namespace martenford::ledger {
 
-class Recorder : public Back, public Placement, public Witness {
+class Recorder : public EndpointClient, public EndpointTable, public RequestInterceptor {
   public:
     /// All references outlive it. Throws std::runtime_error where the digest's key can't be read.
-    Recorder(Scheduler& scheduler, Back& back, Placement& placement, WriterLink& link, const Options& options,
-             const std::vector<decision::RequestClass>& classes, Counters& counters);
+    Recorder(Scheduler& scheduler, EndpointClient& back, EndpointTable& placement, WriterLink& link,
+             const Options& options, const std::vector<decision::RequestClass>& classes, Counters& counters);
     ~Recorder() override;
 
     /// Answers an open request at once: `refused`, or failed where something of it may have run.
@@ -39,16 +39,16 @@
 
     Handle send(EndpointId id, std::shared_ptr<const Message> message, Time end, Done done) override;
     void probe(EndpointId id, Done done) override { back_.probe(id, std::move(done)); }
-    void shut_idle(EndpointId id) override { back_.shut_idle(id); }
+    void close_idle_connections(EndpointId id) override { back_.close_idle_connections(id); }
 
-    void place(EndpointId id, const Address& address, bool ready) override;
+    void set_endpoint(EndpointId id, const Address& address, bool ready) override;
     void remove(EndpointId id) override;
-    void name(EndpointId id, const std::string& uid) override;
+    void set_name(EndpointId id, const std::string& uid) override;
 
     bool admits(const decision::Request& request) override;
     bool holds(const decision::Request& request) override;
     std::function<void()> completed(const decision::RequestId& id, Answer::Kind kind) override;
-    void left(const decision::RequestId& id) override;
+    void client_disconnected(const decision::RequestId& id) override;
 
   private:
     class Held;
@@ -84,8 +84,8 @@
     void forget_if_over(const decision::RequestId& id);
 
     Scheduler& scheduler_;
-    Back& back_;
-    Placement& placement_;
+    EndpointClient& back_;
+    EndpointTable& placement_;
     WriterLink& link_;
     const Options& options_;
     std::vector<ClassOptions> classes_;
--- a/src/ledger/writer_link.cpp
+++ b/src/ledger/writer_link.cpp
@@ -32,8 +32,8 @@
 
 }  // namespace
 
-WriterLink::WriterLink(Loop& loop, const Options& options, const std::string& sidecar, std::uint64_t boot,
-                       Counters& counters)
+WriterLink::WriterLink(EventLoop& loop, const Options& options, const std::string& sidecar,
+                       std::uint64_t boot, Counters& counters)
     : loop_(loop),
       options_(options),
       sidecar_(sidecar),
@@ -83,7 +83,7 @@
     socket_->non_blocking(true, ignored);
     reader_ = {};
     restarts_.add();
-    outbox_.started(Loop::monotonic());
+    outbox_.started(EventLoop::monotonic());
     greeting_ = frame_of(ToWriter{Hello{kLinkVersion, boot_, sidecar_, wall_ms()}});
     read();
     flush();
@@ -138,7 +138,7 @@
 
 void WriterLink::flush() {
     if (!socket_ || write_pending_) return;
-    writing_ = std::exchange(greeting_, {}) + outbox_.unsent(kMostWrite, Loop::monotonic());
+    writing_ = std::exchange(greeting_, {}) + outbox_.unsent(kMostWrite, EventLoop::monotonic());
     if (writing_.empty()) return;
     write_pending_ = true;
     watch();
@@ -171,20 +171,20 @@
 }
 
 void WriterLink::take(const FromWriter& message) {
-    const Time now = Loop::monotonic();
+    const Time now = EventLoop::monotonic();
     if (const auto* ack = std::get_if<Ack>(&message)) {
         outbox_.acked(ack->up_to, now);
     } else if (const auto* trouble = std::get_if<Trouble>(&message)) {
         if (outbox_.health() != Outbox::Health::Troubled) troubles_.add();
         if (!std::exchange(said_, true))
-            tell(Event::JournalLost, "the journal keeps nothing now: " + trouble->what);
+            log_event(Event::JournalWriterLost, "the journal keeps nothing now: " + trouble->what);
         outbox_.troubled(trouble->what, now);
         return changed();
     } else {
         outbox_.ready(now);
     }
     if (outbox_.health() == Outbox::Health::Up && std::exchange(said_, false))
-        tell(Event::JournalWorks, "the journal works again");
+        log_event(Event::JournalRecovered, "the journal works again");
     changed();
 }
 
@@ -192,7 +192,7 @@
 void WriterLink::writer_lost(const std::string& why) {
     troubles_.add();
     if (!std::exchange(said_, true))
-        tell(Event::JournalLost, "the journal's writer is lost, and started again: " + why);
+        log_event(Event::JournalWriterLost, "the journal's writer is lost, and started again: " + why);
     if (socket_) {
         error_code ignored;
         socket_->close(ignored);
@@ -204,7 +204,7 @@
         dead_.push_back(std::exchange(writer_, -1));
     }
     reap();
-    outbox_.lost(why, Loop::monotonic());
+    outbox_.lost(why, EventLoop::monotonic());
     again_.set(*outbox_.restart_at(), [this] { start_writer(); });
     patience_.cancel();
     changed();
@@ -213,14 +213,14 @@
 void WriterLink::reap() {
     std::erase_if(dead_, [](pid_t pid) { return ::waitpid(pid, nullptr, WNOHANG) != 0; });
     if (dead_.empty()) return;
-    reap_.set(Loop::monotonic() + kReapAgain, [this] { reap(); });
+    reap_.set(EventLoop::monotonic() + kReapAgain, [this] { reap(); });
 }
 
 void WriterLink::watch() {
     const auto until = outbox_.patience_ends();
     if (!until) return patience_.cancel();
     patience_.set(*until, [this] {
-        if (outbox_.hangs(Loop::monotonic())) return writer_lost("it owes an answer for too long");
+        if (outbox_.hangs(EventLoop::monotonic())) return writer_lost("it owes an answer for too long");
         watch();
     });
 }
@@ -235,7 +235,7 @@
 
 void WriterLink::finish(Duration most, std::function<void()> done) {
     finished_ = std::move(done);
-    finish_.set(Loop::monotonic() + most, [this] {
+    finish_.set(EventLoop::monotonic() + most, [this] {
         if (finished_) std::exchange(finished_, nullptr)();
     });
     flush();
--- a/src/ledger/writer_link.h
+++ b/src/ledger/writer_link.h
@@ -21,7 +21,7 @@
 class WriterLink {
   public:
     /// `boot`: of this process, random. Both references outlive it.
-    WriterLink(Loop& loop, const Options& options, const std::string& sidecar, std::uint64_t boot,
+    WriterLink(EventLoop& loop, const Options& options, const std::string& sidecar, std::uint64_t boot,
                Counters& counters);
     ~WriterLink();
 
@@ -51,7 +51,7 @@
     void watch();
     void changed();
 
-    Loop& loop_;
+    EventLoop& loop_;
     const Options& options_;
     std::string sidecar_;
     std::uint64_t boot_;
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -51,9 +51,9 @@
 /// Of a new configuration only discovery's address takes effect: the rest holds from the start on.
 void reload(Discovery& discovery) {
     try {
-        discovery.move(read_discovery_again());
+        discovery.move(reload_discovery_address());
     } catch (const ConfigError& error) {
-        tell(Event::ConfigKept, "the old configuration stays: " + std::string(error.what()));
+        log_event(Event::ConfigRejected, "the old configuration stays: " + std::string(error.what()));
     }
 }
 
@@ -103,7 +103,8 @@
           journal_(features.ledger
                        ? std::make_unique<Journal>(*features.ledger, config, loop_, back_, counters_)
                        : nullptr),
-          engine_(loop_, journal_ ? static_cast<Back&>(journal_->recorder) : back_, config.settings.limits,
+          engine_(loop_, journal_ ? static_cast<EndpointClient&>(journal_->recorder) : back_,
+                  config.settings.limits,
                   make_policy(config.settings, config.seed, features, counters_, &outliers_), tally_),
           telemetry_(features.telemetry ? std::make_unique<Telemetry>(*features.telemetry, config, loop_,
                                                                       placement(), counters_)
@@ -116,13 +117,14 @@
                       ? std::make_unique<replica::Keeper>(loop_, *features.state, *peers_,
                                                           features.fleet->name, counters_)
                       : nullptr),
-          discovery_(loop_, telemetry_ ? static_cast<Placement&>(telemetry_->tap) : placement(), engine_,
+          discovery_(loop_, telemetry_ ? static_cast<EndpointTable&>(telemetry_->tap) : placement(), engine_,
                      config, membership_options(features, config.settings), counters_),
           front_(
               loop_, engine_, front_dialect_, half_, [this] { return knows_enough(); }, counters_),
           late_(loop_) {
         engine_.on_subscribe([this] { discovery_.subscribe(); });
-        engine_.on_ended([this](EndpointId id, decision::Status status) { discovery_.saw(id, status); });
+        engine_.on_attempt_ended(
+            [this](EndpointId id, decision::Status status) { discovery_.saw(id, status); });
         if (keeper_) {
             keeper_->on_endpoint_override(
                 [this](const std::string& uid, const replica::EndpointOverride& endpoint_override) {
@@ -146,12 +148,12 @@
                 keeper_->drained(drained.uid, {revision, drained.boot_ms, {}});
             });
         }
-        if (telemetry_) engine_.observed_by(&telemetry_->collector);
+        if (telemetry_) engine_.set_observer(&telemetry_->collector);
         if (!journal_) return;
-        engine_.watched_by(&journal_->recorder);
+        engine_.set_interceptor(&journal_->recorder);
         journal_->recorder.on_release([this](const decision::RequestId& id) { engine_.released(id); });
         journal_->recorder.on_give_up(
-            [this](const decision::RequestId& id, bool refused) { engine_.give_up(id, refused); });
+            [this](const decision::RequestId& id, bool refused) { engine_.abort(id, refused); });
     }
 
     int run() {
@@ -163,7 +165,7 @@
             console_.emplace(loop_, *config_.console, calls(), counters_);
             std::ostringstream where;
             where << console_->listens_at();
-            tell(Event::Console, "operators call at " + where.str());
+            log_event(Event::ConsoleListening, "operators call at " + where.str());
         }
         const char* directory = std::getenv("TMPDIR");
         if (directory && *directory) {
@@ -180,8 +182,8 @@
   private:
     /// What [ledger] switches on.
     struct Journal {
-        Journal(const ledger::Options& options, const Config& config, Loop& loop, Http1Back& back,
-                Counters& counters)
+        Journal(const ledger::Options& options, const Config& config, EventLoop& loop,
+                Http1EndpointClient& back, Counters& counters)
             : link(loop, options, config.name, new_boot(), counters),
               recorder(loop, back, back, link, options, config.settings.classes, counters) {}
         ledger::WriterLink link;
@@ -189,8 +191,8 @@
     };
     /// What [telemetry] switches on.
     struct Telemetry {
-        Telemetry(const telemetry::Options& options, const Config& config, Loop& loop, Placement& placement,
-                  Counters& counters)
+        Telemetry(const telemetry::Options& options, const Config& config, EventLoop& loop,
+                  EndpointTable& placement, Counters& counters)
             : collector(loop, config.settings, {config.names.zones, config.names.kinds}, options, config.seed,
                         counters),
               tap(placement, collector) {}
@@ -214,7 +216,7 @@
             config.settings.zone < zones.size() && fleet::may_be_said(zones[config.settings.zone]);
         return named ? zones[config.settings.zone] : std::string();
     }
-    Placement& placement() { return journal_ ? static_cast<Placement&>(journal_->recorder) : back_; }
+    EndpointTable& placement() { return journal_ ? static_cast<EndpointTable&>(journal_->recorder) : back_; }
 
     /// Of this process, in the journal: 63 bits, as its file's numbers have.
     static std::uint64_t new_boot() {
@@ -233,11 +235,11 @@
         }
         // Another process serves until this one can: what was listed when its configuration was written may
         // be long gone, so discovery is asked first, at once, since nobody else starts with it.
-        tell(Event::TakesOver, "takes over from an earlier process");
+        log_event(Event::TakeoverStarted, "takes over from an earlier process");
         listener_ = *listener;
         may_be_late_ = true;
         discovery_.subscribe();
-        late_.set(Loop::monotonic() + kLateFirstList, [this] {
+        late_.set(EventLoop::monotonic() + kLateFirstList, [this] {
             may_be_late_ = false;
             open_when_ready();
         });
@@ -245,16 +247,18 @@
     }
     void open_when_ready() {
         if (listener_ < 0 || ending_) return;
-        if (!knows_enough()) return again_.set(Loop::monotonic() + kLookAgain, [this] { open_when_ready(); });
+        if (!knows_enough())
+            return again_.set(EventLoop::monotonic() + kLookAgain, [this] { open_when_ready(); });
         front_.adopt(std::exchange(listener_, -1));
         open();
     }
     void open() {
         std::ostringstream where;
-        where << front_.listens_at();
+        where << front_.local_address();
         // Before it is said: whoever ends the earlier process on that word finds it told that it is replaced.
-        if (handover_) handover_->announce([this] { return front_.listening() ? front_.listener() : -1; });
-        tell(Event::Listening, "listening on " + where.str());
+        if (handover_)
+            handover_->announce([this] { return front_.listening() ? front_.native_handle() : -1; });
+        log_event(Event::Listening, "listening on " + where.str());
     }
     /// Whether it can serve: some endpoint is known, to a process that takes over by discovery's own word.
     bool knows_enough() const { return discovery_.knows_any() && (!may_be_late_ || discovery_.heard()); }
@@ -262,21 +266,21 @@
 
     /// What the two of a sidecar hold is counted together.
     void share_limits(bool company) {
-        front_.hold_at_most(company ? half_ / 2 : half_);
-        back_.hold_at_most(company ? most_back_ / 2 : most_back_);
+        front_.set_max_connections(company ? half_ / 2 : half_);
+        back_.set_max_connections(company ? most_back_ / 2 : most_back_);
     }
 
     Calls calls() {
         return Calls({[this] { return is_ready(); }, [this] { return statsd(counters_); },
                       [this] {
                           if (ending_) return false;
-                          tell(Event::Evacuates, "evacuates: an operator said so");
+                          log_event(Event::Evacuates, "evacuates: an operator said so");
                           front_.evacuate();
                           return true;
                       },
                       [this] {
                           if (ending_) return false;
-                          tell(Event::Activates, "serves again: an operator said so");
+                          log_event(Event::Activates, "serves again: an operator said so");
                           front_.activate();
                           return true;
                       },
@@ -317,13 +321,13 @@
     const Config& config_;
     const std::size_t half_, most_back_;
     Counters counters_;
-    Loop loop_;
+    EventLoop loop_;
     // First: guards against dying on a SIGHUP that comes while the rest is being set up.
     asio::signal_set hang_up_, signals_;
-    Tally tally_;
+    RequestCounters tally_;
     SidecarServerProtocol front_dialect_;
     SidecarClientProtocol back_dialect_;
-    Http1Back back_;
+    Http1EndpointClient back_;
     std::unique_ptr<Journal> journal_;
     outlier::OutlierPolicy* outliers_ = nullptr;  // within the engine
     Engine engine_;
--- a/src/peers/peers.cpp
+++ b/src/peers/peers.cpp
@@ -44,17 +44,19 @@
 void tell_people(const fleet::Change& change, const std::string& line) {
     using What = fleet::Change::What;
     constexpr std::pair<What, Event> kEvents[] = {
-        {What::Joined, Event::FleetJoined},     {What::Left, Event::FleetLeft},
-        {What::Died, Event::FleetDied},         {What::LostAtOnce, Event::FleetLostAtOnce},
-        {What::Returned, Event::FleetReturned}, {What::Doubled, Event::FleetDoubled},
-        {What::Stood, Event::FleetStood},       {What::Accused, Event::FleetAccused}};
+        {What::Joined, Event::FleetJoined},       {What::Left, Event::FleetLeft},
+        {What::Died, Event::FleetDied},           {What::LostAtOnce, Event::FleetMassLoss},
+        {What::Returned, Event::FleetReturned},   {What::Doubled, Event::FleetDuplicateName},
+        {What::Stood, Event::FleetProcessPaused}, {What::Accused, Event::FleetSuspicionRefuted}};
     const Event event = std::find_if(std::begin(kEvents), std::end(kEvents), [&](const auto& e) {
                             return e.first == change.what;
                         })->second;
     if (change.who.size() == 1)
-        return tell(event, line,
-                    {{"member", change.who[0].name}, {"boot", fmt::format("{:016x}", change.who[0].boot)}});
-    tell(event, line, {{"members", std::to_string(change.who.size())}, {"of", std::to_string(change.of)}});
+        return log_event(
+            event, line,
+            {{"member", change.who[0].name}, {"boot", fmt::format("{:016x}", change.who[0].boot)}});
+    log_event(event, line,
+              {{"members", std::to_string(change.who.size())}, {"of", std::to_string(change.of)}});
 }
 
 std::uint64_t random_id() {
@@ -280,7 +282,7 @@
     std::array<char, 16 * 1024> chunk_{};
 };
 
-Peers::Peers(Loop& loop, const fleet::Options& options, std::string name, std::string zone,
+Peers::Peers(EventLoop& loop, const fleet::Options& options, std::string name, std::string zone,
              std::string version, Counters& counters)
     : loop_(loop),
       options_(options),
@@ -336,8 +338,8 @@
     if (error) {
         // Requests are served without a fleet: this is no reason not to start.
         if (!std::exchange(said_no_listener_, true))
-            martenford::tell(Event::FleetNoPlace,
-                             fmt::format("no place in the fleet: {}: {}", options_.listen, error.message()));
+            martenford::log_event(Event::FleetCannotListen, fmt::format("no place in the fleet: {}: {}",
+                                                                        options_.listen, error.message()));
         error_code ignored;
         acceptor_.close(ignored);
         return again_.set(loop_.now() + kListenAgain, [this] { listen(); });
@@ -349,8 +351,8 @@
     std::string address = text_of(at);
     if (const auto told = parse_address(options_.advertise))
         address = text_of({told->address(), told->port() == 0 || moved ? at.port() : told->port()});
-    martenford::tell(Event::FleetListens,
-                     fmt::format("fleet '{}': listens at {} as {}", options_.name, text_of(at), address));
+    martenford::log_event(Event::FleetListening, fmt::format("fleet '{}': listens at {} as {}", options_.name,
+                                                             text_of(at), address));
     fleet_.emplace(options_.pace, options_.seeds,
                    fleet::Self{{name_, random_id()}, address, zone_, version_, heir_}, random_id());
     accept();
--- a/src/peers/peers.h
+++ b/src/peers/peers.h
@@ -31,8 +31,8 @@
 
     /// `name`, `zone`: this sidecar's; `heir`: an earlier process of it hands over to this one. `options`
     /// outlives it.
-    Peers(Loop& loop, const fleet::Options& options, std::string name, std::string zone, std::string version,
-          Counters& counters);
+    Peers(EventLoop& loop, const fleet::Options& options, std::string name, std::string zone,
+          std::string version, Counters& counters);
     ~Peers();
 
     void start(bool heir);
@@ -77,7 +77,7 @@
     std::string events(std::uint64_t since) const;
     std::string turns(std::uint64_t since) const;
 
-    Loop& loop_;
+    EventLoop& loop_;
     const fleet::Options& options_;
     const std::string name_, zone_, version_;
     bool heir_ = false, listens_anywhere_ = false, said_no_listener_ = false;
--- a/src/proxy/controller_client.cpp
+++ b/src/proxy/controller_client.cpp
@@ -24,7 +24,7 @@
 
 }  // namespace
 
-ControllerClient::ControllerClient(Loop& loop, IsSeed is_seed, ControllerObserver& observer)
+ControllerClient::ControllerClient(EventLoop& loop, IsSeed is_seed, ControllerObserver& observer)
     : loop_(loop),
       is_seed_(std::move(is_seed)),
       observer_(observer),
--- a/src/proxy/controller_client.h
+++ b/src/proxy/controller_client.h
@@ -48,7 +48,7 @@
     using IsSeed = std::function<bool(const std::string& address)>;
 
     /// @param observer outlives the client.
-    ControllerClient(Loop& loop, IsSeed is_seed, ControllerObserver& observer);
+    ControllerClient(EventLoop& loop, IsSeed is_seed, ControllerObserver& observer);
 
     /// Opens a link to a controller ("ip:port"), unless there is one, the address is malformed or there are
     /// kMaxControllers. The controllers name each other: those named in a response are connected as well.
@@ -94,7 +94,7 @@
     /// Returns true if the link is to be closed for good.
     [[nodiscard]] bool is_forgotten(const std::string& address, const Controller& controller, Time now) const;
 
-    Loop& loop_;
+    EventLoop& loop_;
     const IsSeed is_seed_;
     ControllerObserver& observer_;
     std::map<std::string, Controller> controllers_;  // by "ip:port"
--- a/src/proxy/graceful_shutdown.h
+++ b/src/proxy/graceful_shutdown.h
@@ -11,7 +11,7 @@
   public:
     /// What it ends. Outlives it.
     struct Parts {
-        Loop& loop;
+        EventLoop& loop;
         OutboundTraffic& outbound;
         InboundTraffic& inbound;
         LocalEndpoint& local_endpoint;
--- a/src/proxy/inbound_protocol.cpp
+++ b/src/proxy/inbound_protocol.cpp
@@ -61,7 +61,7 @@
     // Another incarnation ran here when the hop was sent: what it delivered is not known.
     const bool same_process = hop.incarnation == incarnation_;
     if (same_process &&
-        admission_.fence_attempt(Loop::monotonic(), inbound.attempt_id, inbound.latency_target)) {
+        admission_.fence_attempt(EventLoop::monotonic(), inbound.attempt_id, inbound.latency_target)) {
         answer.fields.emplace_back(kHopRejectedField, queue_wait_text());
     } else {
         answer.fields.emplace_back(kHopDeliveredField, "1");
@@ -72,7 +72,7 @@
 std::variant<Request, LocalReply> HopServerProtocol::read(Fields& head, Time arrived) {
     const auto hop = decode_hop_header(view_of(head[kHopField]));
     const auto id = head[kAttemptId];
-    const auto time_ms = whole_number(head[kTimeRemaining]);
+    const auto time_ms = parse_integer(head[kTimeRemaining]);
     if (!hop || id.empty() || id.size() > kMaxAttemptIdBytes || !time_ms || *time_ms < 1 ||
         *time_ms > kMaxTimeRemainingMs)
         return LocalReply{http::status::bad_request};
@@ -145,7 +145,7 @@
 // ---- the endpoint ---------------------------------------------------------------------------------
 
 void EndpointClientProtocol::prepare(http::request_header<>& head, const HttpMessage&, EndpointId, Time end) {
-    const std::int64_t remaining_ms = milliseconds_of(end - Loop::monotonic());
+    const std::int64_t remaining_ms = milliseconds_of(end - EventLoop::monotonic());
     head.set(kTimeRemaining, std::to_string(std::max<std::int64_t>(1, remaining_ms)));
     head.set(kExpectedInstance, admission_.instance_id());
 }
--- a/src/proxy/inbound_protocol.h
+++ b/src/proxy/inbound_protocol.h
@@ -66,8 +66,8 @@
     [[nodiscard]] std::optional<decision::Status> classify(const http::response_header<>& head,
                                                            const HttpMessage* message,
                                                            EndpointId from) override;
-    [[nodiscard]] bool passes_heads() const override { return true; }
-    [[nodiscard]] bool ends_by_close() const override { return false; }
+    [[nodiscard]] bool forwards_heads() const override { return true; }
+    [[nodiscard]] bool allows_close_delimited() const override { return false; }
 
   private:
     admission::AdmissionController& admission_;
--- a/src/proxy/local_endpoint.cpp
+++ b/src/proxy/local_endpoint.cpp
@@ -94,7 +94,7 @@
     registration_.state = heartbeat.state;
 
     const bool is_draining = registration_.state == EndpointState::Draining;
-    dependencies_.placement.place(endpoint_id_, heartbeat.address, true);
+    dependencies_.placement.set_endpoint(endpoint_id_, heartbeat.address, true);
     dependencies_.admission.set_endpoint(endpoint_id_, registration_.instance_id, registration_.slots);
     if (is_draining) dependencies_.admission.start_draining(last_heartbeat_at_);
     if (significant_fields(before) == significant_fields(registration_)) return;
@@ -112,7 +112,7 @@
     if (shutting_down_ || !options_.probe_address || is_known || probes_sent_ >= kMaxHealthProbes) return;
     ++probes_sent_;
     const EndpointId id{++last_endpoint_id_};
-    dependencies_.placement.place(id, *options_.probe_address, true);
+    dependencies_.placement.set_endpoint(id, *options_.probe_address, true);
     dependencies_.back.probe(id, [this, id](Result&& result) { handle_probe_result(id, result); });
 }
 
--- a/src/proxy/local_endpoint.h
+++ b/src/proxy/local_endpoint.h
@@ -1,6 +1,6 @@
 // The endpoint beside this proxy: what its heartbeats, its health check and the attempts sent to it say about
-// it. Keeps the connections to it (Placement), the admission controller and the proxy's registration current.
-// Does no I/O of its own; all calls are made on the proxy's loop.
+// it. Keeps the connections to it (EndpointTable), the admission controller and the proxy's registration
+// current. Does no I/O of its own; all calls are made on the proxy's loop.
 #pragma once
 
 #include <cstdint>
@@ -34,8 +34,8 @@
     /// What it acts on. Outlives it.
     struct Dependencies {
         Scheduler& scheduler;
-        Placement& placement;  ///< of the connections to the endpoint
-        Back& back;            ///< for health probes
+        EndpointTable& placement;  ///< of the connections to the endpoint
+        EndpointClient& back;      ///< for health probes
         admission::AdmissionController& admission;
         /// The registration has changed in a field that other proxies use; its `seq` has risen.
         std::function<void()> on_registration_changed;
--- a/src/proxy/outbound_protocol.cpp
+++ b/src/proxy/outbound_protocol.cpp
@@ -74,7 +74,7 @@
 
 bool OutboundServerProtocol::within_quota(const mesh_config::Tenant& tenant) {
     const bool admitted =
-        quota_.admit(Loop::monotonic(), tenant.name, {tenant.rate_per_s, tenant.burst}, proxy_count_());
+        quota_.admit(EventLoop::monotonic(), tenant.name, {tenant.rate_per_s, tenant.burst}, proxy_count_());
     if (!admitted) ++totals_.over_quota;
     return admitted;
 }
@@ -96,10 +96,10 @@
     if (const auto* rejection = std::get_if<LocalReply>(&authenticated)) return *rejection;
     const auto* tenant = std::get<const mesh_config::Tenant*>(authenticated);
     if (tenant && !within_quota(*tenant)) {
-        const Duration wait = quota_.time_until_next(Loop::monotonic(), tenant->name);
+        const Duration wait = quota_.time_until_next(EventLoop::monotonic(), tenant->name);
         return LocalReply{http::status::too_many_requests, true, std::max(kDefaultRetryAfter, wait)};
     }
-    const auto time_remaining = whole_number(head[kTimeRemaining]);
+    const auto time_remaining = parse_integer(head[kTimeRemaining]);
     if (!head[kTimeRemaining].empty() && !is_valid_time_remaining(time_remaining))
         return LocalReply{http::status::bad_request};
     const std::int64_t time_ms = std::min(time_remaining.value_or(route->timeout_ms), route->timeout_ms);
@@ -214,11 +214,11 @@
     // A rejection proves that the request did not run: it must be the rejection of this request.
     if (message && view_of(head[kAttemptId]) != message->field(kAttemptId)) return std::nullopt;
     if (!head[kHopRejectedField].empty()) {
-        const auto wait_ms = whole_number(head[kHopRejectedField]).value_or(kAssumedQueueWaitMs);
+        const auto wait_ms = parse_integer(head[kHopRejectedField]).value_or(kAssumedQueueWaitMs);
         policy_.queue_hint(from, loop_.now(), std::chrono::milliseconds(wait_ms));
         if (message && !head[kHopTurnedAwayField].empty())
             policy_.turned_away(RequestId(message->field(kAttemptId)), from);
-        const auto newer = whole_number(head[kHopConfigVersionField]);
+        const auto newer = parse_integer(head[kHopConfigVersionField]);
         if (message && newer) outbound_.outdated(*message, static_cast<mesh_config::Version>(*newer));
         return Status::Full;
     }
--- a/src/proxy/outbound_protocol.h
+++ b/src/proxy/outbound_protocol.h
@@ -92,7 +92,7 @@
 /// A request on its way from the caller's proxy to the endpoint's proxy.
 class HopClientProtocol : public ClientProtocol {
   public:
-    HopClientProtocol(outbound::OutboundPolicy& policy, OutboundServerProtocol& outbound, Loop& loop)
+    HopClientProtocol(outbound::OutboundPolicy& policy, OutboundServerProtocol& outbound, EventLoop& loop)
         : policy_(policy), outbound_(outbound), loop_(loop) {}
     /// The endpoint that `id` stands for, and the incarnation of the proxy beside it.
     void set_upstream(EndpointId id, const std::string& instance_id, std::uint64_t incarnation) {
@@ -106,8 +106,8 @@
     [[nodiscard]] std::optional<decision::Status> classify(const http::response_header<>& head,
                                                            const HttpMessage* message,
                                                            EndpointId from) override;
-    [[nodiscard]] bool passes_heads() const override { return true; }
-    [[nodiscard]] bool ends_by_close() const override { return false; }
+    [[nodiscard]] bool forwards_heads() const override { return true; }
+    [[nodiscard]] bool allows_close_delimited() const override { return false; }
 
   private:
     struct Upstream {
@@ -117,7 +117,7 @@
 
     outbound::OutboundPolicy& policy_;
     OutboundServerProtocol& outbound_;
-    Loop& loop_;
+    EventLoop& loop_;
     std::unordered_map<EndpointId, Upstream> upstreams_;
 };
 
--- a/src/proxy/proxy.h
+++ b/src/proxy/proxy.h
@@ -43,7 +43,7 @@
     void tick();
 
     const bootstrap::Settings& settings_;
-    Loop loop_;
+    EventLoop loop_;
     Counters control_counters_, readiness_counters_;
     const std::uint64_t incarnation_;
     OutboundTraffic outbound_;
--- a/src/proxy/traffic.cpp
+++ b/src/proxy/traffic.cpp
@@ -64,7 +64,7 @@
     return (available - kReservedDescriptors) / kSharesOfDescriptors;
 }
 
-OutboundTraffic::OutboundTraffic(Loop& loop, const bootstrap::Settings& settings,
+OutboundTraffic::OutboundTraffic(EventLoop& loop, const bootstrap::Settings& settings,
                                  std::function<std::size_t()> proxy_count)
     : quota_limiter_({}),
       policy_({settings.zone}, bootstrap::random_nonzero_id()),
@@ -78,7 +78,7 @@
       listener_(loop, engine_, server_protocol_, max_connections(settings), always, counters_),
       upstream_updates_(connections_, client_protocol_, policy_) {
     engine_.start();
-    server_protocol_.on_replanned([this] { engine_.tell({}); });
+    server_protocol_.on_replanned([this] { engine_.handle_discovery({}); });
 }
 
 void OutboundTraffic::drain(std::function<void()> done) {
@@ -93,15 +93,15 @@
 void OutboundTraffic::update_upstreams(const registry::RegistryView& view,
                                        const std::vector<std::string>& nodes) {
     const auto effect = upstream_updates_.apply(view, nodes);
-    if (effect == UpstreamUpdates::Effect::RequestsWithdrawn) engine_.tell({});
+    if (effect == UpstreamUpdates::Effect::RequestsWithdrawn) engine_.handle_discovery({});
 }
 
 bool OutboundTraffic::can_serve() const {
     return routes() != nullptr && policy_.any_ready();
 }
 
-InboundTraffic::InboundTraffic(Loop& loop, const bootstrap::Settings& settings, std::uint64_t incarnation,
-                               HopServerProtocol::RoutesInForce routes)
+InboundTraffic::InboundTraffic(EventLoop& loop, const bootstrap::Settings& settings,
+                               std::uint64_t incarnation, HopServerProtocol::RoutesInForce routes)
     : admission_({settings.bounds.drain}),
       server_protocol_(settings, admission_, incarnation, std::move(routes)),
       client_protocol_(admission_),
@@ -115,7 +115,7 @@
 }
 
 void InboundTraffic::on_attempt_end(std::function<void(decision::Status)> callback) {
-    engine_.on_ended(
+    engine_.on_attempt_ended(
         [callback = std::move(callback)](EndpointId, decision::Status status) { callback(status); });
 }
 
--- a/src/proxy/traffic.h
+++ b/src/proxy/traffic.h
@@ -43,7 +43,7 @@
   public:
     /// @param proxy_count returns the number of proxies known, for quotas without a lease.
     /// @param settings outlive it.
-    OutboundTraffic(Loop& loop, const bootstrap::Settings& settings,
+    OutboundTraffic(EventLoop& loop, const bootstrap::Settings& settings,
                     std::function<std::size_t()> proxy_count);
 
     /// Throws boost::system::system_error where it can't listen.
@@ -75,8 +75,8 @@
     outbound::OutboundPolicy policy_;
     OutboundServerProtocol server_protocol_;
     HopClientProtocol client_protocol_;
-    Tally tally_;
-    Http1Back connections_;
+    RequestCounters tally_;
+    Http1EndpointClient connections_;
     Engine engine_;
     HttpListener listener_;
     UpstreamUpdates upstream_updates_;
@@ -87,7 +87,7 @@
     /// @param incarnation of this process.
     /// @param routes returns the routes in force; null until there are some.
     /// @param settings outlive it.
-    InboundTraffic(Loop& loop, const bootstrap::Settings& settings, std::uint64_t incarnation,
+    InboundTraffic(EventLoop& loop, const bootstrap::Settings& settings, std::uint64_t incarnation,
                    HopServerProtocol::RoutesInForce routes);
 
     /// Throws boost::system::system_error where it can't listen.
@@ -106,15 +106,15 @@
 
     [[nodiscard]] admission::AdmissionController& admission() { return admission_; }
     /// The connections to the endpoint.
-    [[nodiscard]] Http1Back& connections() { return connections_; }
+    [[nodiscard]] Http1EndpointClient& connections() { return connections_; }
 
   private:
     Counters counters_;
     admission::AdmissionController admission_;
     HopServerProtocol server_protocol_;
     EndpointClientProtocol client_protocol_;
-    Tally tally_;
-    Http1Back connections_;
+    RequestCounters tally_;
+    Http1EndpointClient connections_;
     Engine engine_;
     HttpListener listener_;
 };
--- a/src/proxy/upstream_updates.cpp
+++ b/src/proxy/upstream_updates.cpp
@@ -30,7 +30,7 @@
     const auto address = parse_address(change.inbound_address);
     if (!address) return;
     hop_.set_upstream(change.id, change.instance_id, change.incarnation);
-    connections_.place(change.id, *address, true);
+    connections_.set_endpoint(change.id, *address, true);
     policy_.set_upstream(change.id, change.upstream);
 }
 
--- a/src/proxy/upstream_updates.h
+++ b/src/proxy/upstream_updates.h
@@ -23,7 +23,7 @@
     };
 
     /// @param connections to the other proxies. All three outlive this object.
-    UpstreamUpdates(Placement& connections, HopClientProtocol& hop, outbound::OutboundPolicy& policy)
+    UpstreamUpdates(EndpointTable& connections, HopClientProtocol& hop, outbound::OutboundPolicy& policy)
         : connections_(connections), hop_(hop), policy_(policy) {}
 
     /// Applies the entries of `nodes`, which have changed in `view`.
@@ -33,7 +33,7 @@
     void set(const outbound::UpstreamTable::Change& change);
     void remove(EndpointId id);
 
-    Placement& connections_;
+    EndpointTable& connections_;
     HopClientProtocol& hop_;
     outbound::OutboundPolicy& policy_;
     outbound::UpstreamTable table_;
--- a/src/replica/keeper.cpp
+++ b/src/replica/keeper.cpp
@@ -41,12 +41,12 @@
 }
 
 std::string refused(std::string_view why) {
-    return fmt::format("refused={}\n", escaped(why));
+    return fmt::format("refused={}\n", percent_encode(why));
 }
 
 }  // namespace
 
-Keeper::Keeper(Loop& loop, const Options& options, peers::Peers& peers, const std::string& fleet,
+Keeper::Keeper(EventLoop& loop, const Options& options, peers::Peers& peers, const std::string& fleet,
                Counters& counters)
     : loop_(loop),
       options_(options),
@@ -184,8 +184,8 @@
     }
     notify_endpoint_overrides(changes);
     if (copy_->caught_up() && !std::exchange(told_caught_up_, true))
-        tell(Event::StateCaughtUp, fmt::format("state: caught up, {} entries", copy_->size()),
-             {{"ms", std::to_string((loop_.now() - began_) / 1ms)}});
+        log_event(Event::StateCaughtUp, fmt::format("state: caught up, {} entries", copy_->size()),
+                  {{"ms", std::to_string((loop_.now() - began_) / 1ms)}});
     pumping_ = false;
     Time when = copy_->next();
     if (const auto due = endpoint_overrides_->next()) when = std::min(when, *due);
@@ -266,10 +266,10 @@
 std::optional<std::string> Keeper::answer(std::string_view line) {
     if (!line.starts_with("state ")) return std::nullopt;
     if (!begin()) return refused("no place in the fleet yet");
-    const auto [what, rest] = first_word(line.substr(6));
+    const auto [what, rest] = split_first_word(line.substr(6));
     if (what == "put" || what == "delete") return put(rest, what == "delete");
     if (what == "tables") return tables();
-    if (what == "get") return entries(unescaped(rest).value_or(""), false);
+    if (what == "get") return entries(percent_decode(rest).value_or(""), false);
     if (what == "conflicts") return entries("", true);
     if (what == "history") return history();
     if (what == "self") return self();
@@ -283,9 +283,9 @@
     Reach reach;
     std::vector<std::string> plain;
     while (!words.empty()) {
-        const auto [word, rest] = first_word(words);
+        const auto [word, rest] = split_first_word(words);
         words = rest;
-        const auto text = unescaped(word);
+        const auto text = percent_decode(word);
         if (!text) return refused("a word can't be read");
         if (plain.size() < (deleted ? 2 : 3)) {
             plain.push_back(*text);
@@ -357,13 +357,13 @@
             text += fmt::format(
                 "table={} key={} value={} standing={} by={} age_s={} expires_s={} writer={:016x} count={} "
                 "versions={} reason={}\n",
-                name.table, escaped(name.key),
-                version.deleted ? "-" : escaped(text_of(name.table, version.value)), has_word ? 1 : 0,
-                escaped(version.by), wall > written ? (wall - written) / 1000 : 0,
+                name.table, percent_encode(name.key),
+                version.deleted ? "-" : percent_encode(text_of(name.table, version.value)), has_word ? 1 : 0,
+                percent_encode(version.by), wall > written ? (wall - written) / 1000 : 0,
                 version.expires == 0     ? "never"
                 : version.expires > wall ? std::to_string((version.expires - wall) / 1000)
                                          : "over",
-                version.dot.writer, version.dot.count, entry.versions.size(), escaped(version.reason));
+                version.dot.writer, version.dot.count, entry.versions.size(), percent_encode(version.reason));
         }
     });
     return text;
@@ -373,10 +373,10 @@
     constexpr const char* kWhats[] = {"written", "deleted", "beside", "dropped"};
     std::string text;
     for (const Replica::Learnt& each : copy_->learnt())
-        text +=
-            fmt::format("at_ms={} what={} table={} key={} value={} by={} reason={}\n", each.at,
-                        kWhats[static_cast<std::size_t>(each.what)], each.name.table, escaped(each.name.key),
-                        escaped(each.text), escaped(each.by), escaped(each.reason));
+        text += fmt::format("at_ms={} what={} table={} key={} value={} by={} reason={}\n", each.at,
+                            kWhats[static_cast<std::size_t>(each.what)], each.name.table,
+                            percent_encode(each.name.key), percent_encode(each.text), percent_encode(each.by),
+                            percent_encode(each.reason));
     return text;
 }
 
@@ -400,8 +400,8 @@
         : shelf_->works() ? "on"
                           : "no",
         copy_->fetching() ? 1 : 0, copy_->waiting(), live(), known(), wall_of(copy_->horizon()),
-        copy_->ahead() ? escaped(copy_->ahead()->first) : "", figures.merged, figures.repairs, figures.pages,
-        figures.dropped, figures.purged, figures.full, figures.skipped);
+        copy_->ahead() ? percent_encode(copy_->ahead()->first) : "", figures.merged, figures.repairs,
+        figures.pages, figures.dropped, figures.purged, figures.full, figures.skipped);
 }
 
 }  // namespace martenford::replica
--- a/src/replica/keeper.h
+++ b/src/replica/keeper.h
@@ -23,7 +23,7 @@
 class Keeper : private Company {
   public:
     /// `fleet`: its name. `options` and `peers` outlive it.
-    Keeper(Loop& loop, const Options& options, peers::Peers& peers, const std::string& fleet,
+    Keeper(EventLoop& loop, const Options& options, peers::Peers& peers, const std::string& fleet,
            Counters& counters);
     ~Keeper() override;
 
@@ -68,7 +68,7 @@
     std::string outcome(std::uint64_t ticket) const;
     std::string self() const;
 
-    Loop& loop_;
+    EventLoop& loop_;
     const Options& options_;
     peers::Peers& peers_;
     std::optional<Replica> copy_;
--- a/src/replica/message.cpp
+++ b/src/replica/message.cpp
@@ -17,7 +17,7 @@
 
 constexpr int kPackLevel = 1;  // pages are made while requests are served
 /// What a page may unpack to: a page is cut by its unpacked size.
-constexpr std::size_t kMostUnpacked = 2 * framing::kMostFrame;
+constexpr std::size_t kMostUnpacked = 2 * framing::kMaxFrameBytes;
 constexpr std::size_t kOverhead = 48;    // of an entry or a version beside its texts, on the wire
 constexpr std::size_t kMostExtra = 512;  // bytes of fields that this build does not know
 
@@ -176,7 +176,7 @@
 }
 
 Message read_message(std::string_view bytes) {
-    const auto in = framing::parsed<wire::Message>(bytes);
+    const auto in = framing::decode_message<wire::Message>(bytes);
     if (in.kind() >= kKinds) throw FrameError("a message of state is of no known kind");
     if (static_cast<std::size_t>(in.ranges_size()) > kMostRanges ||
         static_cast<std::size_t>(in.heads_size()) > kMostHeads ||
@@ -189,7 +189,7 @@
     message.seq = in.seq();
     read_entries(in.entries(), message.entries);
     if (in.size() > 0)
-        read_entries(framing::parsed<wire::Entries>(unpack(in.packed(), in.size())), message.entries);
+        read_entries(framing::decode_message<wire::Entries>(unpack(in.packed(), in.size())), message.entries);
     for (const auto& range : in.ranges()) {
         if (range.level() > 16 || (range.parts_size() != 0 && range.parts_size() != 16))
             throw FrameError("a range can't be used");
@@ -216,7 +216,7 @@
 }
 
 Named read_named(std::string_view bytes) {
-    return read_entry(framing::parsed<wire::Entry>(bytes));
+    return read_entry(framing::decode_message<wire::Entry>(bytes));
 }
 
 std::size_t size_of(const Named& entry) {
--- a/src/replica/shelf_link.cpp
+++ b/src/replica/shelf_link.cpp
@@ -29,8 +29,8 @@
 
 }  // namespace
 
-ShelfLink::ShelfLink(Loop& loop, std::string helper, std::string directory, std::string fleet, Duration life,
-                     Calls calls)
+ShelfLink::ShelfLink(EventLoop& loop, std::string helper, std::string directory, std::string fleet,
+                     Duration life, Calls calls)
     : loop_(loop),
       helper_(helper.empty() ? helper_beside_this_program() : std::move(helper)),
       directory_(std::move(directory)),
@@ -65,7 +65,7 @@
     out.mutable_open()->set_fleet(fleet_);
     const std::int64_t oldest = wall_ms() - life_ / 1ms;
     out.mutable_open()->set_oldest_ms(oldest > 0 ? static_cast<std::uint64_t>(oldest) : 0);
-    waiting_ = framing::framed(out);
+    waiting_ = framing::encode_message(out);
     writing_.clear();
     read();
     flush();
@@ -82,7 +82,7 @@
     const auto put = [&] {
         keep.set_seq(seq_);
         keep.set_horizon(horizon);
-        waiting_ += framing::framed(out);
+        waiting_ += framing::encode_message(out);
         keep.Clear();
         size = 0;
     };
@@ -139,20 +139,20 @@
 }
 
 void ShelfLink::take(std::string_view frame) {
-    const auto message = framing::parsed<shelf::FromShelf>(frame);
+    const auto message = framing::decode_message<shelf::FromShelf>(frame);
     if (message.has_trouble()) return lost(message.trouble().what());
     if (message.has_kept()) return calls_.kept(message.kept().seq());
     const shelf::Loaded& loaded = message.loaded();
     if (!loaded.aside().empty())
-        tell(Event::StateAside, "state: the copy that was kept is not used: " + loaded.aside());
+        log_event(Event::StateCopyRejected, "state: the copy that was kept is not used: " + loaded.aside());
     if (loaded.bad() > 0)
-        tell(Event::StateAside,
-             "state: " + std::to_string(loaded.bad()) + " kept entries are damaged and left out");
+        log_event(Event::StateCopyRejected,
+                  "state: " + std::to_string(loaded.bad()) + " kept entries are damaged and left out");
     for (const std::string& bytes : loaded.entries()) loading_.entries.push_back(read_named(bytes));
     loading_.horizon = loaded.horizon();
     if (!loaded.end()) return;
     works_ = true;
-    if (std::exchange(said_, false)) tell(Event::StateKept, "state: it is kept again");
+    if (std::exchange(said_, false)) log_event(Event::StatePersisted, "state: it is kept again");
     loaded_ = true;
     calls_.loaded(std::exchange(loading_, {}));
 }
@@ -161,7 +161,8 @@
     works_ = false;
     // Whatever the disk does, what others know is shared; what it holds is taken in when it works.
     if (!loaded_ && ++tries_ == kTries) calls_.loaded({});
-    if (!std::exchange(said_, true)) tell(Event::StateUnkept, "state: nothing is kept on disk now: " + why);
+    if (!std::exchange(said_, true))
+        log_event(Event::StateNotPersisted, "state: nothing is kept on disk now: " + why);
     if (socket_) {
         error_code ignored;
         socket_->close(ignored);
--- a/src/replica/shelf_link.h
+++ b/src/replica/shelf_link.h
@@ -32,7 +32,7 @@
     /// Bytes that wait for the helper; over it the link is given up and all is put anew when it works.
     static constexpr std::size_t kMostWaiting = 64 << 20;
 
-    ShelfLink(Loop& loop, std::string helper, std::string directory, std::string fleet, Duration life,
+    ShelfLink(EventLoop& loop, std::string helper, std::string directory, std::string fleet, Duration life,
               Calls calls);
     ~ShelfLink();
 
@@ -52,7 +52,7 @@
     void lost(const std::string& why);
     void reap();
 
-    Loop& loop_;
+    EventLoop& loop_;
     const std::string helper_, directory_, fleet_;
     const Duration life_;
     Calls calls_;
--- a/src/replica/shelf_writer.cpp
+++ b/src/replica/shelf_writer.cpp
@@ -74,7 +74,7 @@
         taken_ += bytes.size();
         reader_.feed(bytes);
         while (const auto frame = reader_.next()) {
-            const auto message = framing::parsed<shelf::ToShelf>(*frame);
+            const auto message = framing::decode_message<shelf::ToShelf>(*frame);
             if (message.has_open()) {
                 open(message.open());
             } else if (message.has_keep() && database_) {
@@ -173,7 +173,7 @@
             for (const shelf::Keep& keep : batch) {
                 if (keep.anew()) database_->execute("DELETE FROM entries");
                 for (const std::string& bytes : keep.entries()) {
-                    const auto entry = framing::parsed<wire::Entry>(bytes);
+                    const auto entry = framing::decode_message<wire::Entry>(bytes);
                     const std::string name = name_of(entry.table(), entry.key());
                     put.bind_all(store::Statement::Blob{name}, store::Statement::Blob{bytes}, sum_of(bytes))
                         .run();
@@ -201,7 +201,7 @@
         write.bind_all(std::string_view(name), store::Statement::Blob{value}).run();
     }
     void send(const shelf::FromShelf& message) {
-        const std::string frame = framing::framed(message);
+        const std::string frame = framing::encode_message(message);
         for (std::size_t at = 0; at < frame.size();) {
             const ssize_t sent =
                 ::send(options_.descriptor, frame.data() + at, frame.size() - at, MSG_NOSIGNAL);
--- a/src/rpc/channel.cpp
+++ b/src/rpc/channel.cpp
@@ -31,7 +31,7 @@
 
 }  // namespace
 
-Channel::Channel(Loop& loop, asio::ip::tcp::socket socket)
+Channel::Channel(EventLoop& loop, asio::ip::tcp::socket socket)
     : loop_(loop), socket_(std::move(socket)), last_received_at_(loop.now()) {
     // Errors are ignored here: a connection that is gone already shows it at the first read.
     error_code ignored;
@@ -48,7 +48,7 @@
 }
 
 Channel::SharedFrame Channel::frame(const Message& message) {
-    return std::make_shared<const std::string>(framing::frame_of(encode(message), kMaxMessageBytes));
+    return std::make_shared<const std::string>(framing::encode_frame(encode(message), kMaxMessageBytes));
 }
 
 void Channel::send_frame(SharedFrame frame) {
--- a/src/rpc/channel.h
+++ b/src/rpc/channel.h
@@ -36,7 +36,7 @@
     using SharedFrame = std::shared_ptr<const std::string>;
 
     /// Takes a connected socket. Nothing is read before start().
-    Channel(Loop& loop, asio::ip::tcp::socket socket);
+    Channel(EventLoop& loop, asio::ip::tcp::socket socket);
 
     /// Starts to read. Called once. `on_message` gets each message; it may call send() and close().
     /// `on_closed` is called once if the channel fails, and never after close().
@@ -66,7 +66,7 @@
     void write();
     void fail();
 
-    Loop& loop_;
+    EventLoop& loop_;
     asio::ip::tcp::socket socket_;
     Address peer_;
     framing::FrameReader reader_{kMaxMessageBytes};
--- a/src/rpc/listener.cpp
+++ b/src/rpc/listener.cpp
@@ -13,7 +13,7 @@
 
 }  // namespace
 
-Listener::Listener(Loop& loop, const Address& address, OnAccepted on_accepted)
+Listener::Listener(EventLoop& loop, const Address& address, OnAccepted on_accepted)
     : loop_(loop), on_accepted_(std::move(on_accepted)), acceptor_(loop.io()), retry_timer_(loop) {
     acceptor_.open(address.protocol());
     acceptor_.set_option(asio::socket_base::reuse_address(true));
--- a/src/rpc/listener.h
+++ b/src/rpc/listener.h
@@ -24,12 +24,12 @@
     using OnAccepted = std::function<void(std::shared_ptr<Channel>)>;
 
     /// Starts to listen. Throws boost::system::system_error if the address cannot be listened on.
-    Listener(Loop& loop, const Address& address, OnAccepted on_accepted);
+    Listener(EventLoop& loop, const Address& address, OnAccepted on_accepted);
 
   private:
     void accept();
 
-    Loop& loop_;
+    EventLoop& loop_;
     OnAccepted on_accepted_;
     asio::ip::tcp::acceptor acceptor_;
     Timer retry_timer_;
--- a/src/rpc/reconnecting_client.cpp
+++ b/src/rpc/reconnecting_client.cpp
@@ -23,7 +23,7 @@
 
 }  // namespace
 
-ReconnectingClient::ReconnectingClient(Loop& loop, Address address, Channel::OnMessage on_message,
+ReconnectingClient::ReconnectingClient(EventLoop& loop, Address address, Channel::OnMessage on_message,
                                        OnConnected on_connected, OnDisconnected on_disconnected)
     : loop_(loop),
       address_(std::move(address)),
--- a/src/rpc/reconnecting_client.h
+++ b/src/rpc/reconnecting_client.h
@@ -29,8 +29,8 @@
 
     /// Makes the first attempt at once. `on_connected` is called with each new connection, `on_disconnected`
     /// at the end of each. A callback must not destroy the client.
-    ReconnectingClient(Loop& loop, Address address, Channel::OnMessage on_message, OnConnected on_connected,
-                       OnDisconnected on_disconnected);
+    ReconnectingClient(EventLoop& loop, Address address, Channel::OnMessage on_message,
+                       OnConnected on_connected, OnDisconnected on_disconnected);
     ~ReconnectingClient();
     ReconnectingClient(const ReconnectingClient&) = delete;
     ReconnectingClient& operator=(const ReconnectingClient&) = delete;
@@ -58,7 +58,7 @@
     void schedule_attempt();
     void cancel_attempts();
 
-    Loop& loop_;
+    EventLoop& loop_;
     const Address address_;
     Channel::OnMessage on_message_;
     OnConnected on_connected_;
--- a/src/telemetry/collector.cpp
+++ b/src/telemetry/collector.cpp
@@ -41,26 +41,28 @@
     return "unknown";
 }
 
-const char* name_of(Observer::Why why) {
+const char* name_of(Observer::CompletionReason why) {
     switch (why) {
-        case Observer::Why::Endpoint:
+        case Observer::CompletionReason::Endpoint:
             return "endpoint";
-        case Observer::Why::Module:
+        case Observer::CompletionReason::Policy:
             return "module";
-        case Observer::Why::Journal:
+        case Observer::CompletionReason::Journal:
             return "journal";
-        case Observer::Why::Deadline:
+        case Observer::CompletionReason::Deadline:
             return "deadline";
-        case Observer::Why::Client:
+        case Observer::CompletionReason::ClientDisconnected:
             return "client-left";
-        case Observer::Why::Spent:
+        case Observer::CompletionReason::BodyConsumed:
             return "body-spent";
     }
     return "unknown";
 }
 
-const char* name_of(Tally::End how) {
-    return how == Tally::End::Served ? "served" : how == Tally::End::Refused ? "refused" : "failed";
+const char* name_of(RequestCounters::Outcome how) {
+    return how == RequestCounters::Outcome::Served    ? "served"
+           : how == RequestCounters::Outcome::Refused ? "refused"
+                                                      : "failed";
 }
 
 double ms(Duration d) {
@@ -107,7 +109,7 @@
     nodes_[id].uid = uid;
 }
 
-void Collector::listed(const decision::Discovered& news) {
+void Collector::endpoints_listed(const decision::Discovered& news) {
     if (!news.endpoints) return;
     for (const decision::Endpoint& each : *news.endpoints) {
         if (each.availability == decision::Availability::Gone) {
@@ -120,7 +122,7 @@
     }
 }
 
-void Collector::taken(const decision::Request& request) {
+void Collector::request_accepted(const decision::Request& request) {
     Open& open = open_[request.id];
     open.story.id = request.id;
     open.story.klass = settings_.classes[request.class_index].name;
@@ -132,7 +134,7 @@
     open.resent = request.resent;
 }
 
-void Collector::sent(const RequestId& id, std::size_t attempt, EndpointId endpoint) {
+void Collector::attempt_sent(const RequestId& id, std::size_t attempt, EndpointId endpoint) {
     const auto it = open_.find(id);
     if (it == open_.end()) return;
     Open& open = it->second;
@@ -145,7 +147,7 @@
     ++open.out;
 }
 
-void Collector::ended(const RequestId& id, std::size_t attempt, Status status) {
+void Collector::attempt_ended(const RequestId& id, std::size_t attempt, Status status) {
     const auto it = open_.find(id);
     if (it == open_.end()) return;
     Open& open = it->second;
@@ -164,28 +166,28 @@
     forget_if_over(id);
 }
 
-void Collector::completed(const RequestId& id, Tally::End how, Why why) {
+void Collector::request_completed(const RequestId& id, RequestCounters::Outcome how, CompletionReason why) {
     const auto it = open_.find(id);
     if (it == open_.end()) return;
     Open& open = it->second;
     Story& story = open.story;
     story.took = scheduler_.now() - story.taken;
-    story.answer = why == Why::Client ? "left" : name_of(how);
+    story.answer = why == CompletionReason::ClientDisconnected ? "left" : name_of(how);
     story.why = name_of(why);
     const auto& rules = settings_.classes[open.class_index];
-    story.late = how == Tally::End::Served && rules.aim > Duration{} && story.took > rules.aim;
+    story.late = how == RequestCounters::Outcome::Served && rules.aim > Duration{} && story.took > rules.aim;
     open.over = true;
-    if (how == Tally::End::Served)
+    if (how == RequestCounters::Outcome::Served)
         latencies_[open.class_index].add(static_cast<double>(story.took.count()) * 1e-9);
     // Its client's own leaving says nothing of us.
-    if (why != Why::Client) {
+    if (why != CompletionReason::ClientDisconnected) {
         const Node* where = open.endpoints.empty() ? nullptr : &node(open.endpoints.back());
         requests_.saw(
             scheduler_.now(),
             {story.klass, open.tenant, where ? std::string_view(where->uid) : std::string_view(),
              where ? at(names_.zones, where->zone) : std::string_view(),
              where ? at(names_.kinds, where->kind) : std::string_view(), open.resent ? "yes" : "no"},
-            how != Tally::End::Served || story.late);
+            how != RequestCounters::Outcome::Served || story.late);
     }
     forget_if_over(id);
 }
--- a/src/telemetry/collector.h
+++ b/src/telemetry/collector.h
@@ -35,11 +35,12 @@
     /// It is listed no more, also where a whole list left it out without a word.
     void forget(EndpointId id) { nodes_.erase(id); }
 
-    void taken(const decision::Request& request) override;
-    void sent(const decision::RequestId& id, std::size_t attempt, EndpointId endpoint) override;
-    void ended(const decision::RequestId& id, std::size_t attempt, decision::Status status) override;
-    void completed(const decision::RequestId& id, Tally::End how, Why why) override;
-    void listed(const decision::Discovered& news) override;
+    void request_accepted(const decision::Request& request) override;
+    void attempt_sent(const decision::RequestId& id, std::size_t attempt, EndpointId endpoint) override;
+    void attempt_ended(const decision::RequestId& id, std::size_t attempt, decision::Status status) override;
+    void request_completed(const decision::RequestId& id, RequestCounters::Outcome how,
+                           CompletionReason why) override;
+    void endpoints_listed(const decision::Discovered& news) override;
 
     /// A call of an operator: `why [SECONDS]`, `story ID`, `slowest N [CLASS]`, `latencies`; nothing where it
     /// is none.
@@ -88,21 +89,23 @@
 };
 
 /// Hears the names of endpoints on their way to a back.
-class NamesTap : public Placement {
+class NamesTap : public EndpointTable {
   public:
-    NamesTap(Placement& to, Collector& collector) : to_(to), collector_(collector) {}
-    void name(EndpointId id, const std::string& uid) override {
+    NamesTap(EndpointTable& to, Collector& collector) : to_(to), collector_(collector) {}
+    void set_name(EndpointId id, const std::string& uid) override {
         collector_.name(id, uid);
-        to_.name(id, uid);
+        to_.set_name(id, uid);
+    }
+    void set_endpoint(EndpointId id, const Address& address, bool ready) override {
+        to_.set_endpoint(id, address, ready);
     }
-    void place(EndpointId id, const Address& address, bool ready) override { to_.place(id, address, ready); }
     void remove(EndpointId id) override {
         collector_.forget(id);
         to_.remove(id);
     }
 
   private:
-    Placement& to_;
+    EndpointTable& to_;
     Collector& collector_;
 };
 
--- a/tests/config/config_test.cpp
+++ b/tests/config/config_test.cpp
@@ -13,7 +13,7 @@
 
 using namespace martenford::standins;
 
-TEST(Config, WrongFieldEndsTheStartWithOneLineThatNamesIt) {
+TEST(Config, InvalidFieldFailsTheStartWithOneLineThatNamesIt) {
     const std::pair<std::string, std::string> changes[] = {
         {R"("listen":"127.0.0.1:0")", R"("listen":"nowhere")"},
         {R"("seed":"8c1f30d27a5be964")", R"("seed":"xyz")"},
@@ -33,7 +33,7 @@
     }
 }
 
-TEST(Config, AWrongOwnFileEndsTheStartWithOneLine) {
+TEST(Config, InvalidOwnFileFailsTheStartWithOneLine) {
     Sidecar sidecar(config("127.0.0.1:1", ""), "[subset]\nwidth = none\n");
     EXPECT_EQ(sidecar.exit_code(), 2);
     const std::string log = sidecar.rest_of_log();
--- a/tests/console/calls_test.cpp
+++ b/tests/console/calls_test.cpp
@@ -68,30 +68,30 @@
     decision::RequestClass look, debit;
     look.name = "look";
     debit.name = "debit";
-    Tally tally(counters, {look, debit});
+    RequestCounters tally(counters, {look, debit});
     counters.counter("connections.opened", "not asked for").add(7);
     counters.gauge("membership.endpoints", "listed", [] { return 3.0; });
-    Tally::Ticket open = tally.open(1);
-    tally.open(0).end(Tally::End::Served);
-    tally.open(0).end(Tally::End::Refused);
+    RequestCounters::Ticket open = tally.open(1);
+    tally.open(0).end(RequestCounters::Outcome::Served);
+    tally.open(0).end(RequestCounters::Outcome::Refused);
     EXPECT_EQ(statsd(counters),
               "sidecar.success.look:1|c\nsidecar.busy.look:1|c\nsidecar.failure.look:0|c\n"
               "sidecar.success.debit:0|c\nsidecar.busy.debit:0|c\nsidecar.failure.debit:0|c\n"
               "sidecar.inflight:1|g\nsidecar.hosts_listed:3|g\n");
 }
 
-TEST(Tally, ATicketEndsOnceAndOneThatIsDroppedHasFailed) {
+TEST(RequestCounters, ATicketEndsOnceAndOneThatIsDroppedHasFailed) {
     Counters counters;
     decision::RequestClass look;
     look.name = "look";
-    Tally tally(counters, {look});
+    RequestCounters tally(counters, {look});
     const auto count = [&](const char* name) { return counters.counter(name, "", "look").value(); };
     {
-        Tally::Ticket one = tally.open(0), other = std::move(one);
+        RequestCounters::Ticket one = tally.open(0), other = std::move(one);
         EXPECT_EQ(tally.in_flight(), 1u);
-        other.end(Tally::End::Served);
-        other.end(Tally::End::Failed);
-        one.end(Tally::End::Failed);
+        other.end(RequestCounters::Outcome::Served);
+        other.end(RequestCounters::Outcome::Failed);
+        one.end(RequestCounters::Outcome::Failed);
         EXPECT_EQ(tally.in_flight(), 0u);
         one = tally.open(0);
     }
--- a/tests/console/console_test.cpp
+++ b/tests/console/console_test.cpp
@@ -40,7 +40,7 @@
         if (i % 2) mute.back().send("ready");
     }
     EXPECT_EQ(sidecar.call("readyz"), "YES\n");
-    for (Peer& peer : mute) EXPECT_TRUE(peer.ends());  // and are not held for good
+    for (Peer& peer : mute) EXPECT_TRUE(peer.is_closed());  // and are not held for good
 }
 
 TEST_F(ConsoleOfOne, CountsRequestsByClassAndEndAndAttemptsWrittenWhole) {
@@ -48,10 +48,10 @@
     client.send(look("r1"));
     Peer at_endpoint = endpoint.accept();
     at_endpoint.receive();
-    EXPECT_EQ(sidecar.figure("inflight"), 1.0);
+    EXPECT_EQ(sidecar.metric("inflight"), 1.0);
     at_endpoint.send(answer(200, "1"));
     EXPECT_EQ(status_of(client.receive()), 200);
-    EXPECT_EQ(sidecar.figure("inflight"), 0.0);
+    EXPECT_EQ(sidecar.metric("inflight"), 0.0);
     client.send(debit("r2"));
     at_endpoint.receive();
     at_endpoint.send(answer(500));
@@ -60,14 +60,14 @@
     at_endpoint.reset();
     client.send(debit("r3", 300));  // never written: it is refused
     EXPECT_EQ(status_of(client.receive()), 503);
-    EXPECT_EQ(sidecar.figure("success.look"), 1.0);
-    EXPECT_EQ(sidecar.figure("failure.debit"), 1.0);
-    EXPECT_EQ(sidecar.figure("busy.debit"), 1.0);
-    EXPECT_EQ(sidecar.figure("backend_calls"), 2.0);
+    EXPECT_EQ(sidecar.metric("success.look"), 1.0);
+    EXPECT_EQ(sidecar.metric("failure.debit"), 1.0);
+    EXPECT_EQ(sidecar.metric("busy.debit"), 1.0);
+    EXPECT_EQ(sidecar.metric("backend_calls"), 2.0);
     client.send(
         "GET /what/1 HTTP/1.1\r\nX-Request-ID: r\r\nX-Priority-Class: what\r\nX-Timeout-Ms: 9\r\n\r\n");
     EXPECT_EQ(status_of(client.receive()), 404);  // taken by nobody, so counted nowhere
-    EXPECT_EQ(sidecar.figure("failure.look") + sidecar.figure("busy.look") + sidecar.figure("failure.post"),
+    EXPECT_EQ(sidecar.metric("failure.look") + sidecar.metric("busy.look") + sidecar.metric("failure.post"),
               0.0);
 }
 
@@ -85,7 +85,7 @@
     const std::string ready = front.receive();
     EXPECT_EQ(status_of(ready), 503);
     EXPECT_TRUE(has(ready, "Connection: close\r\n")) << ready;
-    EXPECT_TRUE(idle.ends());
+    EXPECT_TRUE(idle.is_closed());
     at_endpoint.send(answer(200, "1"));  // what was open is answered, and its connection given up
     const std::string reply = open.receive();
     EXPECT_EQ(body_of(reply), "1");
@@ -101,7 +101,7 @@
             at_endpoint.send(answer(200, "2"));
         }
         status = status_of(late.receive());
-        EXPECT_TRUE(late.ends());
+        EXPECT_TRUE(late.is_closed());
     }
     EXPECT_EQ(sidecar.call("activate"), "YES\n");
     EXPECT_EQ(sidecar.call("readyz"), "YES\n");
--- a/tests/core/pipe_test.cpp
+++ b/tests/core/pipe_test.cpp
@@ -10,11 +10,11 @@
 
 using martenford::Pipe;
 
-TEST(Pipe, TellsEachSideOfTheOther) {
+TEST(Pipe, NotifiesEachSideOfTheOther) {
     Pipe pipe(4);
     int room = 0, more = 0;
-    pipe.on_room([&] { ++room; });
-    pipe.on_more([&] { ++more; });
+    pipe.on_writable([&] { ++room; });
+    pipe.on_readable([&] { ++more; });
     pipe.put("abcdef");
     EXPECT_EQ(more, 1);
     EXPECT_FALSE(pipe.has_room());
@@ -26,23 +26,23 @@
     EXPECT_EQ(more, 1);
     pipe.finish();
     EXPECT_EQ(more, 2);
-    EXPECT_EQ(pipe.state(), Pipe::State::Whole);
+    EXPECT_EQ(pipe.state(), Pipe::State::Complete);
 }
 
-TEST(Pipe, EndsOnceAndTakesNothingAfterThat) {
+TEST(Pipe, EndsOnceAndAcceptsNothingAfterwards) {
     Pipe pipe(4);
     pipe.put("ab");
     pipe.fail();
     pipe.finish();
     pipe.put("cd");
-    EXPECT_EQ(pipe.state(), Pipe::State::Broken);
+    EXPECT_EQ(pipe.state(), Pipe::State::Failed);
     EXPECT_EQ(pipe.take(), "ab");
 }
 
-TEST(Pipe, AReaderThatStopsFreesWhatIsHeldAndIsToldOnce) {
+TEST(Pipe, ReaderThatStopsFreesTheBufferAndNotifiesTheWriterOnce) {
     Pipe pipe(4);
     int told = 0;
-    pipe.on_room([&] { told += pipe.unread() ? 1 : 0; });
+    pipe.on_writable([&] { told += pipe.reader_closed() ? 1 : 0; });
     pipe.put("abcd");
     pipe.stop_reading();
     pipe.stop_reading();
@@ -51,20 +51,20 @@
     EXPECT_EQ(told, 1);
 }
 
-TEST(Pipe, MayBeEndedFromWithinWhatItTells) {
+TEST(Pipe, MayBeEndedInsideANotification) {
     Pipe pipe(4);
-    pipe.on_room([&] { pipe.finish(); });
-    pipe.on_more([&] { pipe.on_more(nullptr); });
+    pipe.on_writable([&] { pipe.finish(); });
+    pipe.on_readable([&] { pipe.on_readable(nullptr); });
     pipe.put("ab");
     EXPECT_EQ(pipe.take(), "ab");
-    EXPECT_EQ(pipe.state(), Pipe::State::Whole);
+    EXPECT_EQ(pipe.state(), Pipe::State::Complete);
 }
 
-TEST(Pipe, GivesWhatWasPutInOrderWithinItsBound) {
+TEST(Pipe, DeliversPiecesInOrderWithinItsLimit) {
     std::mt19937 random(7);
     for (int round = 0; round < 200; ++round) {
-        const std::size_t most = 1 + random() % 50;
-        Pipe pipe(most);
+        const std::size_t max_bytes = 1 + random() % 50;
+        Pipe pipe(max_bytes);
         std::string put, taken;
         bool stopped = false, ended = false;
         for (int step = 0; step < 200; ++step) {
@@ -93,9 +93,9 @@
                     if (!stopped && !ended) put += piece;
             }
             ASSERT_EQ(pipe.state() != Pipe::State::Open, ended);
-            ASSERT_EQ(pipe.unread(), stopped);
+            ASSERT_EQ(pipe.reader_closed(), stopped);
             ASSERT_TRUE(put.starts_with(taken));
-            ASSERT_LE(put.size() - taken.size(), most + 20);
+            ASSERT_LE(put.size() - taken.size(), max_bytes + 20);
         }
         if (!stopped) {
             EXPECT_EQ(taken + pipe.take(), put);
--- a/tests/discovery/discovery_test.cpp
+++ b/tests/discovery/discovery_test.cpp
@@ -28,13 +28,13 @@
         200, list(43, false,
                   target("s-1", first.address(), "Terminating") + "," + target("s-2", second.address()))));
     EXPECT_TRUE(watch.receive().starts_with("GET /api/targets?since=43&timeout_ms="));
-    EXPECT_TRUE(at_first.ends());  // the idle connection to what drains is closed
+    EXPECT_TRUE(at_first.is_closed());  // the idle connection to what drains is closed
     client.send(look("r2"));
     Peer at_second = second.accept();
     at_second.receive();
     at_second.send(answer(200, "2"));
     EXPECT_EQ(body_of(client.receive()), "2");
-    EXPECT_TRUE(first.untouched());
+    EXPECT_TRUE(first.no_connection_pending());
 }
 
 TEST(Discovery, BadAnswersAndEntriesAreSkippedAndTheOldListKept) {
@@ -45,7 +45,7 @@
         Peer watch = discovery.accept();
         EXPECT_TRUE(has(watch.receive(), "since=41&"));
         watch.send(bad);
-        EXPECT_TRUE(watch.ends());
+        EXPECT_TRUE(watch.is_closed());
     }
     Peer watch = discovery.accept();
     watch.receive();
@@ -68,7 +68,7 @@
         Peer watch = discovery.accept();
         watch.receive();
         watch.send(whole.substr(0, part));
-        EXPECT_TRUE(watch.ends());  // this waits 20 s at most, a watch 24
+        EXPECT_TRUE(watch.is_closed());  // this waits 20 s at most, a watch 24
     }
     Peer watch = discovery.accept();
     watch.receive();
@@ -93,7 +93,7 @@
     std::vector<Peer> clients, at_sound;
     for (int i = 0; i < 8; ++i) clients.push_back(sidecar.client());
     int rounds = 0;
-    for (; rounds < 300 && discovery.untouched(); ++rounds) {
+    for (; rounds < 300 && discovery.no_connection_pending(); ++rounds) {
         for (std::size_t i = 0; i < clients.size(); ++i) {
             clients[i].send(debit("r" + std::to_string(rounds) + "-" + std::to_string(i)));
         }
@@ -130,7 +130,7 @@
     Peer &first = old_speaks ? watch : again, &second = old_speaks ? again : watch;
     first.send(answer(200, list(43, false, target("s-1", gone.address(), "Terminating"))));
     EXPECT_TRUE(has(first.receive(), "since=43&"));
-    EXPECT_TRUE(second.ends());
+    EXPECT_TRUE(second.is_closed());
 }
 
 TEST(Discovery, ASilentWatchIsGivenUpWhereAnEndpointIsGoneAndOthersServe) {
@@ -154,7 +154,7 @@
     Peer at_first = first.accept();
     at_first.receive();
     sidecar.reload(config(moved.address(), known, "automatic"));
-    EXPECT_TRUE(old_watch.ends());
+    EXPECT_TRUE(old_watch.is_closed());
     Peer watch = moved.accept();
     // The old revision may mean anything to the new agent.
     EXPECT_TRUE(watch.receive().starts_with("GET /api/targets HTTP/1.1\r\n"));
@@ -166,7 +166,7 @@
     EXPECT_EQ(body_of(client.receive()), "2");
     watch.send(answer(200, list(3, true, target("s-2", second.address()))));
     EXPECT_TRUE(has(watch.receive(), "since=3&"));
-    EXPECT_TRUE(at_first.ends());
+    EXPECT_TRUE(at_first.is_closed());
     client.send(look("r3"));
     Peer at_second = second.accept();
     EXPECT_TRUE(has(at_second.receive(), "X-Request-ID: r3"));
@@ -182,7 +182,7 @@
     Peer watch = moved.accept();
     watch.receive();
     watch.send(answer(200, list(44, false, target("s-1", first.address(), "Gone"))));
-    EXPECT_TRUE(watch.ends());
+    EXPECT_TRUE(watch.is_closed());
     Peer again = moved.accept();
     EXPECT_TRUE(again.receive().starts_with("GET /api/targets HTTP/1.1\r\n"));
     Peer client = sidecar.client();
@@ -208,7 +208,7 @@
     }
     sidecar.reload(good);  // names the same address: nothing moves
     EXPECT_TRUE(watch.silent());
-    EXPECT_TRUE(moved.untouched());
+    EXPECT_TRUE(moved.no_connection_pending());
     watch.send(answer(200, list(45, false, "")));
     EXPECT_TRUE(has(watch.receive(), "since=45&"));
 }
@@ -242,7 +242,7 @@
     EXPECT_TRUE(watch.receive().starts_with("GET /api/targets HTTP/1.1\r\n"));
     watch.send(answer(200, list(43, true, "")));
     EXPECT_TRUE(has(watch.receive(), "since=43&"));
-    EXPECT_TRUE(at_endpoint.ends());
+    EXPECT_TRUE(at_endpoint.is_closed());
     client.send("GET /-/ready HTTP/1.1\r\nHost: a\r\n\r\n");
     EXPECT_EQ(status_of(client.receive()), 503);
 }
@@ -286,7 +286,7 @@
         peer.send(answer(200, "x", "Connection: close\r\n"));
         EXPECT_EQ(body_of(clients.back().receive()), "x");
     }
-    for (std::size_t i = 0; i < all.size(); ++i) EXPECT_TRUE(i == used || all[i].untouched());
+    for (std::size_t i = 0; i < all.size(); ++i) EXPECT_TRUE(i == used || all[i].no_connection_pending());
 }
 
 }  // namespace
--- a/tests/discovery/doubted_watch_test.cpp
+++ b/tests/discovery/doubted_watch_test.cpp
@@ -22,13 +22,13 @@
 
 constexpr std::uint64_t kSoon = 214;  // a seed by which a doubted list is asked for within some 20 ms
 
-struct NoBack : Back {
+struct NoBack : EndpointClient {
     Handle send(EndpointId, std::shared_ptr<const Message>, Time, Done) override { return {}; }
     void probe(EndpointId, Done) override {}
-    void shut_idle(EndpointId) override {}
+    void close_idle_connections(EndpointId) override {}
 };
-struct Placed : Placement {
-    void place(EndpointId id, const Address&, bool ready) override { this->ready[id] = ready; }
+struct Placed : EndpointTable {
+    void set_endpoint(EndpointId id, const Address&, bool ready) override { this->ready[id] = ready; }
     void remove(EndpointId id) override { ready.erase(id); }
     std::map<EndpointId, bool> ready;
 };
@@ -45,7 +45,7 @@
         config_.settings.replicas = 1;
         config_.discovery = {boost::asio::ip::address_v4::loopback(),
                              static_cast<std::uint16_t>(listener_.port())};
-        tally_ = std::make_unique<Tally>(counters_, config_.settings.classes);
+        tally_ = std::make_unique<RequestCounters>(counters_, config_.settings.classes);
         engine_ = std::make_unique<Engine>(
             loop_, back_, config_.settings.limits,
             std::make_unique<RecordingPolicy>(std::make_shared<RecordingPolicy::Record>()), *tally_);
@@ -56,7 +56,7 @@
             std::make_unique<Discovery>(loop_, placed_, *engine_, config_, Membership::Options{}, counters_);
         discovery_->start();
         look();
-        end_.set(Loop::monotonic() + 10s, [this] { loop_.stop(); });
+        end_.set(EventLoop::monotonic() + 10s, [this] { loop_.stop(); });
         loop_.run();
     }
     bool learnt = false;
@@ -65,20 +65,20 @@
   private:
     /// Each millisecond: what has come to discovery, and whether all is over.
     void look() {
-        while (!listener_.untouched()) calls_.push_back(listener_.accept());
+        while (!listener_.no_connection_pending()) calls_.push_back(listener_.accept());
         for (std::size_t i = 0; i < calls_.size(); ++i) {
-            if (!closed_[i] && calls_[i].readable(0)) heard(i, calls_[i].some());
+            if (!closed_[i] && calls_[i].readable(0)) heard(i, calls_[i].receive_some());
         }
         learnt = placed_.ready.contains(drained()) && !placed_.ready.at(drained());
         if (learnt && scripted_all()) {
-            if (!over_) over_ = Loop::monotonic() + 30ms;  // what is to be closed is, by then
-            if (Loop::monotonic() >= *over_) {
+            if (!over_) over_ = EventLoop::monotonic() + 30ms;  // what is to be closed is, by then
+            if (EventLoop::monotonic() >= *over_) {
                 open = 0;
                 for (std::size_t i = 0; i < calls_.size(); ++i) open += closed_[i] ? 0 : 1;
                 return loop_.stop();
             }
         }
-        step_.set(Loop::monotonic() + 1ms, [this] { look(); });
+        step_.set(EventLoop::monotonic() + 1ms, [this] { look(); });
     }
     bool scripted_all() const { return fresh_at_ > 0 && elder_done_; }
     EndpointId drained() const { return EndpointId{uid_hash("s-1")}; }
@@ -126,10 +126,10 @@
     void doubt() {
         discovery_->saw(drained(), decision::Status::ConnectFailed);
         discovery_->saw(EndpointId{uid_hash("s-2")}, decision::Status::Ok);
-        trigger_.set(Loop::monotonic() + 210ms, [this] {
+        trigger_.set(EventLoop::monotonic() + 210ms, [this] {
             discovery_->saw(drained(), decision::Status::ConnectFailed);
             // Due before the fresh call, in the same turn: by then no socket is read any more.
-            if (when_ == When::InTheTurn) trigger_.set(Loop::monotonic(), [this] { elder_speaks(); });
+            if (when_ == When::InTheTurn) trigger_.set(EventLoop::monotonic(), [this] { elder_speaks(); });
             std::this_thread::sleep_for(std::chrono::milliseconds(25));
         });
     }
@@ -156,7 +156,7 @@
     void break_off(std::size_t i) {
         const std::string whole = answer(200, list(43, false, gone()));
         calls_[i].send(whole.substr(0, whole.size() / 2));
-        calls_[i].shut();
+        calls_[i].shutdown_send();
     }
     static std::string both(const char* state) {
         return target("s-1", "127.0.0.1:1", state) + "," + target("s-2", "127.0.0.1:2");
@@ -167,12 +167,12 @@
     When when_;
     Fresh fresh_;
     Listener listener_;
-    Loop loop_;
+    EventLoop loop_;
     Config config_;
     Counters counters_;
     NoBack back_;
     Placed placed_;
-    std::unique_ptr<Tally> tally_;
+    std::unique_ptr<RequestCounters> tally_;
     std::unique_ptr<Engine> engine_;
     std::unique_ptr<Discovery> discovery_;
     Timer step_, trigger_, end_;
--- a/tests/fleet/wire_test.cpp
+++ b/tests/fleet/wire_test.cpp
@@ -78,7 +78,7 @@
 /// The checksum does not stand in the way here: what is inside is damaged.
 RC_GTEST_PROP(FleetWire, ADamagedMessageIsRefusedOrWithinItsBoundsAndHarmsNoMember, ()) {
     std::string frame = frame_of(any_message());
-    std::string bytes = frame.substr(framing::kFrameHead);
+    std::string bytes = frame.substr(framing::kFrameHeaderBytes);
     const auto times = *rc::gen::inRange(1, 6);
     for (int i = 0; i < times && !bytes.empty(); ++i) {
         const auto at = *rc::gen::inRange<std::size_t>(0, bytes.size());
@@ -107,7 +107,7 @@
             fleet.tick(Time{1100ms});
             RC_ASSERT(fleet.members().size() <= 1 + kMostClaims);
             for (const auto& send : fleet.take_sends())
-                RC_ASSERT(frame_of(send.message).size() <= framing::kMostFrame);
+                RC_ASSERT(frame_of(send.message).size() <= framing::kMaxFrameBytes);
         }
     } catch (const framing::FrameError&) {
     }
--- a/tests/grpc/wire_test.cpp
+++ b/tests/grpc/wire_test.cpp
@@ -104,7 +104,7 @@
     std::vector<decision::RequestClass> classes(2);
     classes[0].name = "rate-lookup";
     classes[1].name = "balance-debit";
-    return with_toml(text, "own.toml", [&](const TomlReader& reader, const toml::table& root) {
+    return parse_toml(text, "own.toml", [&](const TomlReader& reader, const toml::table& root) {
         TomlReader::Table top(reader, root, "the configuration");
         auto table = top.table("grpc");
         return Routes::read(*table, classes);
--- a/tests/handover/handover_test.cpp
+++ b/tests/handover/handover_test.cpp
@@ -67,7 +67,7 @@
     earlier.terminate();
     EXPECT_EQ(earlier.exit_code(), 0);
     for (int i = 0; i < 20; ++i) expect_served(port, endpoint, "r" + std::to_string(i));
-    EXPECT_EQ(later.figure("success.look"), 20.0);
+    EXPECT_EQ(later.metric("success.look"), 20.0);
 }
 
 TEST_F(Upgrade, NoConnectionIsRefusedOrLeftUnreadWhileProcessesFollowOneAnother) {
@@ -86,7 +86,7 @@
         for (std::size_t i = 0; i < clients.size(); ++i) {
             clients[i].send(look("g" + std::to_string(generation) + "-" + std::to_string(i)));
             ASSERT_EQ(first_of({endpoint.poll_for(), clients[i].poll_for()}), 0u)
-                << "generation " << generation << ", client " << i << ": " << clients[i].rest();
+                << "generation " << generation << ", client " << i << ": " << clients[i].receive_all();
             Peer at_endpoint = endpoint.accept();
             at_endpoint.receive();
             at_endpoint.send(answer(200, "here", "Connection: close\r\n"));
@@ -116,7 +116,7 @@
     const std::string reply = client.receive();
     EXPECT_EQ(body_of(reply), "1");
     EXPECT_TRUE(has(reply, "Connection: close\r\n")) << reply;
-    EXPECT_TRUE(client.ends());
+    EXPECT_TRUE(client.is_closed());
 }
 
 TEST_F(Upgrade, WhatACrashedProcessLeftBehindHindersNoStart) {
@@ -158,7 +158,7 @@
         Peer client = Peer::to(port);
         client.send(look("r" + std::to_string(served + lost)));
         if (first_of({endpoint.poll_for(), client.poll_for()}) == 1) {
-            EXPECT_TRUE(client.ends());  // closed unread, nothing sent on
+            EXPECT_TRUE(client.is_closed());  // closed unread, nothing sent on
             ++lost;
             return;
         }
@@ -170,8 +170,8 @@
     };
     // New clients throughout: while both listen, while the earlier one ends, and after it.
     while (served < 50) ask();
-    EXPECT_GT(earlier.figure("success.look"), 0.0);
-    EXPECT_GT(later.figure("success.look"), 0.0);
+    EXPECT_GT(earlier.metric("success.look"), 0.0);
+    EXPECT_GT(later.metric("success.look"), 0.0);
     earlier.terminate();
     auto ended = std::async(std::launch::async, [&] { return earlier.exit_code(); });
     while (ended.wait_for(std::chrono::seconds(0)) != std::future_status::ready) ask();
--- a/tests/http1/endpoint_client_test.cpp
+++ b/tests/http1/endpoint_client_test.cpp
@@ -13,7 +13,7 @@
 
 using namespace martenford::standins;
 
-TEST_F(OneEndpoint, PassesARequestOnAndItsAnswerBackUnchanged) {
+TEST_F(OneEndpoint, ForwardsRequestAndAnswerUnchanged) {
     Peer client = sidecar.client();
     client.send(
         "POST /post/7f3a?a=b%20c HTTP/1.1\r\nHost: service.internal\r\nX-Request-ID: r1\r\n"
@@ -39,7 +39,7 @@
     EXPECT_EQ(body_of(reply), body);
 }
 
-TEST_F(OneEndpoint, UsesAnIdleConnectionAgainButNotOneThatTheEndpointClosed) {
+TEST_F(OneEndpoint, ReusesIdleConnectionButNotOneClosedByTheEndpoint) {
     Peer client = sidecar.client();
     client.send(look("r1"));
     Peer first = endpoint.accept();
@@ -48,7 +48,7 @@
     EXPECT_EQ(body_of(client.receive()), "1");
     client.send(look("r2"));
     EXPECT_TRUE(has(first.receive(), "X-Request-ID: r2"));
-    EXPECT_TRUE(endpoint.untouched());
+    EXPECT_TRUE(endpoint.no_connection_pending());
     first.send(answer(200, "2"));
     EXPECT_EQ(body_of(client.receive()), "2");
     first = Peer(Descriptor());  // closes it
@@ -59,18 +59,18 @@
     EXPECT_EQ(body_of(client.receive()), "3");
 }
 
-TEST_F(OneEndpoint, BrokenConnectionAfterAnUnsafeRequestFailsItAndSendsNothingAgain) {
+TEST_F(OneEndpoint, UnsafeRequestIsNotRetriedAfterABrokenConnection) {
     Peer client = sidecar.client();
     client.send(debit("r1"));
     Peer at_endpoint = endpoint.accept();
     EXPECT_TRUE(has(at_endpoint.receive(), "X-Request-ID: r1"));
     at_endpoint.reset();
     EXPECT_EQ(status_of(client.receive()), 502);
-    EXPECT_TRUE(endpoint.untouched());
+    EXPECT_TRUE(endpoint.no_connection_pending());
     EXPECT_TRUE(client.silent());
 }
 
-TEST_F(OneEndpoint, OnlyAMarkedTurnAwayProvesThatAnUnsafeRequestNeverRan) {
+TEST_F(OneEndpoint, OnlyAMarkedRefusalProvesThatAnUnsafeRequestNeverRan) {
     Peer client = sidecar.client();
     client.send(debit("r1"));
     Peer at_endpoint = endpoint.accept();
@@ -85,15 +85,15 @@
     EXPECT_EQ(body_of(client.receive()), "done");
 }
 
-TEST_F(OneEndpoint, SilentEndpointIsGivenUpAtTheDeadlineWithOneAnswer) {
+TEST_F(OneEndpoint, SilentEndpointTimesOutAtTheDeadlineWithOneAnswer) {
     Peer client = sidecar.client();
     client.send(debit("r1", 300));
     Peer at_endpoint = endpoint.accept();
     at_endpoint.receive();
     EXPECT_EQ(status_of(client.receive()), 502);
-    EXPECT_TRUE(at_endpoint.ends());
+    EXPECT_TRUE(at_endpoint.is_closed());
     EXPECT_TRUE(client.silent());
-    EXPECT_TRUE(endpoint.untouched());
+    EXPECT_TRUE(endpoint.no_connection_pending());
 }
 
 /// An endpoint says no more than this to a request that may be repeated.
@@ -103,7 +103,7 @@
     Peer silent = endpoint.accept();
     EXPECT_TRUE(has(silent.receive(), "X-Request-ID: r1\r\n"));
     silent.send(said);
-    ASSERT_TRUE(silent.ends());  // the first is over before the second begins
+    ASSERT_TRUE(silent.is_closed());  // the first is over before the second begins
     Peer second = endpoint.accept();
     EXPECT_TRUE(has(second.receive(), "X-Request-ID: r1\r\n"));
     second.send(answer(200, "again"));
@@ -111,14 +111,14 @@
     EXPECT_EQ(status_of(reply), 200);
     EXPECT_EQ(body_of(reply), "again");
 }
-TEST_F(OneEndpoint, OverdueAttemptIsEndedAndGoesAgain) {
+TEST_F(OneEndpoint, OverdueAttemptIsRetried) {
     expect_second_attempt(sidecar, endpoint, "");
 }
-TEST_F(OneEndpoint, AnswerThatStopsShortIsEndedAndGoesAgain) {
+TEST_F(OneEndpoint, TruncatedAnswerIsRetried) {
     expect_second_attempt(sidecar, endpoint, "HTTP/1.1 200 x\r\nContent-Length: 9\r\n\r\nhal");
 }
 
-TEST_F(OneEndpoint, UnsafeRequestsMetWithSilenceGoOnceAndAreTakenForNoQueue) {
+TEST_F(OneEndpoint, UnansweredUnsafeRequestsAreNotRetriedAndDoNotCountAsQueue) {
     std::vector<Peer> clients, silent;
     for (int i = 0; i < 8; ++i) {
         clients.push_back(sidecar.client());
@@ -133,7 +133,7 @@
     quick.send(answer(200, "1"));
     EXPECT_EQ(body_of(client.receive()), "1");
     for (Peer& waits : clients) EXPECT_EQ(status_of(waits.receive()), 502);
-    EXPECT_TRUE(endpoint.untouched());
+    EXPECT_TRUE(endpoint.no_connection_pending());
     for (int i = 0; i < 5; ++i) {
         client.send(look("after" + std::to_string(i)));
         quick.receive();
@@ -142,7 +142,7 @@
     }
 }
 
-TEST_F(OneEndpoint, NothingNewGoesOutOnceTheClientHasGone) {
+TEST_F(OneEndpoint, NoRetryAfterTheClientDisconnected) {
     Peer client = sidecar.client();
     client.send(look("r1"));
     Peer at_endpoint = endpoint.accept();
@@ -155,10 +155,10 @@
     EXPECT_TRUE(has(next.receive(), "X-Request-ID: r2"));
     next.send(answer(500));
     EXPECT_TRUE(has(next.receive(), "X-Request-ID: r2"));  // after a wait in which r1 would have come too
-    EXPECT_TRUE(endpoint.untouched());
+    EXPECT_TRUE(endpoint.no_connection_pending());
 }
 
-TEST_F(OneEndpoint, AnswerThatCannotBeReadOrIsTooLargeIsAFailedAttempt) {
+TEST_F(OneEndpoint, MalformedOrTooLargeAnswerIsAFailedAttempt) {
     Peer client = sidecar.client();
     for (const std::string& bad :
          {std::string("nonsense\r\n\r\n"),
@@ -173,7 +173,7 @@
     }
 }
 
-TEST_F(OneEndpoint, AnswersThatOnlySayThatMoreIsToComeAreSkipped) {
+TEST_F(OneEndpoint, InterimAnswersAreSkipped) {
     Peer client = sidecar.client();
     client.send(debit("r1"));
     Peer at_endpoint = endpoint.accept();
@@ -188,10 +188,10 @@
     for (int i = 0; i < 1000; ++i) many += "HTTP/1.1 102 x\r\n\r\n";
     at_endpoint.send(many);
     EXPECT_EQ(status_of(client.receive()), 502);
-    EXPECT_TRUE(endpoint.untouched());
+    EXPECT_TRUE(endpoint.no_connection_pending());
 }
 
-TEST_F(OneEndpoint, WhatFollowsAnAnswerNeverBecomesTheNextOnesAnswer) {
+TEST_F(OneEndpoint, SurplusBytesNeverBecomeTheNextAnswer) {
     for (const std::string& more : {answer(200, "stale"), std::string("noise"), std::string(20'000, 'x')}) {
         Peer client = sidecar.client();
         client.send(debit("r1"));
@@ -209,11 +209,11 @@
         next.send(answer(200, "3"));
         EXPECT_EQ(body_of(client.receive()), "3");
         next.send(more);  // while it carries nothing
-        EXPECT_TRUE(next.ends());
+        EXPECT_TRUE(next.is_closed());
     }
 }
 
-TEST(Sidecar, ConnectionThatIsRefusedProvesThatNothingRan) {
+TEST(Sidecar, RefusedConnectionProvesThatNothingRan) {
     Listener discovery, closed, open;
     closed.close();
     Sidecar sidecar(
@@ -231,7 +231,7 @@
     }
 }
 
-TEST(Sidecar, AnEndpointHasNoMoreConnectionsThanItsShare) {
+TEST(Sidecar, ConnectionsPerEndpointAreLimited) {
     Listener discovery, endpoint;
     Sidecar sidecar(config(discovery.address(), target("s-1", endpoint.address())),
                     "[connections]\nper_endpoint = 1\n");
@@ -252,10 +252,10 @@
     } else {
         EXPECT_EQ(status_of(second.receive()), 503);
     }
-    EXPECT_TRUE(endpoint.untouched());
+    EXPECT_TRUE(endpoint.no_connection_pending());
 }
 
-TEST(Sidecar, TheConnectionIdleLongestMakesRoomForANewOne) {
+TEST(Sidecar, LongestIdleConnectionIsEvictedForANewOne) {
     Listener discovery;
     std::vector<Listener> endpoints(3);
     std::string known;
@@ -274,11 +274,11 @@
         const std::size_t which = first_of(polls);
         ASSERT_LT(which, polls.size());
         const bool fresh = which >= at.size();
-        if (at.size() == 2 && (fresh || at[which].ends())) {
+        if (at.size() == 2 && (fresh || at[which].is_closed())) {
             // The third needs room: one of the others is closed for it, and one only.
             const std::size_t closed = fresh ? first_of({at[0].poll_for(), at[1].poll_for()}) : which;
             ASSERT_LT(closed, 2u);
-            EXPECT_TRUE(!fresh || at[closed].ends());
+            EXPECT_TRUE(!fresh || at[closed].is_closed());
             Peer third = endpoints[3 - order[0] - order[1]].accept();
             EXPECT_TRUE(has(third.receive(), "X-Request-ID: r" + std::to_string(i)));
             EXPECT_TRUE(at[1 - closed].silent());
--- a/tests/http1/listener_test.cpp
+++ b/tests/http1/listener_test.cpp
@@ -14,7 +14,7 @@
 
 using namespace martenford::standins;
 
-TEST_F(OneEndpoint, BadRequestsGetAPlain4xxAndReachNoEndpoint) {
+TEST_F(OneEndpoint, InvalidRequestsGet4xxAndReachNoEndpoint) {
     const std::pair<std::string, int> bad[] = {
         {"nonsense\r\n\r\n", 400},
         {"GET /look/1 HTTP/1.1\r\nContent-Length: -5\r\n\r\n", 400},
@@ -40,10 +40,10 @@
         client.send(request);
         EXPECT_EQ(status_of(client.receive()), status) << request.substr(0, 80);
     }
-    EXPECT_TRUE(endpoint.untouched());
+    EXPECT_TRUE(endpoint.no_connection_pending());
 }
 
-TEST_F(OneEndpoint, LengthThatCanBeReadInTwoWaysIsTurnedAwayAndTheConnectionClosed) {
+TEST_F(OneEndpoint, AmbiguousBodyLengthIsRejectedAndTheConnectionClosed) {
     const std::string head =
         "POST /debit/1 HTTP/1.1\r\nX-Request-ID: r\r\nX-Priority-Class: debit\r\nX-Timeout-Ms: 9000\r\n";
     const std::string hidden = debit("hidden");
@@ -66,15 +66,15 @@
         Peer client = sidecar.client();
         client.send(head + text + hidden);
         EXPECT_EQ(status_of(client.receive()) / 100, 4) << text;
-        EXPECT_TRUE(client.ends()) << text;
+        EXPECT_TRUE(client.is_closed()) << text;
     }
-    EXPECT_TRUE(endpoint.untouched());
+    EXPECT_TRUE(endpoint.no_connection_pending());
     Peer client = sidecar.client();  // the one coding that is taken
     client.send(head + "Transfer-Encoding: chunked\r\n\r\n3\r\npay\r\n0\r\n\r\n");
     EXPECT_EQ(body_of(endpoint.accept().receive()), "pay");
 }
 
-TEST_F(OneEndpoint, SecondRequestWithAnOpenIdIsTurnedAway) {
+TEST_F(OneEndpoint, SecondRequestWithAnOpenIdIsRejected) {
     Peer first = sidecar.client(), second = sidecar.client();
     first.send(look("r1"));
     Peer at_endpoint = endpoint.accept();
@@ -85,17 +85,17 @@
     EXPECT_EQ(body_of(first.receive()), "1");
 }
 
-TEST_F(OneEndpoint, ClientsThatSendNoWholeRequestAreTurnedAwayInTime) {
+TEST_F(OneEndpoint, IncompleteRequestsTimeOut) {
     Peer mute = sidecar.client(), half = sidecar.client(), slow_body = sidecar.client();
     half.send("GET /look/1 HTTP/1.1\r\nX-Request-ID: r\r\n");
     slow_body.send("POST /debit/1 HTTP/1.1\r\nX-Request-ID: r\r\nContent-Length: 50\r\n\r\nx");
-    EXPECT_TRUE(mute.ends());
+    EXPECT_TRUE(mute.is_closed());
     EXPECT_EQ(status_of(half.receive()), 408);
     EXPECT_EQ(status_of(slow_body.receive()), 408);
-    EXPECT_TRUE(endpoint.untouched());
+    EXPECT_TRUE(endpoint.no_connection_pending());
 }
 
-TEST_F(OneEndpoint, HalfSentRequestsMakeRoomAndOpenOnesDoNot) {
+TEST_F(OneEndpoint, IncompleteRequestsAreEvictedAndOpenOnesAreNot) {
     Peer open = sidecar.client();
     open.send(look("r1"));
     Peer at_endpoint = endpoint.accept();
@@ -115,7 +115,7 @@
     EXPECT_EQ(body_of(open.receive()), "1");
 }
 
-TEST_F(OneEndpoint, MoreIdleClientsThanTheLimitAllowsMakeRoom) {
+TEST_F(OneEndpoint, IdleClientsBeyondTheLimitAreEvicted) {
     std::vector<Peer> idle;
     for (int i = 0; i < 200; ++i) idle.push_back(sidecar.client());  // the limit is 128 descriptors
     Peer client = sidecar.client();
@@ -127,18 +127,18 @@
 }
 
 /// A platform's limit of 64 leaves 16 for clients and 16 for endpoints.
-constexpr int kPlaces = 16;
+constexpr int kMaxClients = 16;
 constexpr std::size_t kLimit = 64;
 
-TEST(Descriptors, ClientsThatStayAfterTheirAnswerNeverTakeMoreThanTheLimitAndEachNewOneIsServed) {
+TEST(Descriptors, IdleKeepAliveClientsStayWithinTheLimitAndNewOnesAreServed) {
     Listener discovery, endpoint;
     std::string small = config(discovery.address(), target("s-1", endpoint.address()));
     small.replace(small.find("\"sockets\":128"), 13, "\"sockets\":64");
     Sidecar sidecar(small);
     std::vector<Peer> clients;
     std::optional<Peer> at_endpoint;
-    std::size_t most = 0;
-    for (int i = 0; i < kPlaces + 10; ++i) {
+    std::size_t max_seen = 0;
+    for (int i = 0; i < kMaxClients + 10; ++i) {
         const std::string id = std::to_string(i);
         clients.push_back(sidecar.client());
         clients.back().send(look("r" + id));
@@ -146,12 +146,12 @@
         EXPECT_TRUE(has(at_endpoint->receive(), "X-Request-ID: r" + id + "\r\n"));
         at_endpoint->send(answer(200, id));
         EXPECT_EQ(body_of(clients.back().receive()), id);
-        most = std::max(most, sidecar.descriptors());
+        max_seen = std::max(max_seen, sidecar.descriptors());
     }
-    EXPECT_LE(most, kLimit);
-    EXPECT_TRUE(endpoint.untouched());  // one connection was enough for all
+    EXPECT_LE(max_seen, kLimit);
+    EXPECT_TRUE(endpoint.no_connection_pending());  // one connection was enough for all
     for (int i = 0; i < 10; ++i)
-        EXPECT_TRUE(clients[static_cast<std::size_t>(i)].ends()) << i;  // the eldest made room
+        EXPECT_TRUE(clients[static_cast<std::size_t>(i)].is_closed()) << i;  // the eldest made room
 }
 
 }  // namespace
--- a/tests/http1/streaming_test.cpp
+++ b/tests/http1/streaming_test.cpp
@@ -14,9 +14,9 @@
 using namespace martenford::standins;
 
 constexpr std::size_t kMega = 1024 * 1024;
-constexpr double kMostGrowth = 8.0;  // MB, where 32 pass through
+constexpr double kMaxGrowthMb = 8.0;  // MB, where 32 pass through
 
-class Passing : public testing::Test {
+class BodyStreaming : public testing::Test {
   protected:
     /// Bytes that tell where in the body they stand.
     static std::string piece(std::size_t from, std::size_t size) {
@@ -33,7 +33,7 @@
     /// Reads until `size` bytes of body have come; checks each against piece(). Gives how many did.
     static std::size_t read_body(Peer& peer, std::string begun, std::size_t size) {
         std::size_t got = 0;
-        for (std::string some = std::move(begun);; some = peer.some()) {
+        for (std::string some = std::move(begun);; some = peer.receive_some()) {
             if (some.empty() && got > 0) return got;
             if (some != piece(got, some.size())) {
                 ADD_FAILURE() << "another body from byte " << got;
@@ -46,7 +46,7 @@
     static std::string read_head(Peer& peer, std::string& after) {
         std::string text;
         while (text.find("\r\n\r\n") == std::string::npos) {
-            const std::string some = peer.some();
+            const std::string some = peer.receive_some();
             if (some.empty()) return text;
             text += some;
         }
@@ -67,7 +67,7 @@
                     {"ASAN_OPTIONS=quarantine_size_mb=1:thread_local_quarantine_size_kb=64"}};
 };
 
-TEST_F(Passing, AnswerOf32MegabytesReachesASlowReaderUnchangedAndIsNotHeld) {
+TEST_F(BodyStreaming, AnswerOf32MegabytesReachesASlowReaderUnchangedAndIsNotBuffered) {
     Peer client = sidecar.client();
     client.send(look("r1"));
     Peer at_endpoint = endpoint.accept();
@@ -82,24 +82,24 @@
     const std::string head = read_head(client, begun);
     EXPECT_EQ(status_of(head), 200);
     EXPECT_TRUE(has(head, "Content-Length: " + std::to_string(size))) << head;
-    double most = 0;
+    double max_seen = 0;
     std::size_t got = 0;
     while (got < size) {
-        const std::string some = begun.empty() ? client.some() : std::exchange(begun, {});
+        const std::string some = begun.empty() ? client.receive_some() : std::exchange(begun, {});
         if (some.empty()) break;
         EXPECT_TRUE(some == piece(got, some.size())) << "from byte " << got;
         got += some.size();
-        if (got % 64 == 0) most = std::max(most, sidecar.memory_mb());
+        if (got % 64 == 0) max_seen = std::max(max_seen, sidecar.memory_mb());
     }
     sender.join();
     EXPECT_EQ(got, size);
-    EXPECT_LT(std::max(most, sidecar.memory_mb()), before + kMostGrowth);
-    EXPECT_EQ(sidecar.figure("success.look"), 1.0);
+    EXPECT_LT(std::max(max_seen, sidecar.memory_mb()), before + kMaxGrowthMb);
+    EXPECT_EQ(sidecar.metric("success.look"), 1.0);
     client.send(look("r2"));  // both connections go on
     EXPECT_TRUE(has(at_endpoint.receive(), "X-Request-ID: r2"));
 }
 
-TEST_F(Passing, ChunkedAnswerOfUntoldLengthPassesThrough) {
+TEST_F(BodyStreaming, ChunkedAnswerIsStreamed) {
     Peer client = sidecar.client();
     client.send(look("r1"));
     Peer at_endpoint = endpoint.accept();
@@ -117,7 +117,7 @@
     EXPECT_EQ(status_of(head), 200);
     EXPECT_TRUE(has(head, "Transfer-Encoding: chunked")) << head;
     while (!begun.ends_with("0\r\n\r\n")) {
-        const std::string some = client.some();
+        const std::string some = client.receive_some();
         if (some.empty()) break;
         begun += some;
     }
@@ -134,7 +134,7 @@
     EXPECT_TRUE(body == whole) << body.size();
 }
 
-TEST_F(Passing, AnswerThatBreaksOffHalfWayIsSeenToAndGoesNowhereElse) {
+TEST_F(BodyStreaming, TruncatedAnswerIsVisibleToTheClientAndNotRetried) {
     for (const bool chunked : {false, true}) {
         Peer client = sidecar.client();
         client.send(look(chunked ? "r1" : "r2"));
@@ -147,16 +147,16 @@
         std::string begun;
         EXPECT_EQ(status_of(read_head(client, begun)), 200);
         at_endpoint.reset();
-        const std::string all = begun + client.rest();  // ends though the body has not
+        const std::string all = begun + client.receive_all();  // ends though the body has not
         EXPECT_LT(all.size(), 300'000u);
         EXPECT_FALSE(all.ends_with("0\r\n\r\n")) << "a broken answer that looks whole";
-        EXPECT_TRUE(endpoint.untouched());
+        EXPECT_TRUE(endpoint.no_connection_pending());
     }
-    EXPECT_EQ(sidecar.figure("failure.look"), 2.0);
-    EXPECT_EQ(sidecar.figure("inflight"), 0.0);
+    EXPECT_EQ(sidecar.metric("failure.look"), 2.0);
+    EXPECT_EQ(sidecar.metric("inflight"), 0.0);
 }
 
-TEST_F(Passing, LongLengthThatHardlyAnyBodyFollowsGoesAgain) {
+TEST_F(BodyStreaming, LongAnswerCutOffBelowTheThresholdIsRetried) {
     Peer client = sidecar.client();
     client.send(look("r1"));
     Peer at_endpoint = endpoint.accept();
@@ -169,7 +169,7 @@
     EXPECT_EQ(body_of(client.receive()), "again");
 }
 
-TEST_F(Passing, ClientThatLeavesEndsTheAnswerAtItsEndpoint) {
+TEST_F(BodyStreaming, ClientDisconnectEndsTheAnswerAtItsEndpoint) {
     Peer client = sidecar.client();
     client.send(look("r1"));
     Peer at_endpoint = endpoint.accept();
@@ -178,11 +178,11 @@
     std::string begun;
     EXPECT_EQ(status_of(read_head(client, begun)), 200);
     client.reset();
-    EXPECT_TRUE(at_endpoint.ends());
-    EXPECT_EQ(sidecar.figure("inflight"), 0.0);
+    EXPECT_TRUE(at_endpoint.is_closed());
+    EXPECT_EQ(sidecar.metric("inflight"), 0.0);
 }
 
-TEST_F(Passing, RequestOf32MegabytesReachesAnEndpointThatReadsSlowlyAndIsNotHeld) {
+TEST_F(BodyStreaming, RequestOf32MegabytesReachesASlowEndpointAndIsNotBuffered) {
     Peer client = sidecar.client();
     const std::size_t size = 32 * kMega;
     const double before = sidecar.memory_mb();
@@ -196,15 +196,15 @@
     EXPECT_TRUE(has(head, "Content-Length: " + std::to_string(size))) << head;
     EXPECT_EQ(read_body(at_endpoint, begun, size), size);
     sender.join();
-    EXPECT_LT(sidecar.memory_mb(), before + kMostGrowth);
-    EXPECT_EQ(sidecar.figure("backend_calls"), 1.0);
+    EXPECT_LT(sidecar.memory_mb(), before + kMaxGrowthMb);
+    EXPECT_EQ(sidecar.metric("backend_calls"), 1.0);
     at_endpoint.send(answer(200, "done"));
     EXPECT_EQ(body_of(client.receive()), "done");
     client.send(debit("r2"));
     EXPECT_TRUE(has(at_endpoint.receive(), "X-Request-ID: r2"));
 }
 
-TEST_F(Passing, ChunkedRequestOfUntoldLengthPassesThroughWithWhatFollowsIt) {
+TEST_F(BodyStreaming, ChunkedRequestIsStreamedAndTheNextOneFollows) {
     Peer client = sidecar.client();
     client.send(post_head("r1", "Transfer-Encoding: chunked\r\n"));
     std::string whole;
@@ -218,14 +218,14 @@
     const std::string head = read_head(at_endpoint, begun);
     EXPECT_TRUE(has(head, "Transfer-Encoding: chunked")) << head;
     EXPECT_FALSE(has(head, "Content-Length")) << head;
-    while (!begun.ends_with("0\r\n\r\n")) begun += at_endpoint.some();
+    while (!begun.ends_with("0\r\n\r\n")) begun += at_endpoint.receive_some();
     EXPECT_GT(begun.size(), whole.size());
     at_endpoint.send(answer(200, "1"));
     EXPECT_EQ(body_of(client.receive()), "1");
     EXPECT_TRUE(has(at_endpoint.receive(), "X-Request-ID: r2"));
 }
 
-TEST_F(Passing, EndpointThatBreaksBeforeTheLastByteNeverRanIt) {
+TEST_F(BodyStreaming, EndpointLostBeforeTheLastByteNeverRanTheRequest) {
     Peer client = sidecar.client();
     client.send(post_head("r1", "Content-Length: 1000000\r\n") + piece(0, 300'000));
     Peer at_endpoint = endpoint.accept();
@@ -234,11 +234,11 @@
     EXPECT_GT(read_body(at_endpoint, begun, 200'000), 0u);
     at_endpoint.reset();
     EXPECT_EQ(status_of(client.receive()), 503);  // harmless to repeat, and at once
-    EXPECT_TRUE(endpoint.untouched()) << "a part of the body is gone: it can't be sent again";
-    EXPECT_EQ(sidecar.figure("backend_calls"), 0.0);
+    EXPECT_TRUE(endpoint.no_connection_pending()) << "a part of the body is gone: it can't be sent again";
+    EXPECT_EQ(sidecar.metric("backend_calls"), 0.0);
 }
 
-TEST_F(Passing, EndpointThatBreaksAfterTheLastByteMayHaveRunIt) {
+TEST_F(BodyStreaming, EndpointLostAfterTheLastByteMayHaveRunTheRequest) {
     Peer client = sidecar.client();
     client.send(post_head("r1", "Content-Length: 300000\r\n") + piece(0, 300'000));
     Peer at_endpoint = endpoint.accept();
@@ -247,27 +247,27 @@
     EXPECT_EQ(read_body(at_endpoint, begun, 300'000), 300'000u);
     at_endpoint.reset();
     EXPECT_EQ(status_of(client.receive()), 502);
-    EXPECT_TRUE(endpoint.untouched());
-    EXPECT_EQ(sidecar.figure("backend_calls"), 1.0);
+    EXPECT_TRUE(endpoint.no_connection_pending());
+    EXPECT_EQ(sidecar.metric("backend_calls"), 1.0);
 }
 
-TEST_F(Passing, ClientThatLeavesHalfWayMakesNoRequestWhole) {
+TEST_F(BodyStreaming, ClientDisconnectDuringTheBodyNeverCompletesTheRequest) {
     Peer client = sidecar.client();
     client.send(post_head("r1", "Transfer-Encoding: chunked\r\n") + chunk(piece(0, 200'000)));
     Peer at_endpoint = endpoint.accept();
     std::string begun;
     read_head(at_endpoint, begun);
     client.reset();
-    const std::string all = begun + at_endpoint.rest();
+    const std::string all = begun + at_endpoint.receive_all();
     EXPECT_FALSE(all.ends_with("0\r\n\r\n"));
-    EXPECT_EQ(sidecar.figure("backend_calls"), 0.0);
-    EXPECT_EQ(sidecar.figure("inflight"), 0.0);
-    EXPECT_EQ(sidecar.figure("busy.debit"), 0.0)
+    EXPECT_EQ(sidecar.metric("backend_calls"), 0.0);
+    EXPECT_EQ(sidecar.metric("inflight"), 0.0);
+    EXPECT_EQ(sidecar.metric("busy.debit"), 0.0)
         << "ended as a connect that failed, which blames the endpoint";
-    EXPECT_TRUE(endpoint.untouched());
+    EXPECT_TRUE(endpoint.no_connection_pending());
 }
 
-TEST_F(Passing, FramingThatBreaksHalfWayIsAnsweredAndReachesNoEndpointWhole) {
+TEST_F(BodyStreaming, InvalidChunkIsRejectedAndNeverCompletesTheRequest) {
     Peer client = sidecar.client();
     client.send(post_head("r1", "Transfer-Encoding: chunked\r\n") + chunk(piece(0, 200'000)));
     Peer at_endpoint = endpoint.accept();
@@ -275,12 +275,12 @@
     read_head(at_endpoint, begun);
     client.send("no size\r\n");
     EXPECT_EQ(status_of(client.receive()), 400);
-    EXPECT_TRUE(client.ends());
-    EXPECT_FALSE((begun + at_endpoint.rest()).ends_with("0\r\n\r\n"));
-    EXPECT_TRUE(endpoint.untouched());
+    EXPECT_TRUE(client.is_closed());
+    EXPECT_FALSE((begun + at_endpoint.receive_all()).ends_with("0\r\n\r\n"));
+    EXPECT_TRUE(endpoint.no_connection_pending());
 }
 
-TEST_F(Passing, BodyThatGrowsPastTheLimitIsCutOff) {
+TEST_F(BodyStreaming, BodyOverTheLimitIsCutOff) {
     Peer client = sidecar.client();
     client.send(post_head("r1", "Transfer-Encoding: chunked\r\n"));
     std::thread sender([&] {
@@ -289,14 +289,15 @@
     });
     Peer at_endpoint = endpoint.accept();
     std::size_t got = 0;
-    for (std::string some = at_endpoint.some(); !some.empty(); some = at_endpoint.some()) got += some.size();
+    for (std::string some = at_endpoint.receive_some(); !some.empty(); some = at_endpoint.receive_some())
+        got += some.size();
     sender.join();
     EXPECT_LT(got, 42 * kMega);
-    EXPECT_EQ(sidecar.figure("backend_calls"), 0.0);
-    EXPECT_EQ(sidecar.figure("inflight"), 0.0);
+    EXPECT_EQ(sidecar.metric("backend_calls"), 0.0);
+    EXPECT_EQ(sidecar.metric("inflight"), 0.0);
 }
 
-TEST_F(Passing, ABodyThatWaitsForItsEndpointIsSlowForNoFaultOfItsClient) {
+TEST_F(BodyStreaming, ClientIsNotTimedOutWhileItsEndpointIsSlow) {
     Peer client = sidecar.client();
     std::thread sender(
         [&] { client.send(post_head("r1", "Content-Length: 20000000\r\n") + piece(0, 20'000'000)); });
@@ -314,7 +315,7 @@
     EXPECT_EQ(body_of(client.receive()), "done");
 }
 
-TEST_F(Passing, TheClientsTimeBeginsWithItsLastByte) {
+TEST_F(BodyStreaming, TimeoutStartsWithTheLastByteOfTheRequest) {
     Peer client = sidecar.client();
     client.send(post_head("r1", "Content-Length: 200000\r\n", 400) + piece(0, 100'000));
     Peer at_endpoint = endpoint.accept();
@@ -335,7 +336,7 @@
     EXPECT_EQ(status_of(client.receive()), 502);  // and ends in its time
 }
 
-TEST_F(Passing, ClientThatAsksFirstIsToldToGoOn) {
+TEST_F(BodyStreaming, ExpectContinueIsAnswered) {
     Peer client = sidecar.client();
     client.send(post_head("r1", "Content-Length: 3\r\nExpect: 100-continue\r\n"));
     EXPECT_EQ(status_of(client.receive()), 100);
@@ -348,7 +349,7 @@
     EXPECT_EQ(body_of(client.receive()), "done");
 }
 
-TEST_F(Passing, AWholeUriAsTargetReachesTheEndpointInOriginForm) {
+TEST_F(BodyStreaming, AbsoluteTargetIsForwardedInOriginForm) {
     Peer client = sidecar.client();
     std::string text = look("r1");
     text.replace(text.find("/look"), 0, "http://service.internal");
--- a/tests/ledger/ledger_process_test.cpp
+++ b/tests/ledger/ledger_process_test.cpp
@@ -174,8 +174,8 @@
     const pid_t writer = writer_of(directory);
     kill(writer, SIGSTOP);
     sidecar.reset();
-    EXPECT_TRUE(client.ends());
-    EXPECT_TRUE(at_endpoint.ends());
+    EXPECT_TRUE(client.is_closed());
+    EXPECT_TRUE(at_endpoint.is_closed());
     EXPECT_EQ(send_requests(port, "none").size(), 0u) << "somebody listens";
     kill(writer, SIGCONT);
 }
@@ -186,7 +186,7 @@
     Peer client = sidecar.client();
     client.send(debit("r1"));
     EXPECT_EQ(status_of(client.receive()), 503);
-    EXPECT_TRUE(endpoint.untouched());
+    EXPECT_TRUE(endpoint.no_connection_pending());
     client.send(look("r2"));
     Peer at_endpoint = endpoint.accept();
     EXPECT_TRUE(has(at_endpoint.receive(), "X-Request-ID: r2"));
@@ -247,7 +247,7 @@
     EXPECT_TRUE(has(second.await_log("another sidecar's journal is in"), directory.path()));
     other.send(debit("r3"));
     EXPECT_EQ(status_of(other.receive()), 503);
-    EXPECT_TRUE(endpoint.untouched());
+    EXPECT_TRUE(endpoint.no_connection_pending());
     at_endpoint.send(answer(200, "1"));
     EXPECT_EQ(body_of(client.receive()), "1");
     find_until("r1", "answer: served");
--- a/tests/ledger/life_test.cpp
+++ b/tests/ledger/life_test.cpp
@@ -198,9 +198,9 @@
     EXPECT_THROW(read_to_writer("\xff\xff"), FrameError);
     Record beyond = record_of(1, 1, Ended{0, static_cast<Ending>(kEndings)});
     const std::string frame = frame_of(ToWriter{beyond});
-    EXPECT_THROW(read_to_writer(std::string_view(frame).substr(kFrameHead)), FrameError);
+    EXPECT_THROW(read_to_writer(std::string_view(frame).substr(kFrameHeaderBytes)), FrameError);
     EXPECT_THROW(
-        frame_of(ToWriter{record_of(1, 1, Intent{0, std::string(kMostFrame, 'x'), "", "", "", "", ""})}),
+        frame_of(ToWriter{record_of(1, 1, Intent{0, std::string(kMaxFrameBytes, 'x'), "", "", "", "", ""})}),
         FrameError);
 }
 
--- a/tests/mesh/config_version_gate_test.cpp
+++ b/tests/mesh/config_version_gate_test.cpp
@@ -33,7 +33,7 @@
 /// the document if the poll asks for it.
 class ControllerDouble {
   public:
-    ControllerDouble(Loop& loop, std::size_t machine)
+    ControllerDouble(EventLoop& loop, std::size_t machine)
         : listener_(loop, *parse_address(host(machine) + ":" + std::to_string(kPort)), [this](auto channel) {
               channel_ = channel;
               channel->start([this](rpc::Message&& message) { receive(std::move(message)); }, [] {});
@@ -49,7 +49,7 @@
 
     void answer() {
         if (!poll || poll->config_version >= version) return;
-        if (first_answer == Time{}) first_answer = Loop::monotonic();
+        if (first_answer == Time{}) first_answer = EventLoop::monotonic();
         rpc::WatchResponse response;
         response.config_version = version;
         response.has_quorum_contact = has_quorum_contact;
@@ -126,9 +126,9 @@
         std::filesystem::remove_all(folder_);
     }
     void wait_for(const std::string& what, const std::function<bool()>& condition) {
-        const Time give_up = Loop::monotonic() + 20s;
+        const Time give_up = EventLoop::monotonic() + 20s;
         while (!condition()) {
-            REQUIRE_MESSAGE(Loop::monotonic() < give_up, "timed out waiting for " << what);
+            REQUIRE_MESSAGE(EventLoop::monotonic() < give_up, "timed out waiting for " << what);
             loop_.add(loop_.now() + 5ms, [this] { loop_.stop(); });
             loop_.resume();
             loop_.run();
@@ -136,7 +136,7 @@
     }
 
   private:
-    Loop loop_;
+    EventLoop loop_;
 
   public:
     ControllerDouble minority{loop_, 1}, majority{loop_, 2};
@@ -207,5 +207,5 @@
     controllers.wait_for("a configuration in force", [&] { return !controllers.minority.applied.empty(); });
     CHECK(controllers.minority.applied == std::vector<std::uint32_t>{3});
     const Time first = std::min(controllers.minority.first_answer, controllers.majority.first_answer);
-    CHECK(Loop::monotonic() - first >= kFirstConfigWait);
+    CHECK(EventLoop::monotonic() - first >= kFirstConfigWait);
 }
--- a/tests/mesh/connection_record_test.cpp
+++ b/tests/mesh/connection_record_test.cpp
@@ -51,17 +51,17 @@
 struct Listener : RequestHandler {
     Listener() {
         front.listen(*parse_address("127.0.0.1:0"));
-        client.connect(front.listens_at());
+        client.connect(front.local_address());
     }
-    bool take(decision::Request, std::shared_ptr<const Message> message, Reply reply) override {
+    bool submit(decision::Request, std::shared_ptr<const Message> message, Reply reply) override {
         replies.push_back(std::move(reply));
         // A body that goes on as it comes is read to its end.
         if (const auto body = std::static_pointer_cast<const HttpMessage>(message)->rest)
-            body->on_more([body = body.get()] { body->take(); });
+            body->on_readable([body = body.get()] { body->take(); });
         return true;
     }
-    void received(const decision::RequestId&, Time) override {}
-    void leave(const decision::RequestId&) override {
+    void body_received(const decision::RequestId&, Time) override {}
+    void client_disconnected(const decision::RequestId&) override {
         if (on_leave) on_leave();
     }
 
@@ -91,7 +91,7 @@
         return text;
     }
 
-    Loop loop;
+    EventLoop loop;
     Counters counters;
     NamingProtocol protocol;
     std::vector<Reply> replies;
--- a/tests/mesh/controller_client_test.cpp
+++ b/tests/mesh/controller_client_test.cpp
@@ -21,7 +21,7 @@
 /// Records what it receives, and answers polls only when the test says so.
 class ControllerDouble {
   public:
-    ControllerDouble(Loop& loop, int i)
+    ControllerDouble(EventLoop& loop, int i)
         : listener_(loop, *parse_address(address_of(i)), [this](auto channel) {
               ++connections;
               channel_ = channel;
@@ -79,16 +79,16 @@
     }
     template <class Condition>
     void wait_for(const std::string& what, Condition condition) {
-        const Time give_up = Loop::monotonic() + 20s;
+        const Time give_up = EventLoop::monotonic() + 20s;
         while (!condition()) {
-            REQUIRE_MESSAGE(Loop::monotonic() < give_up, "waited in vain for " << what);
+            REQUIRE_MESSAGE(EventLoop::monotonic() < give_up, "waited in vain for " << what);
             loop.add(loop.now() + 2ms, [this] { loop.stop(); });
             loop.resume();
             loop.run();
         }
     }
 
-    Loop loop;
+    EventLoop loop;
     registry::ProxyRegistration own;
     ControllerDouble first{loop, 1}, second{loop, 2};
     int measurements = 0;
@@ -235,9 +235,9 @@
     fixture.client.connect(address_of(1));
     fixture.tick();
     fixture.wait_for("a poll", [&] { return fixture.first.poll.has_value(); });
-    const Time polled_at = Loop::monotonic();
+    const Time polled_at = EventLoop::monotonic();
     fixture.wait_for("another connection", [&] { return fixture.first.connections == 2; });
-    CHECK(Loop::monotonic() - polled_at >= 2100ms);
+    CHECK(EventLoop::monotonic() - polled_at >= 2100ms);
 }
 
 TEST_CASE("controller client: the registration is sent every 500 ms") {
--- a/tests/mesh/day_test.cpp
+++ b/tests/mesh/day_test.cpp
@@ -111,8 +111,8 @@
     /// Sends a configuration change to each controller in turn until one accepts or rejects it, following
     /// redirects to the leader. Returns the status; 0 after a time-out.
     int change_config(const std::string& path, const std::string& body) {
-        const Time give_up = Loop::monotonic() + 20s;
-        for (int round = 0; Loop::monotonic() < give_up; ++round) {
+        const Time give_up = EventLoop::monotonic() + 20s;
+        for (int round = 0; EventLoop::monotonic() < give_up; ++round) {
             const int i = round % 3 + 1;
             auto response = post(at(controller_ip(i), Port::Control), path, body);
             if (response.status == 307) {
@@ -130,9 +130,9 @@
         return 0;
     }
     void wait_for(const std::string& what, const std::function<bool()>& condition) {
-        const Time give_up = Loop::monotonic() + 20s;
+        const Time give_up = EventLoop::monotonic() + 20s;
         while (!condition()) {
-            REQUIRE_MESSAGE(Loop::monotonic() < give_up, "timed out waiting for " << what);
+            REQUIRE_MESSAGE(EventLoop::monotonic() < give_up, "timed out waiting for " << what);
             poll_loop();
         }
     }
@@ -161,7 +161,7 @@
     }
 
     rig::Processes processes_;
-    Loop loop_;
+    EventLoop loop_;
     Counters counters_;
     std::vector<std::unique_ptr<Endpoint>> stopped_endpoints_;
 };
--- a/tests/mesh/front_test.cpp
+++ b/tests/mesh/front_test.cpp
@@ -25,12 +25,12 @@
     void write(const Answer& answer, const decision::RequestId&, http::response_header<>& head) override {
         if (answer.kind == Answer::Kind::Served) head.result(200);
     }
-    bool take(decision::Request, std::shared_ptr<const Message>, Reply reply) override {
+    bool submit(decision::Request, std::shared_ptr<const Message>, Reply reply) override {
         pending_reply = std::move(reply);
         return true;
     }
-    void received(const decision::RequestId&, Time) override {}
-    void leave(const decision::RequestId&) override { ++left; }
+    void body_received(const decision::RequestId&, Time) override {}
+    void client_disconnected(const decision::RequestId&) override { ++left; }
 
     template <class Condition>
     void wait_for(Condition condition) {
@@ -42,7 +42,7 @@
         REQUIRE(condition());
     }
 
-    Loop loop;
+    EventLoop loop;
     Counters counters;
     ListenerLimits limits_;
     Reply pending_reply;
@@ -59,7 +59,7 @@
     /// A request is taken, and the drain begins.
     void begin() {
         front.listen(*parse_address("127.0.0.1:0"));
-        client.connect(front.listens_at());
+        client.connect(front.local_address());
         asio::write(client,
                     asio::buffer(std::string("GET / HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n")));
         wait_for([this] { return static_cast<bool>(pending_reply); });
@@ -105,8 +105,8 @@
         fixture.loop, fixture, fixture, 16, [] { return true; }, fixture.counters);
     front.listen(*parse_address("127.0.0.1:0"));
     asio::ip::tcp::socket idle(fixture.loop.io()), busy(fixture.loop.io());
-    idle.connect(front.listens_at());
-    busy.connect(front.listens_at());
+    idle.connect(front.local_address());
+    busy.connect(front.local_address());
     asio::write(busy, asio::buffer(std::string("GET / HTTP/1.1\r\nHost: h\r\n\r\n")));
     fixture.wait_for([&] { return static_cast<bool>(fixture.pending_reply); });
     int ended = 0;
@@ -129,7 +129,7 @@
         fixture.loop, fixture, fixture, 16, [] { return true; }, fixture.counters);
     front.listen(*parse_address("127.0.0.1:0"));
     asio::ip::tcp::socket idle(fixture.loop.io());
-    idle.connect(front.listens_at());
+    idle.connect(front.local_address());
     int ended = 0;
     front.drain([&] { ++ended; }, false);
     fixture.wait_for([&] { return ended > 0; });
@@ -170,7 +170,7 @@
     fixture.answer("first");
     fixture.wait_for_end();
     CHECK(fixture.received.starts_with("HTTP/1.1 502"));
-    CHECK(fixture.rest->unread());
+    CHECK(fixture.rest->reader_closed());
 }
 
 TEST_CASE(
@@ -182,7 +182,7 @@
     CHECK(fixture.received.starts_with("HTTP/1.1 502"));
     CHECK(fixture.left == 1);
     fixture.answer("late");  // nobody is there any more
-    CHECK(fixture.rest->unread());
+    CHECK(fixture.rest->reader_closed());
 }
 
 TEST_CASE("held answer: what exceeds the bound is passed on as it comes, with all its bytes") {
@@ -217,7 +217,7 @@
     Answer answer{Answer::Kind::Served, "a", "", {}};
     const auto rest = answer.rest = std::make_shared<Pipe>(1);
     std::string still_to_come = "cde";
-    rest->on_room([&] {
+    rest->on_writable([&] {
         if (still_to_come.empty()) return rest->finish();
         rest->put(still_to_come.substr(0, 1));
         still_to_come.erase(0, 1);
@@ -225,7 +225,7 @@
     auto held = std::make_unique<HeldAnswer>(std::move(answer), limit);
     std::string body;
     held->start([&](HeldAnswer::End end) {
-        CHECK(end == HeldAnswer::End::Whole);
+        CHECK(end == HeldAnswer::End::Complete);
         const auto ended = std::exchange(held, nullptr);
         body = ended->take().body;
     });
--- a/tests/mesh/hop_doubles.h
+++ b/tests/mesh/hop_doubles.h
@@ -66,7 +66,8 @@
 class Listener {
   public:
     /// Listens at `address`, "ip:port".
-    Listener(Loop& loop, std::function<void(tcp::socket)> accepted, const std::string& address = kAnyAddress)
+    Listener(EventLoop& loop, std::function<void(tcp::socket)> accepted,
+             const std::string& address = kAnyAddress)
         : acceptor_(loop.io(), *parse_address(address)), accepted_(std::move(accepted)) {
         accept();
     }
@@ -106,7 +107,7 @@
         Count
     };
     /// Listens at `address`, "ip:port".
-    Endpoint(Loop& loop, Random& random, History& history, const bool& faults_enabled,
+    Endpoint(EventLoop& loop, Random& random, History& history, const bool& faults_enabled,
              const std::string& address = kAnyAddress)
         : loop_(loop),
           random_(random),
@@ -266,7 +267,7 @@
                           });
     }
 
-    Loop& loop_;
+    EventLoop& loop_;
     Random& random_;
     History& history_;
     const bool& faults_enabled_;
@@ -279,7 +280,7 @@
   public:
     enum class Fault { None = -1, Truncate, Swallow, Reset, DelayAndReset, Delay };
 
-    FaultyRelay(Loop& loop, Random& random, const bool& faults_enabled, Address to)
+    FaultyRelay(EventLoop& loop, Random& random, const bool& faults_enabled, Address to)
         : loop_(loop),
           random_(random),
           faults_enabled_(faults_enabled),
@@ -345,7 +346,7 @@
         });
     }
 
-    Loop& loop_;
+    EventLoop& loop_;
     Random& random_;
     const bool& faults_enabled_;
     Address to_;
--- a/tests/mesh/hop_test.cpp
+++ b/tests/mesh/hop_test.cpp
@@ -167,7 +167,7 @@
 
 TEST_CASE("a rejection by an inbound proxy without the request's id is no proof of non-execution") {
     World world(1, 1);
-    http::request<PieceBody> request{http::verb::post, "/o/x", 11};
+    http::request<IncrementalBody> request{http::verb::post, "/o/x", 11};
     request.set("Attempt-Id", "a");
     const HttpMessage message(std::move(request));
     http::response_header<> refusal;
@@ -221,7 +221,7 @@
     }
     const std::string half(100'000, 'x');
     tcp::socket client(world.loop().io());
-    client.connect(world.front.listens_at());
+    client.connect(world.front.local_address());
     asio::write(client,
                 asio::buffer(World::request_text("a", true, "Content-Length: 200000\r\n\r\n" + half)));
     const auto pause = [&](Duration duration) {
--- a/tests/mesh/hop_world.h
+++ b/tests/mesh/hop_world.h
@@ -41,7 +41,7 @@
 
 /// An inbound proxy with its endpoint, and the relay in front of it.
 struct InboundProxy {
-    InboundProxy(Loop& loop, Random& random, History& history, const bool& faults_enabled,
+    InboundProxy(EventLoop& loop, Random& random, History& history, const bool& faults_enabled,
                  const std::string& service, const std::string& instance)
         : endpoint(loop, random, history, faults_enabled),
           admission(admission::AdmissionController::Options{}),
@@ -56,9 +56,9 @@
         own.service = service;
         engine.start();
         front.listen(*parse_address("127.0.0.1:0"));
-        to_endpoint.place(decision::EndpointId{1}, endpoint.address(), true);
+        to_endpoint.set_endpoint(decision::EndpointId{1}, endpoint.address(), true);
         admission.set_endpoint(decision::EndpointId{1}, instance, 1);
-        relay = std::make_unique<FaultyRelay>(loop, random, faults_enabled, front.listens_at());
+        relay = std::make_unique<FaultyRelay>(loop, random, faults_enabled, front.local_address());
     }
     Endpoint endpoint;
     bootstrap::Settings own;
@@ -67,8 +67,8 @@
     admission::AdmissionController admission;
     proxy::EndpointClientProtocol back;
     proxy::HopServerProtocol inbound;
-    Tally tally;
-    Http1Back to_endpoint;
+    RequestCounters tally;
+    Http1EndpointClient to_endpoint;
     Engine engine;
     HttpListener front;
     std::unique_ptr<FaultyRelay> relay;
@@ -93,7 +93,7 @@
         settings_.service = "caller";
         engine_.start();
         front.listen(*parse_address("127.0.0.1:0"));
-        outbound_.on_replanned([this] { engine_.tell({}); });
+        outbound_.on_replanned([this] { engine_.handle_discovery({}); });
         set_routes(version(1));
         for (int i = 1; i <= inbound_proxy_count; ++i) {
             const std::string instance = "i-" + std::to_string(i),
@@ -102,7 +102,7 @@
                 std::make_unique<InboundProxy>(loop_, random_, history, faults_enabled, service, instance));
             const auto id = static_cast<decision::EndpointId>(i);
             hop_protocol_.set_upstream(id, instance, 7);
-            hops_.place(id, inbound_proxies.back()->relay->address(), true);
+            hops_.set_endpoint(id, inbound_proxies.back()->relay->address(), true);
             outbound_policy_.set_upstream(id, {service, "z", true, false});
         }
     }
@@ -159,7 +159,7 @@
     std::optional<ClientResponse> send_once(
         const std::string& text, const std::string& rest = "", std::function<void()> then = [] {}) {
         const auto client = std::make_shared<Client>(loop_, 0, 1);
-        client->socket.connect(front.listens_at());
+        client->socket.connect(front.local_address());
         asio::write(client->socket, asio::buffer(text));
         loop_.add(loop_.now() + 20ms, [client, rest = std::make_shared<std::string>(rest), then] {
             then();
@@ -181,9 +181,9 @@
     /// The lease of this inbound proxy has expired.
     void withdraw(decision::EndpointId id) {
         outbound_policy_.withdraw(id);
-        engine_.tell({});
+        engine_.handle_discovery({});
     }
-    Loop& loop() { return loop_; }
+    EventLoop& loop() { return loop_; }
     proxy::HopClientProtocol& hop_protocol() { return hop_protocol_; }
     ServerProtocol& server_protocol() { return outbound_; }
     History history;
@@ -191,7 +191,7 @@
 
   private:
     struct Client {
-        Client(Loop& loop, int number, int request_count)
+        Client(EventLoop& loop, int number, int request_count)
             : socket(loop.io()), number(number), remaining(request_count) {}
         tcp::socket socket;
         boost::beast::flat_buffer buffer;
@@ -210,7 +210,7 @@
         }
         if (!client->socket.is_open()) {
             client->buffer.clear();
-            client->socket.connect(front.listens_at());
+            client->socket.connect(front.local_address());
         }
         const bool idempotent = random_.below(2) == 0;
         client->id = std::to_string(client->number) + "-" + std::to_string(client->remaining);
@@ -230,7 +230,7 @@
                          });
     }
 
-    Loop loop_;
+    EventLoop loop_;
     bootstrap::Settings settings_;
     Random random_;
     Counters counters_;
@@ -239,8 +239,8 @@
     quota::QuotaLimiter quota_limiter_{{}};
     proxy::HopClientProtocol hop_protocol_;
     proxy::OutboundServerProtocol outbound_;
-    Tally tally_;
-    Http1Back hops_;
+    RequestCounters tally_;
+    Http1EndpointClient hops_;
     Engine engine_;
     int active_clients_ = 0;
 
--- a/tests/mesh/late_answer_test.cpp
+++ b/tests/mesh/late_answer_test.cpp
@@ -44,17 +44,17 @@
 /// Passes requests on to nobody; the test answers them.
 struct ListenerFixture : RequestHandler {
     ListenerFixture() { front.listen(*parse_address("127.0.0.1:0")); }
-    bool take(decision::Request request, std::shared_ptr<const Message>, Reply reply) override {
+    bool submit(decision::Request request, std::shared_ptr<const Message>, Reply reply) override {
         taken.push_back(request.id);
         replies.push_back(std::move(reply));
         return true;
     }
-    void received(const decision::RequestId&, Time) override {}
-    void leave(const decision::RequestId&) override {}
+    void body_received(const decision::RequestId&, Time) override {}
+    void client_disconnected(const decision::RequestId&) override {}
 
     /// Sends one more request on the client's connection.
     void write(const std::string& id) {
-        if (!client.is_open()) client.connect(front.listens_at());
+        if (!client.is_open()) client.connect(front.local_address());
         asio::write(client, asio::buffer(World::request_text(id, true)));
     }
     /// Sends one more request on the client's connection, and waits until it was taken.
--- a/tests/mesh/local_endpoint_test.cpp
+++ b/tests/mesh/local_endpoint_test.cpp
@@ -41,17 +41,17 @@
     std::map<Key, std::function<void()>> timers;
 };
 
-struct RecordingPlacement : Placement {
-    void place(EndpointId id, const Address& address, bool) override { placed[id] = text_of(address); }
+struct RecordingPlacement : EndpointTable {
+    void set_endpoint(EndpointId id, const Address& address, bool) override { placed[id] = text_of(address); }
     void remove(EndpointId id) override { placed.erase(id); }
 
     std::map<EndpointId, std::string> placed;
 };
 
-struct ProbeDouble : Back {
+struct ProbeDouble : EndpointClient {
     Handle send(EndpointId, std::shared_ptr<const Message>, Time, Done) override { return {}; }
     void probe(EndpointId id, Done done) override { probes.emplace_back(id, std::move(done)); }
-    void shut_idle(EndpointId) override {}
+    void close_idle_connections(EndpointId) override {}
     void answer_last(const std::string& instance_id) {
         auto head = std::make_shared<HttpAnswerHead>();
         head->fields.set("Instance-Id", instance_id);
--- a/tests/mesh/previous_release_test.cpp
+++ b/tests/mesh/previous_release_test.cpp
@@ -114,7 +114,7 @@
 };
 
 std::string recorded_frame(const std::string& name) {
-    return framing::frame_of(fixture(name), rpc::kMaxMessageBytes);
+    return framing::encode_frame(fixture(name), rpc::kMaxMessageBytes);
 }
 
 /// Tries until the process listens; the rig's processes need a moment to start.
--- a/tests/mesh/reconnecting_client_test.cpp
+++ b/tests/mesh/reconnecting_client_test.cpp
@@ -52,7 +52,7 @@
         ::connect(fillers.back(), reinterpret_cast<sockaddr*>(&listen_address), size);
     }
 
-    Loop loop;
+    EventLoop loop;
     bool connected = false;
     std::size_t max_attempts = 0;
     {
@@ -60,9 +60,9 @@
             loop, Address(asio::ip::make_address("127.0.0.1"), port), [](auto&&) {},
             [&] { connected = true; }, [] {});
         const auto run_until = [&](auto&& condition) {
-            const Time deadline = Loop::monotonic() + 10s;
+            const Time deadline = EventLoop::monotonic() + 10s;
             while (!condition()) {
-                REQUIRE(Loop::monotonic() < deadline);
+                REQUIRE(EventLoop::monotonic() < deadline);
                 loop.add(loop.now() + 5ms, [&loop] { loop.stop(); });
                 loop.resume();
                 loop.run();
--- a/tests/mesh/rig/answer_world.h
+++ b/tests/mesh/rig/answer_world.h
@@ -72,7 +72,7 @@
 
     std::mt19937_64 random_;
     ProxyFleet fleet_;
-    Loop& loop_ = fleet_.loop();
+    EventLoop& loop_ = fleet_.loop();
     hop_world::Random endpoint_random_;
     const bool faults_enabled_ = false;  // of the endpoints' own kind: scripts decide here
     hop_world::History history_;
--- a/tests/mesh/rig/play_operator.cpp
+++ b/tests/mesh/rig/play_operator.cpp
@@ -45,7 +45,7 @@
 }  // namespace
 
 ConfigRead parse_config_read(const Response& response, Time sent) {
-    ConfigRead read{sent, Loop::monotonic(), response.status, 0, {}};
+    ConfigRead read{sent, EventLoop::monotonic(), response.status, 0, {}};
     const Json document = Json::parse(response.body, nullptr, false);
     if (response.status != 200 || document.is_discarded()) return read;
     read.version =
@@ -60,7 +60,7 @@
 }
 
 void Operator::after(Duration delay, std::function<void()> action) {
-    Loop& loop = environment_.loop();
+    EventLoop& loop = environment_.loop();
     loop.add(loop.now() + delay, std::move(action));
 }
 
--- a/tests/mesh/rig/play_operator.h
+++ b/tests/mesh/rig/play_operator.h
@@ -16,7 +16,7 @@
 class OperatorEnvironment {
   public:
     using Done = std::function<void(Response&&)>;
-    virtual Loop& loop() = 0;
+    virtual EventLoop& loop() = 0;
     virtual History& history() = 0;
     /// Returns true once no further change is to be sent.
     virtual bool stopping() const = 0;
--- a/tests/mesh/rig/play_run.h
+++ b/tests/mesh/rig/play_run.h
@@ -58,7 +58,7 @@
     };
 
     // ---- OperatorEnvironment
-    Loop& loop() override { return loop_; }
+    EventLoop& loop() override { return loop_; }
     History& history() override { return result_.history; }
     bool stopping() const override { return stopping_; }
     std::size_t random_below(std::size_t end) override { return random_() % end; }
@@ -138,7 +138,7 @@
     const std::size_t tolerated_failures_;
     Processes processes_;
     LinkCuts cuts_;
-    Loop loop_;
+    EventLoop loop_;
     Counters counters_;
     PlayResult result_;
     std::vector<Controller> controllers_;
@@ -158,7 +158,7 @@
     std::size_t last_replacement_ = 0;
     int open_faults_ = 0;
     bool first_boot_ = true, stopping_ = false, reading_ = false;
-    const Time started_at_ = Loop::monotonic();
+    const Time started_at_ = EventLoop::monotonic();
     Time recovered_at_{}, next_log_read_{};
 };
 
--- a/tests/mesh/rig/proxy_fleet.h
+++ b/tests/mesh/rig/proxy_fleet.h
@@ -91,7 +91,7 @@
     [[nodiscard]] std::vector<std::string> process_violations();
     /// The logs of all processes.
     [[nodiscard]] std::string logs() const;
-    [[nodiscard]] Loop& loop() { return loop_; }
+    [[nodiscard]] EventLoop& loop() { return loop_; }
     [[nodiscard]] std::string address(std::size_t proxy, Port port) const {
         return at(proxy_ip(proxy), port);
     }
@@ -127,7 +127,7 @@
     Processes processes_;
     LinkCuts cuts_;
     ProcessorQuota quota_;
-    Loop loop_;
+    EventLoop loop_;
     std::vector<State> proxies_;
     std::list<Connection> connections_;
     std::size_t open_faults_ = 0, reloads_ = 0, connection_resets_ = 0;
--- a/tests/mesh/rig/shutdown_world.h
+++ b/tests/mesh/rig/shutdown_world.h
@@ -66,7 +66,7 @@
 
     std::mt19937_64 random_;
     ProxyFleet fleet_;
-    Loop& loop_ = fleet_.loop();
+    EventLoop& loop_ = fleet_.loop();
     Counters counters_;
     std::vector<std::unique_ptr<Endpoint>> endpoints_;  // by proxy
     std::map<std::size_t, Time> loses_answers_until_;   // by the endpoint's proxy
--- a/tests/mesh/rig/standins.cpp
+++ b/tests/mesh/rig/standins.cpp
@@ -19,7 +19,7 @@
 // ---- callers
 
 struct Connection::Stream {
-    Stream(Loop& loop, Connection& connection) : owner(&connection), socket(loop.io()) {}
+    Stream(EventLoop& loop, Connection& connection) : owner(&connection), socket(loop.io()) {}
     Connection* owner;  // nullptr once the connection was closed: pending handlers
                         // then do nothing
     asio::ip::tcp::socket socket;
@@ -29,7 +29,7 @@
     bool connected = false;
 };
 
-Connection::Connection(Loop& loop, const std::string& to) : loop_(loop), to_(to), timeout_(loop) {}
+Connection::Connection(EventLoop& loop, const std::string& to) : loop_(loop), to_(to), timeout_(loop) {}
 Connection::~Connection() {
     close();
 }
@@ -109,7 +109,7 @@
 
 // ---- endpoints
 
-Endpoint::Endpoint(Loop& loop, const std::string& id, const std::string& address, Handler handler,
+Endpoint::Endpoint(EventLoop& loop, const std::string& id, const std::string& address, Handler handler,
                    Counters& counters)
     : loop_(loop),
       id_(id),
@@ -150,9 +150,9 @@
     return request;
 }
 
-bool Endpoint::take(decision::Request request, std::shared_ptr<const Message> message, Reply reply) {
+bool Endpoint::submit(decision::Request request, std::shared_ptr<const Message> message, Reply reply) {
     ReceivedRequest received = std::move(received_.extract(request.id).mapped());
-    received.body = std::string(message->held_body());
+    received.body = std::string(message->buffered_body());
     Handling handling = handler_(received);
     if (handling.lost) return true;
     PendingResponse& pending = pending_[request.id];
@@ -198,7 +198,7 @@
         const auto pipe = stream->pipe;
         pipe->put(stream->rest.substr(0, stream->piece));
         stream->rest.erase(0, stream->piece);
-        if (!stream->rest.empty() && !pipe->unread()) return send_pieces(stream);
+        if (!stream->rest.empty() && !pipe->reader_closed()) return send_pieces(stream);
         const bool whole = stream->rest.empty();
         streams_.erase(stream);
         if (whole) pipe->finish();
--- a/tests/mesh/rig/standins.h
+++ b/tests/mesh/rig/standins.h
@@ -40,7 +40,7 @@
 class Connection {
   public:
     using Done = std::function<void(Response&&)>;
-    Connection(Loop& loop, const std::string& to);
+    Connection(EventLoop& loop, const std::string& to);
     ~Connection();
     Connection(const Connection&) = delete;
     Connection& operator=(const Connection&) = delete;
@@ -56,7 +56,7 @@
     void finish(Response&& response);
     void close();
 
-    Loop& loop_;
+    EventLoop& loop_;
     const std::string to_;
     std::shared_ptr<Stream> stream_;
     Timer timeout_;
@@ -100,7 +100,7 @@
     using Handler = std::function<Handling(const ReceivedRequest&)>;
 
     /// Listens at `address`, "ip:port".
-    Endpoint(Loop& loop, const std::string& id, const std::string& address, Handler handler,
+    Endpoint(EventLoop& loop, const std::string& id, const std::string& address, Handler handler,
              Counters& counters);
     /// Answers that are being sent break off.
     ~Endpoint();
@@ -120,9 +120,9 @@
     const ListenerLimits& limits() const override { return limits_; }
     DrainTimes drain_times() const override { return {}; }
     std::variant<decision::Request, LocalReply> read(Fields& head, Time arrived) override;
-    bool take(decision::Request request, std::shared_ptr<const Message> message, Reply reply) override;
-    void received(const decision::RequestId&, Time) override {}
-    void leave(const decision::RequestId& id) override { pending_.erase(id); }
+    bool submit(decision::Request request, std::shared_ptr<const Message> message, Reply reply) override;
+    void body_received(const decision::RequestId&, Time) override {}
+    void client_disconnected(const decision::RequestId& id) override { pending_.erase(id); }
     void write(const Answer& answer, const decision::RequestId&, http::response_header<>& head) override;
     void respond(const decision::RequestId& id, const std::string& attempt_id, Handling&& handling);
 
@@ -132,7 +132,8 @@
     };
     /// A body of which the rest is still to be sent.
     struct Stream {
-        Stream(Loop& loop, std::string&& rest, std::size_t piece) : rest(rest), piece(piece), timer(loop) {}
+        Stream(EventLoop& loop, std::string&& rest, std::size_t piece)
+            : rest(rest), piece(piece), timer(loop) {}
         std::string rest;
         std::size_t piece;
         Timer timer;
@@ -141,7 +142,7 @@
     /// Sends pieces until the body is whole or nobody reads it.
     void send_pieces(std::list<Stream>::iterator stream);
 
-    Loop& loop_;
+    EventLoop& loop_;
     const std::string id_, address_;
     Handler handler_;
     ListenerLimits limits_;
