--- a/tests/mesh/scale_test_tool_test.cpp
+++ b/tests/mesh/scale_test_tool_test.cpp
@@ -117,7 +117,7 @@
 }
 
 TEST_CASE("a simulated proxy registers, watches, fetches a newer configuration and reports it in force") {
-    Loop loop;
+    EventLoop loop;
     const Address at = *parse_address("127.0.93.1:21790");  // no other test listens here
     std::vector<std::shared_ptr<rpc::Channel>> channels;
     std::vector<rpc::WatchRequest> watch_requests;
--- a/tests/mesh/soak_test.cpp
+++ b/tests/mesh/soak_test.cpp
@@ -86,7 +86,7 @@
 
 TEST_CASE("an endpoint that goes while it sends an answer leaves nothing behind") {
     // LeakSanitizer is the judge: a connection that waits for the rest of a body holds itself.
-    Loop loop;
+    EventLoop loop;
     Counters counters;
     const std::string address = at(Processes::ip(202), Port::App);
     auto endpoint = std::make_unique<Endpoint>(
--- a/tests/mesh/upstream_updates_test.cpp
+++ b/tests/mesh/upstream_updates_test.cpp
@@ -12,8 +12,8 @@
 
 namespace {
 
-struct RecordingPlacement : Placement {
-    void place(EndpointId id, const Address& address, bool) override { placed[id] = text_of(address); }
+struct RecordingPlacement : EndpointTable {
+    void set_endpoint(EndpointId id, const Address& address, bool) override { placed[id] = text_of(address); }
     void remove(EndpointId id) override { placed.erase(id); }
 
     std::map<EndpointId, std::string> placed;
@@ -43,7 +43,7 @@
         return registration;
     }
 
-    Loop loop;
+    EventLoop loop;
     bootstrap::Settings settings;
     proxy::RequestTotals totals;
     quota::QuotaLimiter quota{{}};
--- a/tests/peers/fleet_process_test.cpp
+++ b/tests/peers/fleet_process_test.cpp
@@ -86,7 +86,7 @@
     }
 
     Folder folder;  // outlives the processes' files
-    Loop loop;
+    EventLoop loop;
     FleetRig rig;
 };
 
--- a/tests/process/process_test.cpp
+++ b/tests/process/process_test.cpp
@@ -28,7 +28,7 @@
     EXPECT_EQ(status_of(client.receive()), 200);
 }
 
-TEST_F(OneEndpoint, TerminatedSidecarServesWhatStillComesAnswersAllAndExits) {
+TEST_F(OneEndpoint, TerminatedSidecarServesRemainingRequestsAndExits) {
     Peer open = sidecar.client(), idle = sidecar.client();
     idle.send("GET /-/ready HTTP/1.1\r\nHost: a\r\n\r\n");
     EXPECT_EQ(status_of(idle.receive()), 200);
@@ -51,17 +51,17 @@
     const std::string request = at_endpoint.receive();
     EXPECT_TRUE(has(request, "X-Request-ID: r2"));
     EXPECT_LE(std::atoi(request.c_str() + request.find("X-Timeout-Ms: ") + 14), 3'700);
-    EXPECT_TRUE(idle.ends());  // then those that carry nothing are closed
+    EXPECT_TRUE(idle.is_closed());  // then those that carry nothing are closed
     at_endpoint.send(answer(200, "2"));
     const std::string reply = open.receive();
     EXPECT_EQ(body_of(reply), "2");
     EXPECT_TRUE(has(reply, "Connection: close\r\n")) << reply;
-    EXPECT_TRUE(open.ends());
+    EXPECT_TRUE(open.is_closed());
     { const Peer closed = std::move(open), also = std::move(late); }
     EXPECT_EQ(sidecar.exit_code(), 0);
 }
 
-TEST(Commands, TakeTheProgramsOwnOptionsBeforeAndAfterThem) {
+TEST(Commands, AcceptGlobalOptionsBeforeAndAfterTheSubcommand) {
     for (const char* words :
          {"--config /nonexistent.toml check", "check --config /nonexistent.toml",
           "serve --config /nonexistent.toml", "--check-config --config /nonexistent.toml"}) {
--- a/tests/replica/golden_test.cpp
+++ b/tests/replica/golden_test.cpp
@@ -304,7 +304,7 @@
     for (ssize_t size = 0; (size = ::recv(ends[0], bytes, sizeof bytes, 0)) > 0;) {
         reader.feed({bytes, static_cast<std::size_t>(size)});
         while (const auto message = reader.next())
-            said.push_back(framing::parsed<shelf::FromShelf>(*message));
+            said.push_back(framing::decode_message<shelf::FromShelf>(*message));
     }
     ::close(ends[0]);
     return said;
@@ -330,10 +330,10 @@
 }
 
 TEST(GoldenStateFile, WhatIsSaidToTheHelper) {
-    const std::string open = golden::kept(path_of("helper-open.bin"), framing::framed(opening()));
-    EXPECT_EQ(framing::framed(opening()), open);
-    const std::string keep = golden::kept(path_of("helper-keep.bin"), framing::framed(keeping()));
-    EXPECT_EQ(framing::framed(keeping()), keep);
+    const std::string open = golden::kept(path_of("helper-open.bin"), framing::encode_message(opening()));
+    EXPECT_EQ(framing::encode_message(opening()), open);
+    const std::string keep = golden::kept(path_of("helper-keep.bin"), framing::encode_message(keeping()));
+    EXPECT_EQ(framing::encode_message(keeping()), keep);
     // The helper of today takes these very bytes, and says what it is to.
     golden::Folder folder;
     const auto said = told(folder.at, open + keep);
@@ -347,14 +347,14 @@
 
 TEST(GoldenStateFile, WhatTheHelperSays) {
     const auto read = [](const std::string& file, const shelf::FromShelf& now) {
-        const std::string bytes = golden::kept(path_of(file), framing::framed(now));
-        EXPECT_EQ(framing::framed(now), bytes);
+        const std::string bytes = golden::kept(path_of(file), framing::encode_message(now));
+        EXPECT_EQ(framing::encode_message(now), bytes);
         framing::FrameReader reader;
         reader.feed(bytes);
         const auto inside = reader.next();
         if (!inside) throw std::runtime_error("not whole");
-        auto message = framing::parsed<shelf::FromShelf>(*inside);
-        EXPECT_EQ(framing::framed(message), bytes);
+        auto message = framing::decode_message<shelf::FromShelf>(*inside);
+        EXPECT_EQ(framing::encode_message(message), bytes);
         return message;
     };
     shelf::FromShelf out;
@@ -379,13 +379,13 @@
 TEST(GoldenStateFile, EveryEntryIsReadAsItWasWritten) {
     if (golden::writes()) {
         golden::Folder made;
-        told(made.at, framing::framed(opening()) + framing::framed(keeping()));
+        told(made.at, framing::encode_message(opening()) + framing::encode_message(keeping()));
         golden::put_directory(made.at, path_of("state"));
     }
     golden::Folder copy(path_of("state"));
     // Read twice: what the first start does to the file, the second finds.
     for (int start = 0; start < 2; ++start) {
-        const auto said = told(copy.at, framing::framed(opening()));
+        const auto said = told(copy.at, framing::encode_message(opening()));
         ASSERT_EQ(said.size(), 1u);
         ASSERT_TRUE(said[0].has_loaded());
         const auto& loaded = said[0].loaded();
--- a/tests/replica/state_process_test.cpp
+++ b/tests/replica/state_process_test.cpp
@@ -28,7 +28,7 @@
 std::string field(const std::string& text, const std::string& name) {
     std::istringstream words(text);
     for (std::string word; words >> word;) {
-        if (word.starts_with(name + "=")) return unescaped(word.substr(name.size() + 1)).value_or("");
+        if (word.starts_with(name + "=")) return percent_decode(word.substr(name.size() + 1)).value_or("");
     }
     return {};
 }
@@ -56,7 +56,7 @@
     /// Its ticket; empty: it was refused.
     std::string put(std::size_t member, const std::string& table, const std::string& key,
                     const std::string& value, const std::string& more = "expires=600000") {
-        return field(call(member, fmt::format("put {} {} {} {}", table, key, escaped(value), more)),
+        return field(call(member, fmt::format("put {} {} {} {}", table, key, percent_encode(value), more)),
                      "ticket");
     }
     std::string remove(std::size_t member, const std::string& table, const std::string& key) {
@@ -153,7 +153,7 @@
     std::filesystem::path folder_;  // outlives the processes' files
 
   public:
-    Loop loop;
+    EventLoop loop;
     FleetRig rig;
 };
 
--- a/tests/standins/scripted_peers.h
+++ b/tests/standins/scripted_peers.h
@@ -24,7 +24,7 @@
 
 namespace martenford::standins {
 
-inline constexpr int kPatienceMs = 20'000;  // for what must come; nothing is asserted on how soon
+inline constexpr int kReceiveTimeoutMs = 20'000;  // for what must come; nothing is asserted on how soon
 
 /// A file descriptor of the test's.
 class Descriptor {
@@ -39,7 +39,7 @@
         if (fd_ >= 0) close(fd_);
     }
     int get() const { return fd_; }
-    bool readable(int wait_ms = kPatienceMs) const {
+    bool readable(int wait_ms = kReceiveTimeoutMs) const {
         pollfd poll_for{fd_, POLLIN, 0};
         return poll(&poll_for, 1, wait_ms) == 1;
     }
@@ -80,23 +80,23 @@
         }
     }
     /// All that comes until the other side closes.
-    std::string rest() {
+    std::string receive_all() {
         while (fill()) {
         }
         return std::exchange(read_, {});
     }
     /// What comes next, at least one byte of it; empty: the connection has ended.
-    std::string some() {
+    std::string receive_some() {
         if (read_.empty()) fill();
         return std::exchange(read_, {});
     }
     /// Whether the other side closes, with nothing more to say.
-    bool ends() { return read_.empty() && !fill() && read_.empty(); }
+    bool is_closed() { return read_.empty() && !fill() && read_.empty(); }
     pollfd poll_for() const { return {fd_.get(), POLLIN, 0}; }
     bool readable(int wait_ms) const { return !read_.empty() || fd_.readable(wait_ms); }
     bool silent() { return read_.empty() && !fd_.readable(0); }
     /// Says that nothing more comes.
-    void shut() { shutdown(fd_.get(), SHUT_WR); }
+    void shutdown_send() { shutdown(fd_.get(), SHUT_WR); }
     /// Ends the connection with a reset.
     void reset() {
         const linger now{1, 0};
@@ -146,7 +146,7 @@
         return Peer(Descriptor(::accept(fd_.get(), nullptr, nullptr)));
     }
     pollfd poll_for() const { return {fd_.get(), POLLIN, 0}; }
-    bool untouched() const { return !fd_.readable(0); }
+    bool no_connection_pending() const { return !fd_.readable(0); }
     /// From here on connections are refused.
     void close() { fd_ = Descriptor(); }
 
@@ -255,10 +255,10 @@
     std::string call(const std::string& line) {
         Peer caller = Peer::to(console_port());
         caller.send(line + "\n");
-        return caller.rest();
+        return caller.receive_all();
     }
     /// A figure of its telemetry; -1 where it has none of this name.
-    double figure(const std::string& name) {
+    double metric(const std::string& name) {
         const std::string all = "\n" + call("telemetry"), at = "\nsidecar." + name + ":";
         const auto found = all.find(at);
         return found == std::string::npos ? -1.0 : std::atof(all.c_str() + found + at.size());
--- a/tools/scale_test/simulated_proxy.cpp
+++ b/tools/scale_test/simulated_proxy.cpp
@@ -19,7 +19,7 @@
 
 }  // namespace
 
-SimulatedProxy::SimulatedProxy(Loop& loop, const Options& options, Gauge& gauge)
+SimulatedProxy::SimulatedProxy(EventLoop& loop, const Options& options, Gauge& gauge)
     : loop_(loop),
       options_(options),
       gauge_(gauge),
--- a/tools/scale_test/simulated_proxy.h
+++ b/tools/scale_test/simulated_proxy.h
@@ -36,7 +36,7 @@
         std::vector<Address> controllers;  ///< the seeds' internal addresses
         Duration first_tick{};  ///< delay; differs, so that the proxies of a process don't tick together
     };
-    SimulatedProxy(Loop& loop, const Options& options, Gauge& gauge);
+    SimulatedProxy(EventLoop& loop, const Options& options, Gauge& gauge);
     /// Registers that the endpoint has ended.
     void end_endpoint();
     /// Registers a new endpoint as ready.
@@ -54,7 +54,7 @@
     [[nodiscard]] bool is_seed(const std::string& address) const;
     void tick();
 
-    Loop& loop_;
+    EventLoop& loop_;
     const Options options_;
     Gauge& gauge_;
     outbound::UpstreamTable upstream_table_;
--- a/tools/scale_test/worker.cpp
+++ b/tools/scale_test/worker.cpp
@@ -55,7 +55,7 @@
 void run_worker(const Options& options, const StepSize& size, const std::vector<std::size_t>& proxy_numbers,
                 Board& board) {
     ::prctl(PR_SET_PDEATHSIG, SIGKILL);
-    Loop loop;
+    EventLoop loop;
     std::mt19937 random{std::random_device{}()};
     std::map<std::size_t, std::unique_ptr<SimulatedProxy>> proxies;
     for (const std::size_t number : proxy_numbers) {
