--- a/src/discovery/discovery.cpp
+++ b/src/discovery/discovery.cpp
@@ -33,14 +33,14 @@
 /// When the Unix epoch was, on the loop's clock.
 Time unix_epoch() {
     const auto wall = std::chrono::system_clock::now().time_since_epoch();
-    return Loop::monotonic() - std::chrono::duration_cast<Duration>(wall);
+    return EventLoop::monotonic() - std::chrono::duration_cast<Duration>(wall);
 }
 
 }  // namespace
 
 /// A connection to discovery and the call on it. Handlers hold it, so it may be dropped at any time.
 struct Discovery::Exchange {
-    explicit Exchange(Loop& loop) : socket(loop.io()), limit(loop) {}
+    explicit Exchange(EventLoop& loop) : socket(loop.io()), limit(loop) {}
     asio::ip::tcp::socket socket;
     Timer limit;
     boost::beast::flat_buffer buffer;
@@ -48,7 +48,7 @@
     std::optional<http::response_parser<http::string_body>> answer;
 };
 
-Discovery::Discovery(Loop& loop, Placement& placement, Engine& engine, const Config& config,
+Discovery::Discovery(EventLoop& loop, EndpointTable& placement, Engine& engine, const Config& config,
                      const Membership::Options& options, Counters& counters)
     : loop_(loop),
       placement_(placement),
@@ -89,7 +89,8 @@
 Discovery::~Discovery() = default;
 
 void Discovery::start() {
-    if (config_.known) apply(membership_.apply_list(*config_.known, true, Loop::monotonic(), unix_epoch()));
+    if (config_.known)
+        apply(membership_.apply_list(*config_.known, true, EventLoop::monotonic(), unix_epoch()));
     if (!config_.settings.subscribe) subscribe();
 }
 
@@ -100,8 +101,8 @@
 void Discovery::set_address(const Address& address) {
     if (address == address_) return;
     close_exchange(old_exchange_);
-    tell(martenford::Event::DiscoveryMoves,
-         "discovery: moves to " + address.address().to_string() + ":" + std::to_string(address.port()));
+    log_event(martenford::Event::DiscoveryAddressChanged,
+              "discovery: moves to " + address.address().to_string() + ":" + std::to_string(address.port()));
     address_ = address;
     // Guards against a revision that means something else to the new agent: it is asked for the whole list,
     // and changes from it are no use before that.
@@ -137,7 +138,7 @@
             request_failed(why);
         }
     };
-    exchange->limit.set(Loop::monotonic() + kConnectTimeout, [fail] { fail("no connection in time"); });
+    exchange->limit.set(EventLoop::monotonic() + kConnectTimeout, [fail] { fail("no connection in time"); });
     const auto is_current = [this, exchange, fail](const error_code& error, const char* what) {
         if (exchange_ != exchange && old_exchange_ != exchange) return false;
         if (error) fail(std::string(what) + ": " + error.message());
@@ -161,13 +162,13 @@
         exchange->socket.async_wait(
             asio::ip::tcp::socket::wait_read, [exchange, is_current, fail, read](const error_code& e) {
                 if (!is_current(e, "wait")) return;
-                exchange->limit.set(Loop::monotonic() + kBodyTimeout,
+                exchange->limit.set(EventLoop::monotonic() + kBodyTimeout,
                                     [fail] { fail("an answer stopped half way"); });
                 http::async_read(exchange->socket, exchange->buffer, *exchange->answer, read);
             });
     };
     const auto write = [exchange, fail, written] {
-        exchange->limit.set(Loop::monotonic() + kWatchTimeout + kResponseGrace,
+        exchange->limit.set(EventLoop::monotonic() + kWatchTimeout + kResponseGrace,
                             [fail] { fail("no answer in time"); });
         http::async_write(exchange->socket, exchange->call, written);
     };
@@ -181,12 +182,12 @@
 }
 
 void Discovery::attempt_ended(EndpointId id, Status status) {
-    if (!staleness_.attempt_ended(id, status, Loop::monotonic()) || !exchange_) return;
+    if (!staleness_.attempt_ended(id, status, EventLoop::monotonic()) || !exchange_) return;
     Random random(random_);
     random_ = random.next();
-    abandon_timer_.set(Loop::monotonic() + scaled(kRequestJitter, random.unit()), [this] {
+    abandon_timer_.set(EventLoop::monotonic() + scaled(kRequestJitter, random.unit()), [this] {
         if (!exchange_) return;
-        tell(martenford::Event::DiscoveryAnew, "discovery: endpoints are not as listed; asked anew");
+        log_event(martenford::Event::DiscoveryResync, "discovery: endpoints are not as listed; asked anew");
         watches_abandoned_.add();
         // The old watch is heard on until the fresh call is answered. Guards against losing what discovery
         // has just written to it: that counts as told, and the fresh call may wait its turn for longer than
@@ -206,30 +207,30 @@
 }
 
 void Discovery::request_failed(const std::string& why) {
-    tell(martenford::Event::DiscoveryTrouble, "discovery: " + why);
+    log_event(martenford::Event::DiscoveryCallFailed, "discovery: " + why);
     close_exchange(exchange_);
-    if (config_.settings.subscribe) return engine_.tell({Discovered::Kind::Failed, nullptr});
+    if (config_.settings.subscribe) return engine_.handle_discovery({Discovered::Kind::Failed, nullptr});
     // The module asks only where lists must be asked for. Jitter: all sidecars may have failed at once.
     retry_delay_ = std::clamp(retry_delay_ * 2, kInitialRetryDelay, kMaxRetryDelay);
     Random random(random_);
     random_ = random.next();
-    retry_timer_.set(Loop::monotonic() + scaled(retry_delay_, 0.5 + random.unit() / 2),
+    retry_timer_.set(EventLoop::monotonic() + scaled(retry_delay_, 0.5 + random.unit() / 2),
                      [this] { subscribe(); });
 }
 
 void Discovery::response_received(const std::string& body) {
     try {
         json::element root;
-        if (parser_.parse(body).get(root) != simdjson::SUCCESS) json::bad("not valid JSON");
+        if (parser_.parse(body).get(root) != simdjson::SUCCESS) json::throw_field_error("not valid JSON");
         const auto list = parse_targets(json::as<json::object>(root, "answer", "an object"), config_.names);
         request_full_list_ = false;
-        auto update = membership_.apply_list(list, false, Loop::monotonic(), unix_epoch());
+        auto update = membership_.apply_list(list, false, EventLoop::monotonic(), unix_epoch());
         if (update.discovered.kind == Discovered::Kind::Failed) {
             return request_failed("an answer was skipped: " + update.log_text);
         }
         received_list_ = true;
         abandon_timer_.cancel();
-        staleness_.discovery_answered(!list.targets.empty(), Loop::monotonic());
+        staleness_.discovery_answered(!list.targets.empty(), EventLoop::monotonic());
         apply(std::move(update));
         // The parser keeps some ten times the longest text that it has read.
         if (body.size() > kLargeListBytes) parser_ = simdjson::dom::parser();
@@ -241,20 +242,22 @@
 }
 
 void Discovery::apply(Membership::Update&& update) {
-    if (!update.log_text.empty()) tell(martenford::Event::DiscoveryRemark, "discovery: " + update.log_text);
+    if (!update.log_text.empty())
+        log_event(martenford::Event::DiscoveryListSuspicious, "discovery: " + update.log_text);
     for (const EndpointId id : update.removed) placement_.remove(id);
     for (const auto& [id, address, ready, uid] : update.placed) {
-        if (uid) placement_.name(id, *uid);
-        placement_.place(id, address, ready);
+        if (uid) placement_.set_name(id, *uid);
+        placement_.set_endpoint(id, address, ready);
     }
-    if (update.discovered.kind != Discovered::Kind::Failed) engine_.tell(std::move(update.discovered));
+    if (update.discovered.kind != Discovered::Kind::Failed)
+        engine_.handle_discovery(std::move(update.discovered));
     if (on_drained_ && received_list_) {
         for (const Membership::Drained& each : update.drained)
             on_drained_(each, membership_.revision().value_or(0));
     }
     if (update.need_full_list) request_full_list_ = true;
     if (const auto due = membership_.next_due()) {
-        removal_timer_.set(*due, [this] { apply(membership_.apply_due_removals(Loop::monotonic())); });
+        removal_timer_.set(*due, [this] { apply(membership_.apply_due_removals(EventLoop::monotonic())); });
     } else {
         removal_timer_.cancel();
     }
--- a/src/replica/replication_service.h
+++ b/src/replica/replication_service.h
@@ -23,7 +23,7 @@
 class ReplicationService : private PeerDirectory {
   public:
     /// `fleet`: its name. `options` and `peers` outlive it.
-    ReplicationService(Loop& loop, const Options& options, peers::Peers& peers, const std::string& fleet,
+    ReplicationService(EventLoop& loop, const Options& options, peers::Peers& peers, const std::string& fleet,
                        Counters& counters);
     ~ReplicationService() override;
 
@@ -68,7 +68,7 @@
     std::string outcome(std::uint64_t ticket) const;
     std::string self() const;
 
-    Loop& loop_;
+    EventLoop& loop_;
     const Options& options_;
     peers::Peers& peers_;
     std::optional<Replica> replica_;
--- a/src/replica/snapshot_client.cpp
+++ b/src/replica/snapshot_client.cpp
@@ -30,7 +30,7 @@
 
 }  // namespace
 
-SnapshotClient::SnapshotClient(Loop& loop, std::string helper, std::string directory, std::string fleet,
+SnapshotClient::SnapshotClient(EventLoop& loop, std::string helper, std::string directory, std::string fleet,
                                Duration tombstone_ttl, Callbacks callbacks)
     : loop_(loop),
       helper_(helper.empty() ? helper_beside_this_program() : std::move(helper)),
@@ -66,7 +66,7 @@
     out.mutable_open()->set_fleet(fleet_);
     const std::int64_t oldest = wall_ms() - tombstone_ttl_ / 1ms;
     out.mutable_open()->set_oldest_ms(oldest > 0 ? static_cast<std::uint64_t>(oldest) : 0);
-    outgoing_ = framing::framed(out);
+    outgoing_ = framing::encode_message(out);
     writing_.clear();
     read();
     flush();
@@ -83,7 +83,7 @@
     const auto queue_chunk = [&] {
         request.set_seq(seq_);
         request.set_horizon(horizon);
-        outgoing_ += framing::framed(out);
+        outgoing_ += framing::encode_message(out);
         request.Clear();
         size = 0;
     };
@@ -140,20 +140,20 @@
 }
 
 void SnapshotClient::handle_frame(std::string_view frame) {
-    const auto message = framing::parsed<shelf::FromShelf>(frame);
+    const auto message = framing::decode_message<shelf::FromShelf>(frame);
     if (message.has_trouble()) return fail(message.trouble().what());
     if (message.has_kept()) return callbacks_.persisted(message.kept().seq());
     const shelf::Loaded& loaded = message.loaded();
     if (!loaded.aside().empty())
-        tell(Event::StateAside, "state: the copy that was kept is not used: " + loaded.aside());
+        log_event(Event::StateCopyRejected, "state: the copy that was kept is not used: " + loaded.aside());
     if (loaded.bad() > 0)
-        tell(Event::StateAside,
-             "state: " + std::to_string(loaded.bad()) + " kept entries are damaged and left out");
+        log_event(Event::StateCopyRejected,
+                  "state: " + std::to_string(loaded.bad()) + " kept entries are damaged and left out");
     for (const std::string& bytes : loaded.entries()) loading_.entries.push_back(read_named_entry(bytes));
     loading_.horizon = loaded.horizon();
     if (!loaded.end()) return;
     available_ = true;
-    if (std::exchange(reported_, false)) tell(Event::StateKept, "state: it is kept again");
+    if (std::exchange(reported_, false)) log_event(Event::StatePersisted, "state: it is kept again");
     loaded_ = true;
     callbacks_.loaded(std::exchange(loading_, {}));
 }
@@ -163,7 +163,7 @@
     // Whatever the disk does, what others know is shared; what it holds is taken in when it works.
     if (!loaded_ && ++load_attempts_ == kMaxLoadAttempts) callbacks_.loaded({});
     if (!std::exchange(reported_, true))
-        tell(Event::StateUnkept, "state: nothing is kept on disk now: " + why);
+        log_event(Event::StateNotPersisted, "state: nothing is kept on disk now: " + why);
     if (socket_) {
         error_code ignored;
         socket_->close(ignored);
--- a/src/replica/snapshot_client.h
+++ b/src/replica/snapshot_client.h
@@ -32,7 +32,7 @@
     /// Bytes that wait for the helper; over it the link is given up and all is put anew when it works.
     static constexpr std::size_t kMaxWaitingBytes = 64 << 20;
 
-    SnapshotClient(Loop& loop, std::string helper, std::string directory, std::string fleet,
+    SnapshotClient(EventLoop& loop, std::string helper, std::string directory, std::string fleet,
                    Duration tombstone_ttl, Callbacks callbacks);
     ~SnapshotClient();
 
@@ -52,7 +52,7 @@
     void fail(const std::string& why);
     void reap();
 
-    Loop& loop_;
+    EventLoop& loop_;
     const std::string helper_, directory_, fleet_;
     const Duration tombstone_ttl_;
     Callbacks callbacks_;
