--- a/benchmarks/ledger_benchmark.cpp
+++ b/benchmarks/ledger_benchmark.cpp
@@ -147,7 +147,7 @@
     std::vector<Record> records;
     for (std::uint64_t s = from; s < from + static_cast<std::uint64_t>(requests); ++s) {
         const auto at = static_cast<std::int64_t>(1'764'000'000'000 + s * 10);
-        const auto add = [&](decltype(Record::what) what) {
+        const auto add = [&](decltype(Record::payload) what) {
             records.push_back({s * 4 + records.size() % 4, s, at, at * 1'000'000, false, std::move(what)});
         };
         // Ids as clients draw them: without an order, so that an index is met at a different place each time.
@@ -155,7 +155,7 @@
                    std::string(16, 'd'), "s-5be2a07c", "10.1.0.18:8443"});
         if (!ended) continue;
         add(Ended{0, Ending::Served});
-        add(Answered{Final::Served});
+        add(Answered{FinalAnswer::Served});
     }
     return records;
 }
@@ -163,11 +163,11 @@
 
 void batch_in_sqlite(benchmark::State& state) {
     Directory directory;
-    Book book(directory.path(), true);
-    const auto boot = book.open_boot(kHello);
+    JournalDatabase database(directory.path(), true);
+    const auto boot = database.register_boot(kHello);
     std::uint64_t next = 1;
     for (auto _ : state) {
-        book.write(boot, batch_of(next, state.range(0), true));
+        database.write(boot, batch_of(next, state.range(0), true));
         next += static_cast<std::uint64_t>(state.range(0));
     }
     state.SetItemsProcessed(state.iterations() * state.range(0));
@@ -209,12 +209,13 @@
     auto& directory = made[{requests, ended}];
     if (directory) return *directory;
     directory = std::make_unique<Directory>();
-    Book book(directory->path(), true);
-    book.database().execute("PRAGMA synchronous=OFF; PRAGMA cache_size=-1000000");
-    const auto boot = book.open_boot(kHello);
+    JournalDatabase database(directory->path(), true);
+    database.database().execute("PRAGMA synchronous=OFF; PRAGMA cache_size=-1000000");
+    const auto boot = database.register_boot(kHello);
     constexpr std::int64_t kStep = 20'000;
     for (std::int64_t at = 0; at < requests; at += kStep) {
-        book.write(boot, batch_of(static_cast<std::uint64_t>(at) + 1, std::min(kStep, requests - at), ended));
+        database.write(boot,
+                       batch_of(static_cast<std::uint64_t>(at) + 1, std::min(kStep, requests - at), ended));
     }
     return *directory;
 }
@@ -224,11 +225,11 @@
     const Directory& directory = filled(state.range(0), true);
     std::uint64_t next = 1;
     for (auto _ : state) {
-        Book book(directory.path(), false);
+        JournalDatabase database(directory.path(), false);
         next = (next * 6364136223846793005u + 1) % static_cast<std::uint64_t>(state.range(0)) + 1;
         int found = 0;
-        book.by_id(std::to_string(next * 0x9e3779b97f4a7c15u) + "-r",
-                   [&](const Entry&) { return ++found > 0; });
+        database.by_id(std::to_string(next * 0x9e3779b97f4a7c15u) + "-r",
+                       [&](const Entry&) { return ++found > 0; });
         if (found != 1) state.SkipWithError("not found");
     }
     state.counters["bytes_each"] =
@@ -243,16 +244,16 @@
         state.PauseTiming();
         Directory directory;
         {
-            Book book(directory.path(), true);
-            book.database().execute("PRAGMA synchronous=OFF");
-            const auto boot = book.open_boot(kHello);
+            JournalDatabase database(directory.path(), true);
+            database.database().execute("PRAGMA synchronous=OFF");
+            const auto boot = database.register_boot(kHello);
             for (std::int64_t at = 0; at < state.range(0); at += 20'000)
-                book.write(boot, batch_of(static_cast<std::uint64_t>(at) + 1, 20'000, false));
+                database.write(boot, batch_of(static_cast<std::uint64_t>(at) + 1, 20'000, false));
         }
         state.ResumeTiming();
-        Book book(directory.path(), true);
-        const auto boot = book.open_boot({kLinkVersion, 8, "n0", 2});
-        while (!book.conclude_before(boot, 3, 2000)) {
+        JournalDatabase database(directory.path(), true);
+        const auto boot = database.register_boot({kLinkVersion, 8, "n0", 2});
+        while (!database.conclude_earlier_boots(boot, 3, 2000)) {
         }
     }
     state.SetItemsProcessed(state.iterations() * state.range(0));
@@ -263,16 +264,16 @@
 void find_in_archives(benchmark::State& state) {
     static const auto directory = [] {
         auto made = std::make_unique<Directory>();
-        Book book(made->path(), true);
-        book.database().execute("PRAGMA synchronous=OFF");
-        const auto boot = book.open_boot(kHello);
+        JournalDatabase database(made->path(), true);
+        database.database().execute("PRAGMA synchronous=OFF");
+        const auto boot = database.register_boot(kHello);
         for (std::uint64_t at = 0; at < 200'000; at += 20'000)
-            book.write(boot, batch_of(at + 1, 20'000, true));
-        const auto next = book.open_boot({kLinkVersion, 8, "n0", 2});
-        while (!book.conclude_before(next, 3, 20'000)) {
+            database.write(boot, batch_of(at + 1, 20'000, true));
+        const auto next = database.register_boot({kLinkVersion, 8, "n0", 2});
+        while (!database.conclude_earlier_boots(next, 3, 20'000)) {
         }
         Archives archives(made->path());
-        while (archives.move_settled(book, std::numeric_limits<std::int64_t>::max(), 1) > 0) {
+        while (archives.move_settled(database, std::numeric_limits<std::int64_t>::max(), 1) > 0) {
         }
         return made;
     }();
@@ -283,7 +284,7 @@
         const std::string name =
             std::to_string(next * 0x9e3779b97f4a7c15u) + (state.range(0) ? "-r" : "-none");
         int found = 0;
-        archives.by_name(name, false, [&](const story::Story&) { return ++found > 0; });
+        archives.by_id_or_key(name, false, [&](const story::Story&) { return ++found > 0; });
         if (found != state.range(0)) state.SkipWithError("found wrongly");
     }
     const auto totals = archives.totals();
--- a/benchmarks/telemetry_benchmark.cpp
+++ b/benchmarks/telemetry_benchmark.cpp
@@ -42,10 +42,10 @@
 }
 
 void sketch_add(benchmark::State& state) {
-    Sketch sketch(0.01);
+    QuantileSketch sketch(0.01);
     std::size_t at = 0;
     for (auto _ : state) sketch.add(latencies()[at++ & 0xffff]);
-    Sketch once(0.01);
+    QuantileSketch once(0.01);
     for (const double each : latencies()) once.add(each);
     state.counters["worst_error"] = worst_error([&](double share) { return once.quantile(share); });
     state.counters["bytes"] = static_cast<double>(once.buckets() * sizeof(std::uint64_t));
@@ -91,7 +91,7 @@
 BENCHMARK(sort_all);
 
 void causes_saw(benchmark::State& state) {
-    Causes causes({"endpoint", "zone", "kind", "class", "caller"}, {});
+    CauseAnalyzer causes({"endpoint", "zone", "kind", "class", "caller"}, {});
     std::vector<std::string> endpoints, callers;
     for (std::int64_t i = 0; i < state.range(0); ++i)
         endpoints.push_back("s-" + std::to_string(i * 2654435761));
@@ -99,19 +99,19 @@
     std::size_t at = 0;
     for (auto _ : state) {
         ++at;
-        causes.saw(Time{1000s + std::chrono::microseconds(at)},
-                   {endpoints[at % endpoints.size()], "a", "m1", "look", callers[at % callers.size()]},
-                   at % 100 == 0);
+        causes.observe(Time{1000s + std::chrono::microseconds(at)},
+                       {endpoints[at % endpoints.size()], "a", "m1", "look", callers[at % callers.size()]},
+                       at % 100 == 0);
     }
     state.counters["evicted"] = static_cast<double>(causes.evicted());
 }
 BENCHMARK(causes_saw)->Arg(60)->Arg(10'000);
 
 void causes_explain(benchmark::State& state) {
-    Causes causes({"endpoint", "caller"}, {});
+    CauseAnalyzer causes({"endpoint", "caller"}, {});
     for (int i = 0; i < 200'000; ++i) {
-        causes.saw(Time{1000s + i * 1ms}, {"s-" + std::to_string(i % 500), "c-" + std::to_string(i % 400)},
-                   i % 500 == 7);
+        causes.observe(Time{1000s + i * 1ms},
+                       {"s-" + std::to_string(i % 500), "c-" + std::to_string(i % 400)}, i % 500 == 7);
     }
     for (auto _ : state) benchmark::DoNotOptimize(causes.explain(Time{1200s}, 300s, 5));
 }
@@ -121,13 +121,13 @@
     TailSampler sampler({}, 1);
     std::size_t at = 0;
     for (auto _ : state) {
-        Story story;
-        story.id = "9b1f03aa5c7e2d41";
-        story.klass = "rate-lookup";
-        story.taken = Time{1000s + std::chrono::microseconds(++at)};
-        story.answer = at % 100 == 0 ? "failed" : "served";
-        story.steps.push_back({"s-5be2a07c", 0ms, 1ms, "ok"});
-        sampler.offer(std::move(story));
+        RequestTrace trace;
+        trace.id = "9b1f03aa5c7e2d41";
+        trace.klass = "rate-lookup";
+        trace.started = Time{1000s + std::chrono::microseconds(++at)};
+        trace.answer = at % 100 == 0 ? "failed" : "served";
+        trace.spans.push_back({"s-5be2a07c", 0ms, 1ms, "ok"});
+        sampler.offer(std::move(trace));
     }
 }
 BENCHMARK(sampler_offer);
--- a/src/assembly/features.cpp
+++ b/src/assembly/features.cpp
@@ -41,11 +41,12 @@
 
 ledger::ClassOptions read_promise(Table& from, ledger::ClassOptions result) {
     from.word("level", result.level,
-              {{"off", ledger::Level::Off},
-               {"async", ledger::Level::Async},
-               {"group", ledger::Level::Group},
-               {"sync", ledger::Level::Sync}});
-    from.word("outage", result.outage, {{"refuse", ledger::Outage::Refuse}, {"go-on", ledger::Outage::GoOn}});
+              {{"off", ledger::Durability::Off},
+               {"async", ledger::Durability::Async},
+               {"group", ledger::Durability::Group},
+               {"sync", ledger::Durability::Sync}});
+    from.word("outage", result.outage,
+              {{"refuse", ledger::OutagePolicy::Refuse}, {"go-on", ledger::OutagePolicy::SendUnjournaled}});
     return result;
 }
 
@@ -55,27 +56,27 @@
     if (result.directory.empty()) from.fail("'directory' is empty");
     from.text("helper", result.helper);
     from.text("digest_key", result.key_file);
-    from.span("hold", result.hold, true);
-    if (result.hold > kMostHold) from.fail("'hold' is over 10s: no request waits for so long");
-    result.unsafe = read_promise(from, result.unsafe);
+    from.span("hold", result.hold_timeout, true);
+    if (result.hold_timeout > kMostHold) from.fail("'hold' is over 10s: no request waits for so long");
+    result.non_idempotent = read_promise(from, result.non_idempotent);
     std::uint64_t megabytes = 0;
     from.whole("most_mb", megabytes, 1, kMostMegabytes);
-    result.most_bytes = megabytes << 20;
-    from.whole("batch_records", result.batch.most_records, 1, 100'000);
+    result.max_bytes = megabytes << 20;
+    from.whole("batch_records", result.batch.max_records, 1, 100'000);
     from.span("batch_delay", result.batch.delay);
-    if (result.batch.delay >= result.hold) from.fail("'batch_delay' is not below 'hold'");
-    from.whole("queue_records", result.queue.most_records, 100, 10'000'000);
-    from.span("ack_within", result.queue.ack_within, true);
+    if (result.batch.delay >= result.hold_timeout) from.fail("'batch_delay' is not below 'hold'");
+    from.whole("queue_records", result.queue.max_records, 100, 10'000'000);
+    from.span("ack_within", result.queue.ack_timeout, true);
     std::int64_t days = 30, archive_days = 400;
     from.whole("keep_days", days, 1, 36'500);
     from.whole("keep_archive_days", archive_days, 1, 36'500);
     if (archive_days < days) from.fail("'keep_archive_days' is less than 'keep_days'");
-    result.keep = std::chrono::hours(24 * days);
-    result.keep_archives = std::chrono::hours(24 * archive_days);
+    result.journal_retention = std::chrono::hours(24 * days);
+    result.archive_retention = std::chrono::hours(24 * archive_days);
     for (Table& each : from.tables("class")) {
         std::string name;
         each.text("name", name, true);
-        const auto promise = read_promise(each, result.unsafe);
+        const auto promise = read_promise(each, result.non_idempotent);
         if (!result.classes.emplace(name, promise).second) each.fail("class '" + name + "' stands twice");
         each.end();
     }
@@ -185,9 +186,9 @@
         if (auto table = top.table("ledger")) result.ledger = read_ledger(*table);
         if (auto table = top.table("telemetry")) {
             telemetry::Options& into = result.telemetry.emplace();
-            table->whole("stories", into.stories.most, 10, 100'000);
-            table->span("stretch", into.stories.stretch, true);
-            table->whole("values", into.causes.most_values, 16, 100'000);
+            table->whole("stories", into.sampler.max_traces, 10, 100'000);
+            table->span("stretch", into.sampler.window, true);
+            table->whole("values", into.causes.max_values, 16, 100'000);
             table->end();
         }
         top.end();
--- a/src/command/console_client.cpp
+++ b/src/command/console_client.cpp
@@ -15,8 +15,8 @@
 
 namespace {
 
-constexpr timeval kPatience{3, 0};           // a console answers within 1 s
-constexpr std::size_t kMostReply = 4 << 20;  // 10,000 members of 200 bytes, twice
+constexpr timeval kReplyTimeout{3, 0};           // a console answers within 1 s
+constexpr std::size_t kMaxReplyBytes = 4 << 20;  // 10,000 members of 200 bytes, twice
 
 }  // namespace
 
@@ -28,8 +28,8 @@
     return address;
 }
 
-std::optional<std::string> ask_console(const std::string& command, const Address& where,
-                                       const std::string& call, const std::string& hint) {
+std::optional<std::string> call_console(const std::string& command, const Address& where,
+                                        const std::string& call, const std::string& hint) {
     asio::io_context io;
     asio::ip::tcp::socket socket(io);
     boost::system::error_code error;
@@ -38,11 +38,11 @@
         log(command + ": " + text_of(where) + ": " + error.message());
         return std::nullopt;
     }
-    ::setsockopt(socket.native_handle(), SOL_SOCKET, SO_RCVTIMEO, &kPatience, sizeof kPatience);
+    ::setsockopt(socket.native_handle(), SOL_SOCKET, SO_RCVTIMEO, &kReplyTimeout, sizeof kReplyTimeout);
     asio::write(socket, asio::buffer(call + "\n"), error);
     std::string reply;
     char chunk[4096];
-    while (!error && reply.size() < kMostReply) {
+    while (!error && reply.size() < kMaxReplyBytes) {
         reply.append(chunk, socket.read_some(asio::buffer(chunk), error));
     }
     // All of it ends with a line END; what is refused is one line.
--- a/src/command/console_client.h
+++ b/src/command/console_client.h
@@ -14,7 +14,7 @@
 
 /// What it says, without the line END. Nothing where it said no, or did not answer whole within 3 s: a line
 /// on standard error tells which. `hint` follows a no.
-std::optional<std::string> ask_console(const std::string& command, const Address& where,
-                                       const std::string& call, const std::string& hint);
+std::optional<std::string> call_console(const std::string& command, const Address& where,
+                                        const std::string& call, const std::string& hint);
 
 }  // namespace martenford
--- a/src/command/fleet.h
+++ b/src/command/fleet.h
@@ -5,7 +5,7 @@
 
 namespace martenford {
 
-struct FleetWords {
+struct FleetOptions {
     std::string what;     ///< members, links or watch
     std::string console;  ///< its address; otherwise PROXY_CONSOLE
     bool json = false;
@@ -13,6 +13,6 @@
 
 /// Prints what the sidecar says. Gives the exit code: 0, 1 where it said no or nothing, 2 where the words are
 /// off.
-int ask_fleet(const FleetWords& words);
+int run_fleet(const FleetOptions& options);
 
 }  // namespace martenford
--- a/src/command/ledger.cpp
+++ b/src/command/ledger.cpp
@@ -25,12 +25,12 @@
 namespace martenford::ledger {
 namespace {
 
-constexpr int kFound = 0, kFailed = 1, kBadUse = 2,
-              kWrong = 4;  // exit codes; kWrong: verify or reconcile found something
-constexpr std::int64_t kAlways = std::numeric_limits<std::int64_t>::max();
+constexpr int kExitOk = 0, kExitFailure = 1, kExitUsage = 2,
+              kExitFindings = 4;  // exit codes; kExitFindings: verify or reconcile found something
+constexpr std::int64_t kEndOfTime = std::numeric_limits<std::int64_t>::max();
 
 /// RFC 3339 in UTC, to the millisecond.
-std::string show_time(std::int64_t ms) {
+std::string format_time(std::int64_t ms) {
     if (ms == 0) return "-";
     const std::time_t seconds = ms / 1000;
     std::tm parts{};
@@ -41,7 +41,7 @@
 }
 
 /// "2026-12-01T10:00:00Z", "2026-12-01", Unix seconds, or "-5m" and the like before now.
-std::int64_t read_time(const std::string& text) {
+std::int64_t parse_time(const std::string& text) {
     std::tm parts{};
     for (const char* form : {"%Y-%m-%dT%H:%M:%SZ", "%Y-%m-%d"}) {
         parts = {};
@@ -69,30 +69,30 @@
 class Output {
   public:
     virtual ~Output() = default;
-    virtual void put(const story::Story& story) = 0;
+    virtual void write(const story::Story& story) = 0;
     virtual void end() {}
 };
 
-class Readable : public Output {
+class TextOutput : public Output {
   public:
-    void put(const story::Story& s) override {
+    void write(const story::Story& s) override {
         fmt::print("{}  {}{}  taken {}  at {}{}\n", s.id(), s.klass(),
-                   s.key().empty() ? "" : "  key " + s.key(), show_time(s.taken_ms()), s.sidecar(),
+                   s.key().empty() ? "" : "  key " + s.key(), format_time(s.taken_ms()), s.sidecar(),
                    s.under_way() ? "  (under way)" : "");
         for (const auto& a : s.attempts()) {
             fmt::print("  attempt {} to {} at {}: intent {}, written {}, {} {}\n", a.number(),
                        a.uid().empty() ? "?" : a.uid(), a.address().empty() ? "?" : a.address(),
-                       show_time(a.intent_ms()), show_time(a.written_ms()), a.ending(),
-                       show_time(a.ended_ms()));
+                       format_time(a.intent_ms()), format_time(a.written_ms()), a.ending(),
+                       format_time(a.ended_ms()));
         }
-        fmt::print("  answer: {} {}\n  {}: {}\n", s.answer(), show_time(s.answered_ms()), s.effect(),
+        fmt::print("  answer: {} {}\n  {}: {}\n", s.answer(), format_time(s.answered_ms()), s.effect(),
                    s.reason());
     }
 };
 
-class Json : public Output {
+class JsonOutput : public Output {
   public:
-    void put(const story::Story& story) override {
+    void write(const story::Story& story) override {
         std::string text;
         google::protobuf::util::JsonPrintOptions options;
         options.preserve_proto_field_names = true;
@@ -105,9 +105,10 @@
     virtual void line(const std::string& text) { std::cout << text; }
 };
 
-class PackedJson : public Json {
+class CompressedJsonOutput : public JsonOutput {
   public:
-    PackedJson() : stream_(ZSTD_createCStream(), &ZSTD_freeCStream), room_(ZSTD_CStreamOutSize(), '\0') {
+    CompressedJsonOutput()
+        : stream_(ZSTD_createCStream(), &ZSTD_freeCStream), buffer_(ZSTD_CStreamOutSize(), '\0') {
         ZSTD_CCtx_setParameter(stream_.get(), ZSTD_c_checksumFlag, 1);
     }
     void end() override { run({nullptr, 0, 0}, ZSTD_e_end); }
@@ -116,32 +117,32 @@
     void line(const std::string& text) override { run({text.data(), text.size(), 0}, ZSTD_e_continue); }
 
   private:
-    void run(ZSTD_inBuffer in, ZSTD_EndDirective how) {
+    void run(ZSTD_inBuffer in, ZSTD_EndDirective directive) {
         for (;;) {
-            ZSTD_outBuffer out{room_.data(), room_.size(), 0};
-            const std::size_t left = ZSTD_compressStream2(stream_.get(), &out, &in, how);
+            ZSTD_outBuffer out{buffer_.data(), buffer_.size(), 0};
+            const std::size_t left = ZSTD_compressStream2(stream_.get(), &out, &in, directive);
             if (ZSTD_isError(left)) throw std::runtime_error(ZSTD_getErrorName(left));
-            std::cout.write(room_.data(), static_cast<std::streamsize>(out.pos));
-            if (how == ZSTD_e_end ? left == 0 : in.pos == in.size) return;
+            std::cout.write(buffer_.data(), static_cast<std::streamsize>(out.pos));
+            if (directive == ZSTD_e_end ? left == 0 : in.pos == in.size) return;
         }
     }
     std::unique_ptr<ZSTD_CStream, decltype(&ZSTD_freeCStream)> stream_;
-    std::string room_;
+    std::string buffer_;
 };
 
 /// RFC 4180, a line an attempt.
-class Csv : public Output {
+class CsvOutput : public Output {
   public:
-    Csv() {
+    CsvOutput() {
         std::cout << "id,class,key,sidecar,taken,answer,answered,effect,attempt,uid,address,intent,written,"
                      "ending,ended\r\n";
     }
-    void put(const story::Story& s) override {
+    void write(const story::Story& s) override {
         for (const auto& a : s.attempts()) {
-            fields({s.id(), s.klass(), s.key(), s.sidecar(), show_time(s.taken_ms()), s.answer(),
-                    show_time(s.answered_ms()), s.effect(), std::to_string(a.number()), a.uid(), a.address(),
-                    show_time(a.intent_ms()), show_time(a.written_ms()), a.ending(),
-                    show_time(a.ended_ms())});
+            fields({s.id(), s.klass(), s.key(), s.sidecar(), format_time(s.taken_ms()), s.answer(),
+                    format_time(s.answered_ms()), s.effect(), std::to_string(a.number()), a.uid(),
+                    a.address(), format_time(a.intent_ms()), format_time(a.written_ms()), a.ending(),
+                    format_time(a.ended_ms())});
         }
     }
 
@@ -163,20 +164,20 @@
 };
 
 std::unique_ptr<Output> output_of(const std::string& form) {
-    if (form == "json" || form == "jsonl") return std::make_unique<Json>();
-    if (form == "jsonl.zst") return std::make_unique<PackedJson>();
-    if (form == "csv") return std::make_unique<Csv>();
-    return std::make_unique<Readable>();
+    if (form == "json" || form == "jsonl") return std::make_unique<JsonOutput>();
+    if (form == "jsonl.zst") return std::make_unique<CompressedJsonOutput>();
+    if (form == "csv") return std::make_unique<CsvOutput>();
+    return std::make_unique<TextOutput>();
 }
 
 /// What the file and the archives have, each request once: one that a crash left in both is shown from the
 /// file.
-class Shown {
+class UniqueOutput {
   public:
-    explicit Shown(Output& output) : output_(output) {}
+    explicit UniqueOutput(Output& output) : output_(output) {}
     bool operator()(const story::Story& story) {
         if (!seen_.insert({story.boot(), story.serial()}).second) return true;
-        output_.put(story);
+        output_.write(story);
         return true;
     }
     std::size_t count() const { return seen_.size(); }
@@ -186,207 +187,211 @@
     std::set<std::pair<std::uint64_t, std::uint64_t>> seen_;
 };
 
-struct Question {
+struct Query {
     std::string directory, name, from, to, form = "text", file;
     bool key = false, under_way = false;
-    std::int64_t from_ms() const { return from.empty() ? 0 : read_time(from); }
-    std::int64_t to_ms() const { return to.empty() ? kAlways : read_time(to); }
+    std::int64_t from_ms() const { return from.empty() ? 0 : parse_time(from); }
+    std::int64_t to_ms() const { return to.empty() ? kEndOfTime : parse_time(to); }
 };
 
-void tell_troubles(const Archives& archives) {
-    for (const std::string& trouble : archives.troubles()) fmt::print(stderr, "{}\n", trouble);
+void print_errors(const Archives& archives) {
+    for (const std::string& error : archives.errors()) fmt::print(stderr, "{}\n", error);
 }
 
 /// What was looked for and not found may have gone out all the same while the journal kept nothing.
-void tell_gaps(Book& book, std::int64_t from_ms, std::int64_t to_ms) {
-    for (const auto& gap : book.gaps(from_ms, to_ms)) {
+void print_gaps(JournalDatabase& database, std::int64_t from_ms, std::int64_t to_ms) {
+    for (const auto& gap : database.gaps(from_ms, to_ms)) {
         fmt::print(stderr, "gap: {} requests went out unjournaled from {} to {}: {}\n", gap.requests,
-                   show_time(gap.from_ms), show_time(gap.to_ms), gap.reason);
+                   format_time(gap.from_ms), format_time(gap.to_ms), gap.reason);
     }
 }
 
-int find(const Question& q) {
-    Book book(q.directory, false);
-    Archives archives(q.directory);
-    const auto output = output_of(q.form);
-    Shown shown(*output);
-    const auto from_book = [&](const Entry& entry) { return shown(story_of(entry)); };
-    const auto from_archive = [&](const story::Story& story) { return shown(story); };
-    if (q.name.empty()) {
-        book.by_time(q.from_ms(), q.to_ms(), from_book);
-        archives.by_time(q.from_ms(), q.to_ms(), from_archive);
+int find(const Query& query) {
+    JournalDatabase database(query.directory, false);
+    Archives archives(query.directory);
+    const auto output = output_of(query.form);
+    UniqueOutput unique_output(*output);
+    const auto from_database = [&](const Entry& entry) { return unique_output(to_proto(entry)); };
+    const auto from_archive = [&](const story::Story& story) { return unique_output(story); };
+    if (query.name.empty()) {
+        database.by_time(query.from_ms(), query.to_ms(), from_database);
+        archives.by_time(query.from_ms(), query.to_ms(), from_archive);
     } else {
-        q.key ? book.by_key(q.name, from_book) : book.by_id(q.name, from_book);
-        archives.by_name(q.name, q.key, from_archive);
+        query.key ? database.by_key(query.name, from_database) : database.by_id(query.name, from_database);
+        archives.by_id_or_key(query.name, query.key, from_archive);
     }
     output->end();
-    tell_troubles(archives);
-    if (shown.count() == 0) {
+    print_errors(archives);
+    if (unique_output.count() == 0) {
         fmt::print(stderr, "nothing is known of it\n");
-        tell_gaps(book, q.from_ms(), q.to_ms());
+        print_gaps(database, query.from_ms(), query.to_ms());
     }
-    return shown.count() > 0 ? kFound : kFailed;
+    return unique_output.count() > 0 ? kExitOk : kExitFailure;
 }
 
-int open_ones(const Question& q) {
-    Book book(q.directory, false);
-    const auto output = output_of(q.form);
-    book.open_ones(q.under_way, [&](const Entry& entry) {
-        output->put(story_of(entry));
+int show_unresolved(const Query& query) {
+    JournalDatabase database(query.directory, false);
+    const auto output = output_of(query.form);
+    database.unresolved(query.under_way, [&](const Entry& entry) {
+        output->write(to_proto(entry));
         return true;
     });
     output->end();
-    tell_gaps(book, 0, kAlways);
-    return kFound;
+    print_gaps(database, 0, kEndOfTime);
+    return kExitOk;
 }
 
-int export_all(const Question& q) {
-    Book book(q.directory, false);
-    Archives archives(q.directory);
-    const auto output = output_of(q.form);
-    Shown shown(*output);
-    archives.by_time(q.from_ms(), q.to_ms(), [&](const story::Story& story) { return shown(story); });
-    book.by_time(q.from_ms(), q.to_ms(), [&](const Entry& entry) { return shown(story_of(entry)); });
+int export_requests(const Query& query) {
+    JournalDatabase database(query.directory, false);
+    Archives archives(query.directory);
+    const auto output = output_of(query.form);
+    UniqueOutput unique_output(*output);
+    archives.by_time(query.from_ms(), query.to_ms(),
+                     [&](const story::Story& story) { return unique_output(story); });
+    database.by_time(query.from_ms(), query.to_ms(),
+                     [&](const Entry& entry) { return unique_output(to_proto(entry)); });
     output->end();
-    tell_troubles(archives);
-    return kFound;
+    print_errors(archives);
+    return kExitOk;
 }
 
-int verify(const Question& q) {
-    Book book(q.directory, false);
-    auto found = book.verify();
-    for (auto& each : Archives(q.directory).verify()) found.push_back(std::move(each));
+int verify(const Query& query) {
+    JournalDatabase database(query.directory, false);
+    auto found = database.verify();
+    for (auto& each : Archives(query.directory).verify()) found.push_back(std::move(each));
     for (const std::string& each : found) fmt::print("{}\n", each);
     fmt::print("{}\n", found.empty() ? "nothing is wrong" : fmt::format("{} findings", found.size()));
-    return found.empty() ? kFound : kWrong;
+    return found.empty() ? kExitOk : kExitFindings;
 }
 
-int reconcile_with(const Question& q) {
-    std::ifstream file(q.file);
-    if (!file) throw std::runtime_error(q.file + ": can't be read");
-    Book book(q.directory, false);
-    const auto r = reconcile(book, file, q.from_ms(), q.to_ms(), [](const char* what, const std::string& id) {
-        fmt::print("{}: {}\n", id, what);
-    });
+int reconcile_file(const Query& query) {
+    std::ifstream file(query.file);
+    if (!file) throw std::runtime_error(query.file + ": can't be read");
+    JournalDatabase database(query.directory, false);
+    const auto r =
+        reconcile(database, file, query.from_ms(), query.to_ms(),
+                  [](const char* what, const std::string& id) { fmt::print("{}: {}\n", id, what); });
     fmt::print(
         "agree {} (ran {}, never ran {}), possibly ran {} (did {}, did not {}), under way {}, unknown {}, "
         "contradictions {} (ran and unrecorded {}, recorded though never ran {}, twice {})\n",
-        r.agree_ran + r.agree_never, r.agree_ran, r.agree_never, r.possibly_ran + r.possibly_not,
-        r.possibly_ran, r.possibly_not, r.under_way, r.unknown, r.contradictions(), r.ran_unrecorded,
-        r.never_but_ran, r.twice);
-    return r.contradictions() == 0 ? kFound : kWrong;
+        r.agree_ran + r.agree_never_ran, r.agree_ran, r.agree_never_ran,
+        r.possibly_ran + r.possibly_did_not_run, r.possibly_ran, r.possibly_did_not_run, r.under_way,
+        r.not_in_journal, r.contradictions(), r.ran_unrecorded, r.never_but_ran, r.duplicates);
+    return r.contradictions() == 0 ? kExitOk : kExitFindings;
 }
 
-int prune(const Question& q, int keep_days, int keep_archive_days) {
-    Book book(q.directory, true);
-    Archives archives(q.directory);
+int prune(const Query& query, int keep_days, int keep_archive_days) {
+    JournalDatabase database(query.directory, true);
+    Archives archives(query.directory);
     constexpr std::int64_t kDay = 86'400'000;
     std::size_t moved = 0;
-    while (const std::size_t step = archives.move_settled(book, wall_ms() - keep_days * kDay, 1))
+    while (const std::size_t step = archives.move_settled(database, wall_ms() - keep_days * kDay, 1))
         moved += step;
     const std::size_t removed = archives.prune(wall_ms() - keep_archive_days * kDay);
     fmt::print("{} requests moved to archives, {} archives removed\n", moved, removed);
-    return kFound;
+    return kExitOk;
 }
 
-int stats(const Question& q) {
-    Book book(q.directory, false);
-    const auto s = book.stats();
-    const auto a = Archives(q.directory).totals();
+int stats(const Query& query) {
+    JournalDatabase database(query.directory, false);
+    const auto s = database.stats();
+    const auto a = Archives(query.directory).totals();
     fmt::print(
         "schema {}\nrequests {}\nattempts {}\npossibly ran {}\nunder way {}\ngaps {}\nbytes {}\nfrom {}\nto "
         "{}\n"
         "archives {}\narchived requests {}\narchived bytes {} of {}\n",
-        book.version(), s.requests, s.attempts, s.possibly, s.under_way, s.gaps, s.bytes,
-        show_time(s.first_ms), show_time(s.last_ms), a.archives, a.requests, a.bytes, a.raw_bytes);
-    for (const BootInfo& boot : book.boots()) {
-        fmt::print("start {} of {} at {}{}\n", boot.number, boot.name, show_time(boot.started_ms),
-                   boot.concluded_ms ? ", concluded " + show_time(boot.concluded_ms) : "");
+        database.version(), s.requests, s.attempts, s.possibly_ran, s.under_way, s.gaps, s.bytes,
+        format_time(s.first_ms), format_time(s.last_ms), a.archives, a.requests, a.bytes, a.raw_bytes);
+    for (const BootInfo& boot : database.boots()) {
+        fmt::print("start {} of {} at {}{}\n", boot.number, boot.name, format_time(boot.started_ms),
+                   boot.concluded_ms ? ", concluded " + format_time(boot.concluded_ms) : "");
     }
-    return kFound;
+    return kExitOk;
 }
 
 int run(int argc, char** argv) {
     CLI::App app{"The journal of requests that must not run twice: what was sent where, and what came back."};
     app.name("martenford ledger");
     app.require_subcommand(1);
-    Question q;
+    Query query;
     WriterOptions writer;
     std::int64_t delay_us = 1000, keep_ms = 0, keep_archives_ms = 0;
     int keep_days = 30, keep_archive_days = 400;
-    int result = kFound;
+    int result = kExitOk;
 
     const auto command = [&](const char* name, const char* help) {
         auto* sub = app.add_subcommand(name, help);
-        sub->add_option("--directory", q.directory, "of the journal")->required()->type_name("DIR");
+        sub->add_option("--directory", query.directory, "of the journal")->required()->type_name("DIR");
         return sub;
     };
-    const auto with_times = [&](CLI::App* sub) {
-        sub->add_option("--from", q.from, "taken at or after this")->type_name("TIME");
-        sub->add_option("--to", q.to, "and before this")->type_name("TIME");
+    const auto add_time_options = [&](CLI::App* sub) {
+        sub->add_option("--from", query.from, "taken at or after this")->type_name("TIME");
+        sub->add_option("--to", query.to, "and before this")->type_name("TIME");
     };
-    const auto with_form = [&](CLI::App* sub, std::set<std::string> forms) {
-        sub->add_option("--form", q.form, "of the output")->check(CLI::IsMember(std::move(forms)));
+    const auto add_form_option = [&](CLI::App* sub, std::set<std::string> forms) {
+        sub->add_option("--form", query.form, "of the output")->check(CLI::IsMember(std::move(forms)));
     };
     auto* find_command = command("find", "a request by id or key, or all of a time");
-    find_command->add_option("name", q.name, "the request's id");
-    find_command->add_flag("--key", q.key, "the name is an idempotency key");
-    with_times(find_command);
-    with_form(find_command, {"text", "json"});
+    find_command->add_option("name", query.name, "the request's id");
+    find_command->add_flag("--key", query.key, "the name is an idempotency key");
+    add_time_options(find_command);
+    add_form_option(find_command, {"text", "json"});
     find_command->callback([&] {
-        if (q.name.empty() && q.from.empty()) throw CLI::RequiredError("a name or --from");
-        result = find(q);
+        if (query.name.empty() && query.from.empty()) throw CLI::RequiredError("a name or --from");
+        result = find(query);
     });
     auto* open_command = command("open", "what possibly ran, and nobody knows");
-    open_command->add_flag("--under-way", q.under_way, "also what a running sidecar has open now");
-    with_form(open_command, {"text", "json", "csv"});
-    open_command->callback([&] { result = open_ones(q); });
-    command("verify", "what is wrong with the file and the archives")->callback([&] { result = verify(q); });
+    open_command->add_flag("--under-way", query.under_way, "also what a running sidecar has open now");
+    add_form_option(open_command, {"text", "json", "csv"});
+    open_command->callback([&] { result = show_unresolved(query); });
+    command("verify", "what is wrong with the file and the archives")->callback([&] {
+        result = verify(query);
+    });
     auto* export_command = command("export", "all of it, or of a time");
-    with_times(export_command);
-    with_form(export_command, {"csv", "jsonl", "jsonl.zst"});
+    add_time_options(export_command);
+    add_form_option(export_command, {"csv", "jsonl", "jsonl.zst"});
     export_command->callback([&] {
-        if (q.form == "text") q.form = "jsonl";
-        result = export_all(q);
+        if (query.form == "text") query.form = "jsonl";
+        result = export_requests(query);
     });
     auto* reconcile_command = command("reconcile", "held against the ledger tier's own record");
-    reconcile_command->add_option("file", q.file, "CSV with a column 'id', a line an effect")->required();
-    with_times(reconcile_command);
-    reconcile_command->callback([&] { result = reconcile_with(q); });
+    reconcile_command->add_option("file", query.file, "CSV with a column 'id', a line an effect")->required();
+    add_time_options(reconcile_command);
+    reconcile_command->callback([&] { result = reconcile_file(query); });
     auto* prune_command =
         command("prune", "moves old settled requests to archives, and removes old archives");
     prune_command->add_option("--keep-days", keep_days, "in the file")->check(CLI::Range(0, 36'500));
     prune_command->add_option("--keep-archive-days", keep_archive_days, "archives")
         ->check(CLI::Range(0, 36'500));
-    prune_command->callback([&] { result = prune(q, keep_days, keep_archive_days); });
-    command("stats", "how much it holds, and which starts")->callback([&] { result = stats(q); });
+    prune_command->callback([&] { result = prune(query, keep_days, keep_archive_days); });
+    command("stats", "how much it holds, and which starts")->callback([&] { result = stats(query); });
     replica::ShelfOptions shelf;
     auto* shelf_command = command("shelf", "started by the sidecar itself, for the shared state");
     shelf_command->group("");
     shelf_command->callback([&] {
-        shelf.directory = q.directory;
+        shelf.directory = query.directory;
         result = replica::run_shelf(shelf);
     });
     auto* writer_command = command("writer", "started by the sidecar itself");
     writer_command->group("");
     writer_command->add_option("--descriptor", writer.descriptor);
-    writer_command->add_flag("--heir", writer.heir);
-    writer_command->add_option("--batch-records", writer.batch.most_records);
+    writer_command->add_flag("--heir", writer.successor);
+    writer_command->add_option("--batch-records", writer.batch.max_records);
     writer_command->add_option("--batch-delay-us", delay_us);
-    writer_command->add_option("--most-bytes", writer.most_bytes);
+    writer_command->add_option("--most-bytes", writer.max_bytes);
     writer_command->add_option("--keep-ms", keep_ms);
     writer_command->add_option("--keep-archives-ms", keep_archives_ms);
     writer_command->callback([&] {
-        writer.directory = q.directory;
+        writer.directory = query.directory;
         writer.batch.delay = std::chrono::microseconds(delay_us);
-        writer.keep = std::chrono::milliseconds(keep_ms);
-        writer.keep_archives = std::chrono::milliseconds(keep_archives_ms);
+        writer.journal_retention = std::chrono::milliseconds(keep_ms);
+        writer.archive_retention = std::chrono::milliseconds(keep_archives_ms);
         result = run_writer(writer);
     });
     try {
         app.parse(argc, argv);
     } catch (const CLI::ParseError& error) {
-        return app.exit(error) == 0 ? kFound : kBadUse;
+        return app.exit(error) == 0 ? kExitOk : kExitUsage;
     }
     return result;
 }
--- a/src/command/state.h
+++ b/src/command/state.h
@@ -7,7 +7,7 @@
 
 namespace martenford {
 
-struct StateWords {
+struct StateOptions {
     std::string what;     ///< tables, get, put, delete, settle, conflicts, history, diff or self
     std::string console;  ///< its address; otherwise PROXY_CONSOLE
     std::string table, key, value, reason;
@@ -21,6 +21,6 @@
 /// Prints what the sidecar says. Gives the exit code: 0, 1 where it said no or nothing or copies differ, 2
 /// where the words are off, 3 where a write did not get as far as was asked in time, and may have got further
 /// than is known.
-int ask_state(const StateWords& words);
+int run_state(const StateOptions& options);
 
 }  // namespace martenford
--- a/src/command/why.cpp
+++ b/src/command/why.cpp
@@ -10,29 +10,29 @@
 
 namespace {
 
-constexpr int kNo = 1, kBadUse = 2;
+constexpr int kExitFailure = 1, kExitUsage = 2;
 
-int bad_use(const std::string& what) {
+int usage_error(const std::string& what) {
     log("why: " + what);
-    return kBadUse;
+    return kExitUsage;
 }
 
 }  // namespace
 
-int ask_why(const WhyWords& words) {
-    const auto address = console_address("why", words.console);
-    if (!address) return kBadUse;
-    const auto since = parse_duration(words.since);
+int run_why(const WhyOptions& options) {
+    const auto address = console_address("why", options.console);
+    if (!address) return kExitUsage;
+    const auto since = parse_duration(options.since);
     if (!since || *since < 1s)
-        return bad_use("'" + words.since + "' is no time of a second or more, such as 5m");
+        return usage_error("'" + options.since + "' is no time of a second or more, such as 5m");
     std::string call =
         "why " + std::to_string(std::chrono::duration_cast<std::chrono::seconds>(*since).count());
-    if (!words.id.empty()) call = "story " + words.id;
-    if (words.slowest > 0) call = "slowest " + std::to_string(words.slowest) + " " + words.klass;
-    if (words.latencies) call = "latencies";
+    if (!options.id.empty()) call = "story " + options.id;
+    if (options.slowest > 0) call = "slowest " + std::to_string(options.slowest) + " " + options.klass;
+    if (options.latencies) call = "latencies";
 
-    const auto reply = ask_console("why", *address, call, "is [telemetry] on?");
-    if (!reply) return kNo;
+    const auto reply = call_console("why", *address, call, "is [telemetry] on?");
+    if (!reply) return kExitFailure;
     std::cout << *reply;
     return 0;
 }
--- a/src/command/why.h
+++ b/src/command/why.h
@@ -5,7 +5,7 @@
 
 namespace martenford {
 
-struct WhyWords {
+struct WhyOptions {
     std::string console;  ///< its address; otherwise PROXY_CONSOLE
     std::string id;       ///< of a request; empty: what explains the bad ones
     std::string klass;
@@ -16,6 +16,6 @@
 
 /// Prints what the sidecar says. Gives the exit code: 0, 1 where it said no or nothing, 2 where the words are
 /// off.
-int ask_why(const WhyWords& words);
+int run_why(const WhyOptions& options);
 
 }  // namespace martenford
--- a/src/console/calls.h
+++ b/src/console/calls.h
@@ -8,7 +8,7 @@
 
 namespace martenford {
 
-class Calls {
+class ConsoleCommands {
   public:
     struct Operations {
         std::function<bool()> ready;             ///< whether this process takes clients
@@ -16,9 +16,9 @@
         std::function<bool()> evacuate;          ///< false where the process ends anyway
         std::function<bool()> activate;          ///< the same
         /// Calls of packages that are switched on: lines, or nothing where it is none of theirs.
-        std::function<std::optional<std::string>(std::string_view line)> more{};
+        std::function<std::optional<std::string>(std::string_view line)> extra{};
     };
-    explicit Calls(Operations operations) : operations_(std::move(operations)) {}
+    explicit ConsoleCommands(Operations operations) : operations_(std::move(operations)) {}
 
     /// The whole reply to a call, its last line ended; `line` has no line end of its own. What is no call is
     /// answered NO and changes nothing.
--- a/src/console/console.cpp
+++ b/src/console/console.cpp
@@ -11,22 +11,22 @@
 
 namespace {
 
-constexpr std::size_t kLongestLine = 256;  // bytes: calls have a dozen
-constexpr Duration kLineTime = 2s;         // for the line to come whole
-constexpr Duration kReadTime = 2s;         // for the reply to be read and the connection closed
-constexpr Duration kAcceptAgain = 20ms;    // after running out of descriptors
+constexpr std::size_t kMaxLineBytes = 256;  // bytes: calls have a dozen
+constexpr Duration kRequestTimeout = 2s;    // for the line to come whole
+constexpr Duration kReplyTimeout = 2s;      // for the reply to be read and the connection closed
+constexpr Duration kAcceptRetry = 20ms;     // after running out of descriptors
 constexpr int kBacklog = 128;
 
 }  // namespace
 
-class Console::Caller : public std::enable_shared_from_this<Console::Caller> {
+class Console::Connection : public std::enable_shared_from_this<Console::Connection> {
   public:
-    Caller(Console& console, asio::ip::tcp::socket socket)
-        : console_(console), socket_(std::move(socket)), limit_(console.loop_) {}
+    Connection(Console& console, asio::ip::tcp::socket socket)
+        : console_(console), socket_(std::move(socket)), timeout_(console.loop_) {}
 
-    void start(Callers::iterator place) {
-        place_ = place;
-        limit_.set(Loop::monotonic() + kLineTime, [self = shared_from_this()] {
+    void start(Connections::iterator position) {
+        position_ = position;
+        timeout_.set(Loop::monotonic() + kRequestTimeout, [self = shared_from_this()] {
             self->console_.cut_off_.add();
             self->close();
         });
@@ -35,10 +35,10 @@
     void close() {
         if (std::exchange(closed_, true)) return;
         const auto self = shared_from_this();
-        limit_.cancel();
+        timeout_.cancel();
         error_code ignored;
         socket_.close(ignored);
-        console_.callers_.erase(place_);
+        console_.connections_.erase(position_);
     }
 
   private:
@@ -47,22 +47,22 @@
                                 [self = shared_from_this()](const error_code& error, std::size_t size) {
                                     if (self->closed_) return;
                                     if (error) return self->close();
-                                    self->arrived({self->chunk_.data(), size});
+                                    self->received({self->chunk_.data(), size});
                                 });
     }
-    void arrived(std::string_view piece) {
+    void received(std::string_view chunk) {
         if (replied_) return read();  // until the caller closes
-        const auto end = piece.find('\n');
-        line_.append(piece.substr(0, end));
-        if (line_.size() > kLongestLine) return reply("NO call: the line is too long\n");
-        if (end == piece.npos) return read();
+        const auto end = chunk.find('\n');
+        line_.append(chunk.substr(0, end));
+        if (line_.size() > kMaxLineBytes) return reply("NO call: the line is too long\n");
+        if (end == chunk.npos) return read();
         console_.answered_.add();
-        reply(console_.calls_.reply(line_));
+        reply(console_.commands_.reply(line_));
     }
     void reply(std::string text) {
         replied_ = true;
         text_ = std::move(text);
-        limit_.set(Loop::monotonic() + kReadTime, [self = shared_from_this()] { self->close(); });
+        timeout_.set(Loop::monotonic() + kReplyTimeout, [self = shared_from_this()] { self->close(); });
         asio::async_write(socket_, asio::buffer(text_),
                           [self = shared_from_this()](const error_code& error, std::size_t) {
                               if (self->closed_) return;
@@ -76,18 +76,18 @@
 
     Console& console_;
     asio::ip::tcp::socket socket_;
-    Timer limit_;
-    Callers::iterator place_;
+    Timer timeout_;
+    Connections::iterator position_;
     std::array<char, 128> chunk_{};
     std::string line_, text_;
     bool replied_ = false, closed_ = false;
 };
 
-Console::Console(Loop& loop, const Address& listen, Calls calls, Counters& counters)
+Console::Console(Loop& loop, const Address& listen, ConsoleCommands commands, Counters& counters)
     : loop_(loop),
-      calls_(std::move(calls)),
+      commands_(std::move(commands)),
       acceptor_(loop.io()),
-      again_(loop),
+      accept_timer_(loop),
       answered_(counters.counter("console.answered", "calls of operators answered")),
       cut_off_(counters.counter("console.cut_off", "callers that never said a whole line")) {
     acceptor_.open(listen.protocol());
@@ -99,7 +99,7 @@
 }
 
 Console::~Console() {
-    while (!callers_.empty()) callers_.front()->close();
+    while (!connections_.empty()) connections_.front()->close();
 }
 
 void Console::accept() {
@@ -107,15 +107,15 @@
         if (error == asio::error::operation_aborted) return;
         if (error) {
             // Guards against spinning on a listener that stays ready while nothing can be accepted.
-            if (!callers_.empty()) callers_.front()->close();
-            return again_.set(Loop::monotonic() + kAcceptAgain, [this] { accept(); });
+            if (!connections_.empty()) connections_.front()->close();
+            return accept_timer_.set(Loop::monotonic() + kAcceptRetry, [this] { accept(); });
         }
-        if (callers_.size() >= kMostCallers) {
+        if (connections_.size() >= kMaxConnections) {
             cut_off_.add();
-            callers_.front()->close();
+            connections_.front()->close();
         }
-        const auto caller = std::make_shared<Caller>(*this, std::move(socket));
-        caller->start(callers_.insert(callers_.end(), caller));
+        const auto connection = std::make_shared<Connection>(*this, std::move(socket));
+        connection->start(connections_.insert(connections_.end(), connection));
         accept();
     });
 }
--- a/src/console/console.h
+++ b/src/console/console.h
@@ -16,24 +16,24 @@
 class Console {
   public:
     /// Connections held at most; whoever said least for longest makes room for the next.
-    static constexpr std::size_t kMostCallers = 16;
+    static constexpr std::size_t kMaxConnections = 16;
 
     /// Listens at once. Throws boost::system::system_error where it can't.
-    Console(Loop& loop, const Address& listen, Calls calls, Counters& counters);
+    Console(Loop& loop, const Address& listen, ConsoleCommands commands, Counters& counters);
     ~Console();
     Address listens_at() const { return acceptor_.local_endpoint(); }
 
   private:
-    class Caller;
-    using Callers = std::list<std::shared_ptr<Caller>>;
+    class Connection;
+    using Connections = std::list<std::shared_ptr<Connection>>;
 
     void accept();
 
     Loop& loop_;
-    Calls calls_;
+    ConsoleCommands commands_;
     asio::ip::tcp::acceptor acceptor_;
-    Timer again_;
-    Callers callers_;
+    Timer accept_timer_;
+    Connections connections_;
     Counter &answered_, &cut_off_;
 };
 
--- a/src/console/statsd.cpp
+++ b/src/console/statsd.cpp
@@ -10,10 +10,10 @@
 
 namespace {
 
-struct Name {
-    std::string_view ours, told;
+struct Mapping {
+    std::string_view counter, metric;
 };
-constexpr Name kNames[] = {
+constexpr Mapping kMappings[] = {
     {"requests.served", "success"},     {"requests.refused", "busy"},
     {"requests.failed", "failure"},     {"attempts.written", "backend_calls"},
     {"requests.in_flight", "inflight"}, {"membership.endpoints", "hosts_listed"},
@@ -25,14 +25,14 @@
 std::string statsd(const Counters& counters) {
     std::string text;
     for (const Counters::Entry& entry : counters.entries()) {
-        for (const Name& name : kNames) {
-            if (entry.name != name.ours) continue;
+        for (const Mapping& mapping : kMappings) {
+            if (entry.name != mapping.counter) continue;
             const std::string label = entry.label.empty() ? "" : "." + entry.label;
             if (entry.gauge) {
-                fmt::format_to(std::back_inserter(text), "sidecar.{}{}:{}|g\n", name.told, label,
+                fmt::format_to(std::back_inserter(text), "sidecar.{}{}:{}|g\n", mapping.metric, label,
                                std::llround(entry.gauge()));
             } else {
-                fmt::format_to(std::back_inserter(text), "sidecar.{}{}:{}|c\n", name.told, label,
+                fmt::format_to(std::back_inserter(text), "sidecar.{}{}:{}|c\n", mapping.metric, label,
                                entry.counter.value());
             }
         }
--- a/src/helper/helper.cpp
+++ b/src/helper/helper.cpp
@@ -10,20 +10,20 @@
 namespace martenford {
 
 namespace {
-constexpr const char* kHelper = "martenford-ledger";
+constexpr const char* kHelperName = "martenford-ledger";
 constexpr int kDescriptor = 3;
 }  // namespace
 
-std::string helper_beside_this_program() {
+std::string default_helper_path() {
     std::error_code ignored;
     const auto self = std::filesystem::read_symlink("/proc/self/exe", ignored);
-    return (self.parent_path() / kHelper).string();
+    return (self.parent_path() / kHelperName).string();
 }
 
-pid_t start_helper(std::vector<std::string> words, int descriptor) {
-    std::vector<char*> arguments;
-    for (std::string& word : words) arguments.push_back(word.data());
-    arguments.push_back(nullptr);
+pid_t start_helper(std::vector<std::string> arguments, int descriptor) {
+    std::vector<char*> argv;
+    for (std::string& argument : arguments) argv.push_back(argument.data());
+    argv.push_back(nullptr);
     posix_spawn_file_actions_t actions;
     posix_spawn_file_actions_init(&actions);
     posix_spawn_file_actions_adddup2(&actions, descriptor, kDescriptor);
@@ -36,10 +36,10 @@
     posix_spawnattr_setflags(&attributes, POSIX_SPAWN_SETPGROUP);
     posix_spawnattr_setpgroup(&attributes, 0);
     pid_t pid = -1;
-    const int fault = ::posix_spawn(&pid, words[0].c_str(), &actions, &attributes, arguments.data(), environ);
+    const int error = ::posix_spawn(&pid, arguments[0].c_str(), &actions, &attributes, argv.data(), environ);
     posix_spawnattr_destroy(&attributes);
     posix_spawn_file_actions_destroy(&actions);
-    return fault == 0 ? pid : -1;
+    return error == 0 ? pid : -1;
 }
 
 }  // namespace martenford
--- a/src/helper/helper.h
+++ b/src/helper/helper.h
@@ -9,10 +9,10 @@
 namespace martenford {
 
 /// Where martenford-ledger is unless the configuration says otherwise.
-std::string helper_beside_this_program();
+std::string default_helper_path();
 
 /// Starts `words` with `descriptor` as its 3, and nothing else of this process's open. -1: it can't be
 /// started.
-pid_t start_helper(std::vector<std::string> words, int descriptor);
+pid_t start_helper(std::vector<std::string> arguments, int descriptor);
 
 }  // namespace martenford
--- a/src/ledger/archive.cpp
+++ b/src/ledger/archive.cpp
@@ -30,13 +30,13 @@
 
 namespace {
 
-constexpr const char* kManifest = "archives.json";
+constexpr const char* kManifestFile = "archives.json";
 constexpr std::uint32_t kManifestVersion = 1;
 constexpr int kZstdLevel = 9;
 /// Of one archive, unpacked: a file that claims more is no archive of ours.
-constexpr std::size_t kMostRaw = 256 * 1024 * 1024;
+constexpr std::size_t kMaxRawBytes = 256 * 1024 * 1024;
 
-std::string hex(const unsigned char* bytes, std::size_t size) {
+std::string to_hex(const unsigned char* bytes, std::size_t size) {
     constexpr const char* kDigits = "0123456789abcdef";
     std::string text;
     for (std::size_t i = 0; i < size; ++i) {
@@ -50,18 +50,18 @@
     std::array<unsigned char, EVP_MAX_MD_SIZE> digest{};
     unsigned size = 0;
     EVP_Digest(bytes.data(), bytes.size(), digest.data(), &size, EVP_sha256(), nullptr);
-    return hex(digest.data(), size);
+    return to_hex(digest.data(), size);
 }
 
-[[noreturn]] void fail(const std::string& path) {
+[[noreturn]] void throw_io_error(const std::string& path) {
     throw StoreError(errno == ENOSPC ? Fault::Full : Fault::ReadOnly, path + ": " + std::strerror(errno));
 }
 
 /// On disk under this name, whole, or not at all.
 void write_durably(const std::string& path, std::string_view bytes) {
-    const std::string fresh = path + ".new";
-    const int file = ::open(fresh.c_str(), O_CREAT | O_TRUNC | O_WRONLY | O_CLOEXEC, 0600);
-    if (file < 0) fail(fresh);
+    const std::string temporary = path + ".new";
+    const int file = ::open(temporary.c_str(), O_CREAT | O_TRUNC | O_WRONLY | O_CLOEXEC, 0600);
+    if (file < 0) throw_io_error(temporary);
     bool done = true;
     for (std::size_t at = 0; done && at < bytes.size();) {
         const auto n = ::write(file, bytes.data() + at, bytes.size() - at);
@@ -71,7 +71,7 @@
     done = done && ::fsync(file) == 0;
     const int fault = errno;
     ::close(file);
-    if (done && ::rename(fresh.c_str(), path.c_str()) == 0) {
+    if (done && ::rename(temporary.c_str(), path.c_str()) == 0) {
         const int directory =
             ::open(std::filesystem::path(path).parent_path().c_str(), O_RDONLY | O_DIRECTORY | O_CLOEXEC);
         if (directory >= 0) {
@@ -82,9 +82,9 @@
     }
     errno = done ? errno : fault;
     const int why = errno;
-    ::unlink(fresh.c_str());
+    ::unlink(temporary.c_str());
     errno = why;
-    fail(path);
+    throw_io_error(path);
 }
 
 std::string read_file(const std::string& path) {
@@ -92,35 +92,35 @@
     return std::string((std::istreambuf_iterator<char>(file)), {});
 }
 
-std::string filter_of(const std::string& file) {
+std::string filter_file(const std::string& file) {
     return file + ".filter";
 }
 
 }  // namespace
 
-std::pair<std::uint64_t, std::uint64_t> Filter::hashes(std::string_view text) {
+std::pair<std::uint64_t, std::uint64_t> BloomFilter::hashes(std::string_view text) {
     const XXH128_hash_t both = XXH3_128bits(text.data(), text.size());
     return {both.low64, both.high64 | 1};
 }
 
-story::Story story_of(const Entry& entry) {
+story::Story to_proto(const Entry& entry) {
     story::Story to;
-    const Life& life = entry.life;
+    const RequestHistory& history = entry.history;
     to.set_sidecar(entry.sidecar);
     to.set_boot(static_cast<std::uint64_t>(entry.boot));
     to.set_serial(entry.serial);
-    to.set_id(life.id());
-    to.set_klass(life.klass());
-    to.set_key(life.key());
-    to.set_digest(life.digest());
-    to.set_taken_ms(life.taken_ms());
-    to.set_taken_mono_ns(life.taken_mono_ns());
-    to.set_answer(std::string(name_of(life.answer())));
-    to.set_answered_ms(life.answered_ms());
-    to.set_effect(std::string(name_of(entry.concluded.value_or(life.effect()))));
-    to.set_reason(life.reason());
+    to.set_id(history.id());
+    to.set_klass(history.klass());
+    to.set_key(history.key());
+    to.set_digest(history.digest());
+    to.set_taken_ms(history.taken_ms());
+    to.set_taken_mono_ns(history.taken_mono_ns());
+    to.set_answer(std::string(name_of(history.answer())));
+    to.set_answered_ms(history.answered_ms());
+    to.set_effect(std::string(name_of(entry.concluded.value_or(history.effect()))));
+    to.set_reason(history.reason());
     to.set_under_way(!entry.concluded);
-    for (const auto& [number, attempt] : life.attempts()) {
+    for (const auto& [number, attempt] : history.attempts()) {
         auto& a = *to.add_attempts();
         a.set_number(number);
         a.set_uid(attempt.uid);
@@ -137,12 +137,12 @@
 
 story::Manifest Archives::manifest() const {
     story::Manifest result;
-    const std::string text = read_file(path(kManifest));
+    const std::string text = read_file(path(kManifestFile));
     if (text.empty()) return result;
     if (!google::protobuf::util::JsonStringToMessage(text, &result).ok())
-        throw StoreError(Fault::Corrupt, path(kManifest) + ": can't be read");
+        throw StoreError(Fault::Corrupt, path(kManifestFile) + ": can't be read");
     if (result.version() > kManifestVersion)
-        throw StoreError(Fault::Newer, path(kManifest) + ": written by a later version of this program");
+        throw StoreError(Fault::Newer, path(kManifestFile) + ": written by a later version of this program");
     return result;
 }
 
@@ -151,135 +151,139 @@
     google::protobuf::util::JsonPrintOptions pretty;
     pretty.add_whitespace = true;
     if (!google::protobuf::util::MessageToJsonString(manifest, &text, pretty).ok())
-        throw StoreError(Fault::Other, path(kManifest) + ": can't be written as JSON");
-    write_durably(path(kManifest), text);
+        throw StoreError(Fault::Other, path(kManifestFile) + ": can't be written as JSON");
+    write_durably(path(kManifestFile), text);
 }
 
-std::size_t Archives::move_settled(Book& book, std::int64_t before_ms, std::size_t least) {
-    const auto entries = book.settled_before(before_ms, kMostRequests);
-    if (entries.size() < std::max<std::size_t>(least, 1)) return 0;
+std::size_t Archives::move_settled(JournalDatabase& database, std::int64_t before_ms,
+                                   std::size_t min_requests) {
+    const auto entries = database.settled_before(before_ms, kMaxRequests);
+    if (entries.size() < std::max<std::size_t>(min_requests, 1)) return 0;
     std::string raw;
-    Filter filter(entries.size() * 2);
+    BloomFilter filter(entries.size() * 2);
     story::ArchiveInfo info;
     {
         google::protobuf::io::StringOutputStream stream(&raw);
         for (const Entry& entry : entries) {
-            google::protobuf::util::SerializeDelimitedToZeroCopyStream(story_of(entry), &stream);
-            filter.add(entry.life.id());
-            if (!entry.life.key().empty()) filter.add(entry.life.key());
+            google::protobuf::util::SerializeDelimitedToZeroCopyStream(to_proto(entry), &stream);
+            filter.add(entry.history.id());
+            if (!entry.history.key().empty()) filter.add(entry.history.key());
         }
     }
-    std::string packed(ZSTD_compressBound(raw.size()), '\0');
-    const std::size_t size = ZSTD_compress(packed.data(), packed.size(), raw.data(), raw.size(), kZstdLevel);
+    std::string compressed(ZSTD_compressBound(raw.size()), '\0');
+    const std::size_t size =
+        ZSTD_compress(compressed.data(), compressed.size(), raw.data(), raw.size(), kZstdLevel);
     if (ZSTD_isError(size)) throw StoreError(Fault::Other, std::string("zstd: ") + ZSTD_getErrorName(size));
-    packed.resize(size);
-    info.set_sha256(sha256(packed));
+    compressed.resize(size);
+    info.set_sha256(sha256(compressed));
     info.set_filter_sha256(sha256(filter.bytes()));
     info.set_requests(entries.size());
-    info.set_first_ms(entries.front().life.taken_ms());
-    info.set_last_ms(entries.back().life.taken_ms());
+    info.set_first_ms(entries.front().history.taken_ms());
+    info.set_last_ms(entries.back().history.taken_ms());
     info.set_raw_bytes(raw.size());
-    info.set_bytes(packed.size());
+    info.set_bytes(compressed.size());
     // Named by what is in it: after a crash half way the same requests make the same file again.
     info.set_file("archive-" + std::to_string(info.first_ms()) + "-" + info.sha256().substr(0, 12) + ".zst");
-    write_durably(path(info.file()), packed);
-    write_durably(path(filter_of(info.file())), filter.bytes());
+    write_durably(path(info.file()), compressed);
+    write_durably(path(filter_file(info.file())), filter.bytes());
     auto all = manifest();
     all.set_version(kManifestVersion);
     const bool listed = std::any_of(all.archives().begin(), all.archives().end(),
-                                    [&](const auto& each) { return each.file() == info.file(); });
+                                    [&](const auto& archive) { return archive.file() == info.file(); });
     if (!listed) {
         *all.add_archives() = info;
         write_manifest(all);
     }
-    book.remove(entries);
+    database.remove(entries);
     return entries.size();
 }
 
 std::size_t Archives::prune(std::int64_t before_ms) {
     const auto all = manifest();
-    story::Manifest kept;
-    kept.set_version(kManifestVersion);
-    std::vector<std::string> gone;
+    story::Manifest remaining;
+    remaining.set_version(kManifestVersion);
+    std::vector<std::string> removed;
     for (const auto& info : all.archives()) {
         if (info.last_ms() < before_ms) {
-            gone.push_back(info.file());
+            removed.push_back(info.file());
         } else {
-            *kept.add_archives() = info;
+            *remaining.add_archives() = info;
         }
     }
-    if (gone.empty()) return 0;
-    write_manifest(kept);  // first: a file that is listed is there
-    for (const std::string& file : gone) {
+    if (removed.empty()) return 0;
+    write_manifest(remaining);  // first: a file that is listed is there
+    for (const std::string& file : removed) {
         ::unlink(path(file).c_str());
-        ::unlink(path(filter_of(file)).c_str());
+        ::unlink(path(filter_file(file)).c_str());
     }
-    return gone.size();
+    return removed.size();
 }
 
 /// Reads the few bytes that decide. Where the filter is missing or not as long as it was the archive is read.
-bool Archives::may_hold(const story::ArchiveInfo& info, const std::string& text) {
-    const int file = ::open(path(filter_of(info.file())).c_str(), O_RDONLY | O_CLOEXEC);
+bool Archives::may_contain(const story::ArchiveInfo& info, const std::string& text) {
+    const int file = ::open(path(filter_file(info.file())).c_str(), O_RDONLY | O_CLOEXEC);
     if (file < 0) return true;
-    struct stat about {};
+    struct stat status {};
     bool result = true;
-    if (::fstat(file, &about) == 0 && about.st_size > 0) {
-        result = Filter::may_hold(text, static_cast<std::size_t>(about.st_size), [&](std::uint64_t at) {
-            unsigned char byte = 0xff;
-            if (::pread(file, &byte, 1, static_cast<off_t>(at)) != 1) byte = 0xff;
-            return byte;
-        });
+    if (::fstat(file, &status) == 0 && status.st_size > 0) {
+        result =
+            BloomFilter::may_contain(text, static_cast<std::size_t>(status.st_size), [&](std::uint64_t at) {
+                unsigned char byte = 0xff;
+                if (::pread(file, &byte, 1, static_cast<off_t>(at)) != 1) byte = 0xff;
+                return byte;
+            });
     }
     ::close(file);
     return result;
 }
 
-bool Archives::read(const story::ArchiveInfo& info, const Each& each) {
+bool Archives::read(const story::ArchiveInfo& info, const Visitor& visit) {
     ++archives_read_;
-    const std::string packed = read_file(path(info.file()));
-    if (sha256(packed) != info.sha256()) {
-        troubles_.push_back(info.file() + ": is not as it was written (SHA-256); its " +
-                            std::to_string(info.requests()) + " requests are passed over");
+    const std::string compressed = read_file(path(info.file()));
+    if (sha256(compressed) != info.sha256()) {
+        errors_.push_back(info.file() + ": is not as it was written (SHA-256); its " +
+                          std::to_string(info.requests()) + " requests are passed over");
         return true;
     }
-    const auto size = ZSTD_getFrameContentSize(packed.data(), packed.size());
+    const auto size = ZSTD_getFrameContentSize(compressed.data(), compressed.size());
     std::string raw;
-    if (size <= kMostRaw) raw.resize(size);
-    if (raw.empty() || ZSTD_isError(ZSTD_decompress(raw.data(), raw.size(), packed.data(), packed.size()))) {
-        troubles_.push_back(info.file() + ": can't be unpacked");
+    if (size <= kMaxRawBytes) raw.resize(size);
+    if (raw.empty() ||
+        ZSTD_isError(ZSTD_decompress(raw.data(), raw.size(), compressed.data(), compressed.size()))) {
+        errors_.push_back(info.file() + ": can't be unpacked");
         return true;
     }
     google::protobuf::io::ArrayInputStream stream(raw.data(), static_cast<int>(raw.size()));
     for (bool end = false; !end;) {
         story::Story story;
         if (!google::protobuf::util::ParseDelimitedFromZeroCopyStream(&story, &stream, &end)) {
-            if (!end) troubles_.push_back(info.file() + ": a request in it can't be read");
+            if (!end) errors_.push_back(info.file() + ": a request in it can't be read");
             return true;
         }
-        if (!each(story)) return false;
+        if (!visit(story)) return false;
     }
     return true;
 }
 
-void Archives::by_name(const std::string& id_or_key, bool key, const Each& each) {
+void Archives::by_id_or_key(const std::string& id_or_key, bool key, const Visitor& visit) {
     const auto all = manifest();
     for (const auto& info : all.archives()) {
-        if (!may_hold(info, id_or_key)) continue;
-        const bool go_on = read(info, [&](const story::Story& story) {
-            return (key ? story.key() : story.id()) != id_or_key || each(story);
+        if (!may_contain(info, id_or_key)) continue;
+        const bool more = read(info, [&](const story::Story& story) {
+            return (key ? story.key() : story.id()) != id_or_key || visit(story);
         });
-        if (!go_on) return;
+        if (!more) return;
     }
 }
 
-void Archives::by_time(std::int64_t from_ms, std::int64_t to_ms, const Each& each) {
+void Archives::by_time(std::int64_t from_ms, std::int64_t to_ms, const Visitor& visit) {
     const auto all = manifest();
     for (const auto& info : all.archives()) {
         if (info.last_ms() < from_ms || info.first_ms() >= to_ms) continue;
-        const bool go_on = read(info, [&](const story::Story& story) {
-            return story.taken_ms() < from_ms || story.taken_ms() >= to_ms || each(story);
+        const bool more = read(info, [&](const story::Story& story) {
+            return story.taken_ms() < from_ms || story.taken_ms() >= to_ms || visit(story);
         });
-        if (!go_on) return;
+        if (!more) return;
     }
 }
 
@@ -300,16 +304,16 @@
     const auto all = manifest();
     for (const auto& info : all.archives()) {
         std::uint64_t requests = 0;
-        const std::size_t before = troubles_.size();
+        const std::size_t before = errors_.size();
         read(info, [&](const story::Story&) { return ++requests > 0; });
-        if (troubles_.size() > before) {
-            found.push_back(troubles_.back());
+        if (errors_.size() > before) {
+            found.push_back(errors_.back());
         } else if (requests != info.requests()) {
             found.push_back(info.file() + ": holds " + std::to_string(requests) + " requests, not " +
                             std::to_string(info.requests()));
         }
-        if (sha256(read_file(path(filter_of(info.file())))) != info.filter_sha256())
-            found.push_back(filter_of(info.file()) + ": is not as it was written (SHA-256)");
+        if (sha256(read_file(path(filter_file(info.file())))) != info.filter_sha256())
+            found.push_back(filter_file(info.file()) + ": is not as it was written (SHA-256)");
     }
     return found;
 }
--- a/src/ledger/book.cpp
+++ b/src/ledger/book.cpp
@@ -12,7 +12,7 @@
 namespace {
 
 /// Requests under way that are kept in memory; one that is not is read from the file.
-constexpr std::size_t kMostLive = 65'536;
+constexpr std::size_t kMaxCached = 65'536;
 
 // `effect` is what Life says; `settled` is 1 once nothing more can come: it is over, or its boot has ended.
 const std::vector<store::Migration> kSchema{
@@ -58,7 +58,7 @@
 
 }  // namespace
 
-struct Book::Statements {
+struct JournalDatabase::Statements {
     explicit Statements(Database& db)
         : insert_request(
               db,
@@ -83,8 +83,9 @@
         load_attempts;
 };
 
-Book::Book(const std::string& directory, bool for_writing, const store::Options& options)
-    : database_(directory + "/" + kBookName, [&] {
+JournalDatabase::JournalDatabase(const std::string& directory, bool for_writing,
+                                 const store::Options& options)
+    : database_(directory + "/" + kDatabaseFile, [&] {
           store::Options result = options;
           result.read_only = !for_writing;
           return result;
@@ -96,14 +97,14 @@
                                 directory + ": written by a later version of this program");
     }
 }
-Book::~Book() = default;
+JournalDatabase::~JournalDatabase() = default;
 
-Book::Statements& Book::prepared() {
+JournalDatabase::Statements& JournalDatabase::prepared() {
     if (!statements_) statements_ = std::make_unique<Statements>(database_);
     return *statements_;
 }
 
-std::int64_t Book::open_boot(const Hello& hello) {
+std::int64_t JournalDatabase::register_boot(const Hello& hello) {
     std::int64_t number = 0;
     database_.transaction([&] {
         Statement insert(database_, "INSERT OR IGNORE INTO boot (id, name, started_ms) VALUES (?,?,?)");
@@ -115,23 +116,23 @@
     return number;
 }
 
-void Book::write(std::int64_t boot, const std::vector<Record>& records) {
-    if (boot != std::exchange(live_boot_, boot)) {
-        live_.clear();
+void JournalDatabase::write(std::int64_t boot, const std::vector<Record>& records) {
+    if (boot != std::exchange(cached_boot_, boot)) {
+        cached_.clear();
         Statement last(database_, "SELECT MAX(serial) FROM request WHERE boot = ?");
         last.bind_all(boot).step();
         last_serial_ = static_cast<std::uint64_t>(last.number(0));
     }
     // By serial: each request is written once a batch, however many records it has there.
     struct Change {
-        Life before, after;
-        bool there = false;
+        RequestHistory before, after;
+        bool exists = false;
     };
     std::map<std::uint64_t, Change> changes;
     std::uint64_t last_serial = last_serial_;
     database_.transaction([&] {
         for (const Record& record : records) {
-            if (const auto* gap = std::get_if<Gap>(&record.what)) {
+            if (const auto* gap = std::get_if<Gap>(&record.payload)) {
                 prepared()
                     .save_gap
                     .bind_all(boot, record.sequence, gap->from_ms, record.wall_ms, gap->requests,
@@ -142,159 +143,167 @@
             const auto [it, first] = changes.try_emplace(record.serial);
             Change& change = it->second;
             if (first && record.serial <= last_serial_) {
-                const auto live = live_.find(record.serial);
-                if (auto held =
-                        live != live_.end() ? std::optional(live->second) : load(boot, record.serial)) {
-                    change.before = change.after = std::move(*held);
-                    change.there = true;
+                const auto cached = cached_.find(record.serial);
+                if (auto known =
+                        cached != cached_.end() ? std::optional(cached->second) : load(boot, record.serial)) {
+                    change.before = change.after = std::move(*known);
+                    change.exists = true;
                 }
             }
-            change.after.join(record);
+            change.after.merge(record);
             last_serial = std::max(last_serial, record.serial);
         }
         for (const auto& [serial, change] : changes) {
-            save(boot, serial, change.after, change.there ? &change.before : nullptr);
+            save(boot, serial, change.after, change.exists ? &change.before : nullptr);
         }
     });
     // Only now: what was not committed must not be taken for known.
     last_serial_ = last_serial;
     for (auto& [serial, change] : changes) {
-        if (change.after.over()) {
-            live_.erase(serial);
-        } else if (live_.size() < kMostLive || live_.contains(serial)) {
-            live_.insert_or_assign(serial, std::move(change.after));
+        if (change.after.is_complete()) {
+            cached_.erase(serial);
+        } else if (cached_.size() < kMaxCached || cached_.contains(serial)) {
+            cached_.insert_or_assign(serial, std::move(change.after));
         }
     }
 }
 
-void Book::save(std::int64_t boot, std::uint64_t serial, const Life& life, const Life* before) {
-    if (before && *before == life) return;  // known already
-    auto& s = prepared();
-    const auto text_or_null = [](Statement& to, int at, const std::string& text) {
-        text.empty() ? to.bind(at, Statement::Null{}) : to.bind(at, std::string_view(text));
+void JournalDatabase::save(std::int64_t boot, std::uint64_t serial, const RequestHistory& history,
+                           const RequestHistory* before) {
+    if (before && *before == history) return;  // known already
+    auto& statements = prepared();
+    const auto text_or_null = [](Statement& statement, int at, const std::string& text) {
+        text.empty() ? statement.bind(at, Statement::Null{}) : statement.bind(at, std::string_view(text));
     };
-    const auto blob_or_null = [](Statement& to, int at, const std::string& bytes) {
-        bytes.empty() ? to.bind(at, Statement::Null{}) : to.bind(at, Statement::Blob{bytes});
+    const auto blob_or_null = [](Statement& statement, int at, const std::string& bytes) {
+        bytes.empty() ? statement.bind(at, Statement::Null{}) : statement.bind(at, Statement::Blob{bytes});
     };
-    const auto identify = [&](Statement& to, int at) {
-        to.bind(at, std::string_view(life.id()));
-        to.bind(at + 1, std::string_view(life.klass()));
-        text_or_null(to, at + 2, life.key());
-        blob_or_null(to, at + 3, life.digest());
-        to.bind(at + 4, life.taken_ms());
-        to.bind(at + 5, life.taken_mono_ns());
+    const auto identify = [&](Statement& statement, int at) {
+        statement.bind(at, std::string_view(history.id()));
+        statement.bind(at + 1, std::string_view(history.klass()));
+        text_or_null(statement, at + 2, history.key());
+        blob_or_null(statement, at + 3, history.digest());
+        statement.bind(at + 4, history.taken_ms());
+        statement.bind(at + 5, history.taken_mono_ns());
     };
-    const auto answer = static_cast<int>(life.answer()), effect = static_cast<int>(life.effect());
-    const int settled = life.over() ? 1 : 0;
+    const auto answer = static_cast<int>(history.answer()), effect = static_cast<int>(history.effect());
+    const int settled = history.is_complete() ? 1 : 0;
     if (!before) {
-        s.insert_request.bind_all(boot, serial);
-        identify(s.insert_request, 3);
-        s.insert_request.bind(9, answer);
-        s.insert_request.bind(10, life.answered_ms());
-        s.insert_request.bind(11, effect);
-        s.insert_request.bind(12, settled);
-        s.insert_request.run();
+        statements.insert_request.bind_all(boot, serial);
+        identify(statements.insert_request, 3);
+        statements.insert_request.bind(9, answer);
+        statements.insert_request.bind(10, history.answered_ms());
+        statements.insert_request.bind(11, effect);
+        statements.insert_request.bind(12, settled);
+        statements.insert_request.run();
     } else {
-        s.update_request.bind_all(answer, life.answered_ms(), effect, settled, boot, serial).run();
-        if (before->id() != life.id() || before->key() != life.key() ||
-            before->taken_ms() != life.taken_ms()) {
-            s.identify_request.reset();
-            identify(s.identify_request, 1);
-            s.identify_request.bind(7, boot);
-            s.identify_request.bind(8, serial);
-            s.identify_request.run();
+        statements.update_request.bind_all(answer, history.answered_ms(), effect, settled, boot, serial)
+            .run();
+        if (before->id() != history.id() || before->key() != history.key() ||
+            before->taken_ms() != history.taken_ms()) {
+            statements.identify_request.reset();
+            identify(statements.identify_request, 1);
+            statements.identify_request.bind(7, boot);
+            statements.identify_request.bind(8, serial);
+            statements.identify_request.run();
         }
     }
-    for (const auto& [number, a] : life.attempts()) {
+    for (const auto& [number, attempt] : history.attempts()) {
         if (before) {
-            const auto was = before->attempts().find(number);
-            if (was != before->attempts().end() && was->second == a) continue;
+            const auto previous = before->attempts().find(number);
+            if (previous != before->attempts().end() && previous->second == attempt) continue;
         }
-        s.save_attempt
-            .bind_all(boot, serial, number, std::string_view(a.uid), std::string_view(a.address), a.intent_ms,
-                      a.written_ms, a.ended_ms, static_cast<int>(a.ending))
+        statements.save_attempt
+            .bind_all(boot, serial, number, std::string_view(attempt.uid), std::string_view(attempt.address),
+                      attempt.intent_ms, attempt.written_ms, attempt.ended_ms,
+                      static_cast<int>(attempt.ending))
             .run();
     }
 }
 
-std::optional<Life> Book::load(std::int64_t boot, std::uint64_t serial) {
-    Statement& one = prepared().load_request;
-    if (!one.bind_all(boot, serial).step()) return std::nullopt;
-    Life::Head head{one.text(0),   one.text(1),   one.text(2),   one.text(3),
-                    one.number(4), one.number(5), one.number(6), static_cast<Final>(one.number(7))};
-    one.reset();
-    std::map<std::uint32_t, AttemptLife> attempts;
-    Statement& all = prepared().load_attempts;
-    all.bind_all(boot, serial);
-    while (all.step()) {
-        attempts.emplace(static_cast<std::uint32_t>(all.number(0)),
-                         AttemptLife{all.text(1), all.text(2), all.number(3), all.number(4), all.number(5),
-                                     static_cast<Ending>(all.number(6))});
+std::optional<RequestHistory> JournalDatabase::load(std::int64_t boot, std::uint64_t serial) {
+    Statement& row = prepared().load_request;
+    if (!row.bind_all(boot, serial).step()) return std::nullopt;
+    RequestHistory::StoredFields fields{
+        row.text(0),   row.text(1),   row.text(2),   row.text(3),
+        row.number(4), row.number(5), row.number(6), static_cast<FinalAnswer>(row.number(7))};
+    row.reset();
+    std::map<std::uint32_t, AttemptHistory> attempts;
+    Statement& rows = prepared().load_attempts;
+    rows.bind_all(boot, serial);
+    while (rows.step()) {
+        attempts.emplace(static_cast<std::uint32_t>(rows.number(0)),
+                         AttemptHistory{rows.text(1), rows.text(2), rows.number(3), rows.number(4),
+                                        rows.number(5), static_cast<Ending>(rows.number(6))});
     }
-    all.reset();
-    return Life::of(std::move(head), std::move(attempts));
+    rows.reset();
+    return RequestHistory::restore(std::move(fields), std::move(attempts));
 }
 
-bool Book::conclude_before(std::int64_t boot, std::int64_t now_ms, std::size_t most) {
-    std::vector<std::pair<std::int64_t, std::uint64_t>> open;
+bool JournalDatabase::conclude_earlier_boots(std::int64_t boot, std::int64_t now_ms,
+                                             std::size_t max_requests) {
+    std::vector<std::pair<std::int64_t, std::uint64_t>> open_requests;
     Statement find(database_, "SELECT boot, serial FROM request WHERE settled = 0 AND boot < ? LIMIT ?");
-    find.bind_all(boot, static_cast<std::uint64_t>(most));
-    while (find.step()) open.emplace_back(find.number(0), static_cast<std::uint64_t>(find.number(1)));
+    find.bind_all(boot, static_cast<std::uint64_t>(max_requests));
+    while (find.step())
+        open_requests.emplace_back(find.number(0), static_cast<std::uint64_t>(find.number(1)));
     find.reset();
     database_.transaction([&] {
         Statement settle(database_,
                          "UPDATE request SET settled = 1, effect = ? WHERE boot = ? AND serial = ?");
-        for (const auto& [of, serial] : open) {
-            const auto life = load(of, serial);
-            settle.bind_all(static_cast<int>(life ? life->effect() : Effect::MayHaveRun), of, serial).run();
+        for (const auto& [of, serial] : open_requests) {
+            const auto history = load(of, serial);
+            settle.bind_all(static_cast<int>(history ? history->effect() : Effect::MayHaveRun), of, serial)
+                .run();
         }
-        if (open.size() < most) {
-            Statement ended(database_,
-                            "UPDATE boot SET concluded_ms = ? WHERE number < ? AND concluded_ms = 0");
-            ended.bind_all(now_ms, boot).run();
+        if (open_requests.size() < max_requests) {
+            Statement conclude(database_,
+                               "UPDATE boot SET concluded_ms = ? WHERE number < ? AND concluded_ms = 0");
+            conclude.bind_all(now_ms, boot).run();
         }
     });
-    return open.size() < most;
+    return open_requests.size() < max_requests;
 }
 
 // ---- questions ------------------------------------------------------------------------------------
 
-void Book::each_of(Statement& rows, const Each& each) {
+void JournalDatabase::visit_rows(Statement& rows, const Visitor& visit) {
     while (rows.step()) {
         Entry entry;
         entry.boot = rows.number(0);
         entry.serial = static_cast<std::uint64_t>(rows.number(1));
         entry.sidecar = rows.text(2);
-        Life::Head head{rows.text(3),   rows.text(4),   rows.text(5),   rows.text(6),
-                        rows.number(7), rows.number(8), rows.number(9), static_cast<Final>(rows.number(10))};
+        RequestHistory::StoredFields fields{
+            rows.text(3),   rows.text(4),   rows.text(5),   rows.text(6),
+            rows.number(7), rows.number(8), rows.number(9), static_cast<FinalAnswer>(rows.number(10))};
         if (rows.number(12) != 0) entry.concluded = static_cast<Effect>(rows.number(11));
-        std::map<std::uint32_t, AttemptLife> attempts;
-        if (auto life = load(entry.boot, entry.serial)) attempts = life->attempts();
-        entry.life = Life::of(std::move(head), std::move(attempts));
-        if (!each(entry)) break;
+        std::map<std::uint32_t, AttemptHistory> attempts;
+        if (auto history = load(entry.boot, entry.serial)) attempts = history->attempts();
+        entry.history = RequestHistory::restore(std::move(fields), std::move(attempts));
+        if (!visit(entry)) break;
     }
     rows.reset();
 }
 
-void Book::by_id(const std::string& id, const Each& each) {
+void JournalDatabase::by_id(const std::string& id, const Visitor& visit) {
     Statement rows(database_, select("WHERE r.id = ? ORDER BY r.taken_ms"));
-    each_of(rows.bind_all(std::string_view(id)), each);
+    visit_rows(rows.bind_all(std::string_view(id)), visit);
 }
-void Book::by_key(const std::string& key, const Each& each) {
+void JournalDatabase::by_key(const std::string& key, const Visitor& visit) {
     Statement rows(database_, select("WHERE r.key = ? ORDER BY r.taken_ms"));
-    each_of(rows.bind_all(std::string_view(key)), each);
+    visit_rows(rows.bind_all(std::string_view(key)), visit);
 }
-void Book::by_time(std::int64_t from_ms, std::int64_t to_ms, const Each& each) {
+void JournalDatabase::by_time(std::int64_t from_ms, std::int64_t to_ms, const Visitor& visit) {
     Statement rows(database_, select("WHERE r.taken_ms >= ? AND r.taken_ms < ? ORDER BY r.taken_ms"));
-    each_of(rows.bind_all(from_ms, to_ms), each);
+    visit_rows(rows.bind_all(from_ms, to_ms), visit);
 }
-void Book::open_ones(bool under_way, const Each& each) {
+void JournalDatabase::unresolved(bool under_way, const Visitor& visit) {
     Statement rows(database_, select(under_way ? "WHERE r.effect = 1 ORDER BY r.taken_ms"
                                                : "WHERE r.effect = 1 AND r.settled = 1 ORDER BY r.taken_ms"));
-    each_of(rows, each);
+    visit_rows(rows, visit);
 }
 
-std::vector<Book::GapInfo> Book::gaps(std::int64_t from_ms, std::int64_t to_ms) {
+std::vector<JournalDatabase::GapInfo> JournalDatabase::gaps(std::int64_t from_ms, std::int64_t to_ms) {
     Statement rows(database_,
                    "SELECT boot, from_ms, to_ms, requests, reason FROM gap WHERE to_ms >= ? AND from_ms <= ? "
                    "ORDER BY from_ms");
@@ -307,7 +316,7 @@
     return result;
 }
 
-std::vector<BootInfo> Book::boots() {
+std::vector<BootInfo> JournalDatabase::boots() {
     Statement rows(database_, "SELECT number, id, name, started_ms, concluded_ms FROM boot ORDER BY number");
     std::vector<BootInfo> result;
     while (rows.step()) {
@@ -317,12 +326,12 @@
     return result;
 }
 
-Book::Stats Book::stats() {
+JournalDatabase::Stats JournalDatabase::stats() {
     const auto count = [&](const char* sql) { return static_cast<std::uint64_t>(database_.number(sql)); };
     Stats result;
     result.requests = count("SELECT COUNT(*) FROM request");
     result.attempts = count("SELECT COUNT(*) FROM attempt");
-    result.possibly = count("SELECT COUNT(*) FROM request WHERE effect = 1 AND settled = 1");
+    result.possibly_ran = count("SELECT COUNT(*) FROM request WHERE effect = 1 AND settled = 1");
     result.under_way = count("SELECT COUNT(*) FROM request WHERE settled = 0");
     result.gaps = count("SELECT COUNT(*) FROM gap");
     result.bytes = database_.bytes();
@@ -331,7 +340,7 @@
     return result;
 }
 
-std::vector<std::string> Book::verify() {
+std::vector<std::string> JournalDatabase::verify() {
     std::vector<std::string> found;
     if (auto wrong = database_.check(); !wrong.empty()) found.push_back("the file: " + wrong);
     const auto rows_that = [&](const char* sql, const char* what) {
@@ -351,20 +360,20 @@
     return found;
 }
 
-std::vector<Entry> Book::settled_before(std::int64_t before_ms, std::size_t most) {
+std::vector<Entry> JournalDatabase::settled_before(std::int64_t before_ms, std::size_t max_requests) {
     // What may have run waits for somebody to look into it: it is not old before it is reconciled.
     Statement rows(
         database_,
         select("WHERE r.taken_ms < ? AND r.settled = 1 AND r.effect <> 1 ORDER BY r.taken_ms LIMIT ?"));
     std::vector<Entry> result;
-    each_of(rows.bind_all(before_ms, static_cast<std::uint64_t>(most)), [&](const Entry& entry) {
+    visit_rows(rows.bind_all(before_ms, static_cast<std::uint64_t>(max_requests)), [&](const Entry& entry) {
         result.push_back(entry);
         return true;
     });
     return result;
 }
 
-void Book::remove(const std::vector<Entry>& entries) {
+void JournalDatabase::remove(const std::vector<Entry>& entries) {
     database_.transaction([&] {
         Statement request(database_, "DELETE FROM request WHERE boot = ? AND serial = ? AND settled = 1");
         Statement attempts(database_, "DELETE FROM attempt WHERE boot = ? AND serial = ?");
--- a/src/ledger/digest.h
+++ b/src/ledger/digest.h
@@ -8,15 +8,15 @@
 
 namespace martenford::ledger {
 
-class Digest {
+class BodyDigest {
   public:
     /// Reads the key: 16 to 4,096 bytes. Throws std::runtime_error, naming the file.
-    explicit Digest(const std::string& key_file);
-    ~Digest();
-    Digest(const Digest&) = delete;
-    Digest& operator=(const Digest&) = delete;
+    explicit BodyDigest(const std::string& key_file);
+    ~BodyDigest();
+    BodyDigest(const BodyDigest&) = delete;
+    BodyDigest& operator=(const BodyDigest&) = delete;
 
-    std::string of(std::string_view body) const;
+    std::string compute(std::string_view body) const;
 
   private:
     struct Mac;
--- a/src/ledger/frame.cpp
+++ b/src/ledger/frame.cpp
@@ -44,30 +44,32 @@
             gap.set_reason(from.reason);
         }
     };
-    std::visit(Visitor{to}, from.what);
+    std::visit(Visitor{to}, from.payload);
 }
 
 Record read_record(const link::Record& from) {
     Record record{from.sequence(), from.serial(), from.wall_ms(), from.mono_ns(), from.urgent(), {}};
     switch (from.what_case()) {
         case link::Record::kIntent:
-            record.what = Intent{from.intent().attempt(), from.intent().id(),     from.intent().klass(),
-                                 from.intent().key(),     from.intent().digest(), from.intent().uid(),
-                                 from.intent().address()};
+            record.payload = Intent{from.intent().attempt(), from.intent().id(),     from.intent().klass(),
+                                    from.intent().key(),     from.intent().digest(), from.intent().uid(),
+                                    from.intent().address()};
             return record;
         case link::Record::kWritten:
-            record.what = Written{from.written().attempt()};
+            record.payload = Written{from.written().attempt()};
             return record;
         case link::Record::kEnded:
-            if (from.ended().ending() >= kEndings) throw FrameError("a record has an ending that is none");
-            record.what = Ended{from.ended().attempt(), static_cast<Ending>(from.ended().ending())};
+            if (from.ended().ending() >= kEndingCount)
+                throw FrameError("a record has an ending that is none");
+            record.payload = Ended{from.ended().attempt(), static_cast<Ending>(from.ended().ending())};
             return record;
         case link::Record::kAnswered:
-            if (from.answered().answer() >= kFinals) throw FrameError("a record has an answer that is none");
-            record.what = Answered{static_cast<Final>(from.answered().answer())};
+            if (from.answered().answer() >= kFinalAnswerCount)
+                throw FrameError("a record has an answer that is none");
+            record.payload = Answered{static_cast<FinalAnswer>(from.answered().answer())};
             return record;
         case link::Record::kGap:
-            record.what = Gap{from.gap().from_ms(), from.gap().requests(), from.gap().reason()};
+            record.payload = Gap{from.gap().from_ms(), from.gap().requests(), from.gap().reason()};
             return record;
         case link::Record::WHAT_NOT_SET:
             break;
--- a/src/ledger/group_commit.h
+++ b/src/ledger/group_commit.h
@@ -13,14 +13,14 @@
 class GroupCommit {
   public:
     struct Options {
-        std::size_t most_records = 1024;      ///< a transaction that is held in memory
-        std::size_t most_bytes = 512 * 1024;  ///< the same, of long ids and keys
-        Duration delay = 1ms;                 ///< the first record of a batch waits so long at most
+        std::size_t max_records = 1024;      ///< a transaction that is held in memory
+        std::size_t max_bytes = 512 * 1024;  ///< the same, of long ids and keys
+        Duration delay = 1ms;                ///< the first record of a batch waits so long at most
     };
     explicit GroupCommit(const Options& options) : options_(options) {}
 
     void add(std::size_t bytes, bool urgent, Time now) {
-        if (records_++ == 0) first_ = now;
+        if (records_++ == 0) first_at_ = now;
         bytes_ += bytes;
         urgent_ |= urgent;
     }
@@ -28,13 +28,13 @@
     /// When the batch must be closed if nothing more comes; nothing: it is empty.
     std::optional<Time> next_due() const {
         if (records_ == 0) return std::nullopt;
-        const bool full = records_ >= options_.most_records || bytes_ >= options_.most_bytes;
-        return full || urgent_ ? first_ : first_ + options_.delay;
+        const bool full = records_ >= options_.max_records || bytes_ >= options_.max_bytes;
+        return full || urgent_ ? first_at_ : first_at_ + options_.delay;
     }
     /// Whether more may be read into it.
-    bool has_room() const { return records_ < options_.most_records && bytes_ < options_.most_bytes; }
+    bool has_room() const { return records_ < options_.max_records && bytes_ < options_.max_bytes; }
     std::size_t records() const { return records_; }
-    void closed() {
+    void reset() {
         records_ = bytes_ = 0;
         urgent_ = false;
     }
@@ -43,7 +43,7 @@
     Options options_;
     std::size_t records_ = 0, bytes_ = 0;
     bool urgent_ = false;
-    Time first_{};
+    Time first_at_{};
 };
 
 }  // namespace martenford::ledger
--- a/src/ledger/life.cpp
+++ b/src/ledger/life.cpp
@@ -8,24 +8,25 @@
 
 namespace {
 
-constexpr std::array<std::string_view, kEndings> kEndingNames{
+constexpr std::array<std::string_view, kEndingCount> kEndingNames{
     "open", "served", "error", "timeout", "reset", "cancelled", "full", "connect-failed", "moot", "withheld"};
-constexpr std::array<std::string_view, kFinals> kFinalNames{"none", "refused", "failed", "served", "left"};
+constexpr std::array<std::string_view, kFinalAnswerCount> kFinalAnswerNames{"none", "refused", "failed",
+                                                                            "served", "left"};
 
 template <typename T>
-bool least(T& held, T told) {
-    if (told == T{} || (held != T{} && held <= told)) return false;
-    held = std::move(told);
+bool keep_min(T& current, T reported) {
+    if (reported == T{} || (current != T{} && current <= reported)) return false;
+    current = std::move(reported);
     return true;
 }
 
 /// Of two endings that contradict each other the worse stays, so that the order in which they come is of no
 /// matter. An open one is none.
-bool worse(Ending told, Ending held) {
-    if (told == Ending::Open || told == held) return false;
-    if (held == Ending::Open) return true;
+bool is_worse(Ending reported, Ending current) {
+    if (reported == Ending::Open || reported == current) return false;
+    if (current == Ending::Open) return true;
     const auto rank = [](Ending e) { return std::pair(effect_of(e), e); };
-    return rank(told) > rank(held);
+    return rank(reported) > rank(current);
 }
 
 }  // namespace
@@ -47,9 +48,9 @@
     return "unknown";
 }
 
-std::string_view name_of(Final answer) {
+std::string_view name_of(FinalAnswer answer) {
     const auto at = static_cast<std::size_t>(answer);
-    return at < kFinalNames.size() ? kFinalNames[at] : "unknown";
+    return at < kFinalAnswerNames.size() ? kFinalAnswerNames[at] : "unknown";
 }
 
 Effect effect_of(Ending ending) {
@@ -66,64 +67,64 @@
     }
 }
 
-bool Life::join(const Record& record) {
+bool RequestHistory::merge(const Record& record) {
     struct Visitor {
-        Life& life;
+        RequestHistory& history;
         const Record& record;
         bool operator()(const Intent& intent) const {
-            if (intent.attempt >= kMostAttempts) return false;
-            const auto [it, fresh] = life.attempts_.try_emplace(intent.attempt);
-            AttemptLife& attempt = it->second;
+            if (intent.attempt >= kMaxAttempts) return false;
+            const auto [it, fresh] = history.attempts_.try_emplace(intent.attempt);
+            AttemptHistory& attempt = it->second;
             bool changed = fresh;
-            changed |= least(life.id_, intent.id);
-            changed |= least(life.klass_, intent.klass);
-            changed |= least(life.key_, intent.key);
-            changed |= least(life.digest_, intent.digest);
-            changed |= least(attempt.uid, intent.uid);
-            changed |= least(attempt.address, intent.address);
-            changed |= least(attempt.intent_ms, record.wall_ms);
-            if (least(life.taken_mono_ns_,
-                      record.mono_ns)) {  // the clock that never steps says which is first
-                life.taken_ms_ = record.wall_ms;
+            changed |= keep_min(history.id_, intent.id);
+            changed |= keep_min(history.klass_, intent.klass);
+            changed |= keep_min(history.key_, intent.key);
+            changed |= keep_min(history.digest_, intent.digest);
+            changed |= keep_min(attempt.uid, intent.uid);
+            changed |= keep_min(attempt.address, intent.address);
+            changed |= keep_min(attempt.intent_ms, record.wall_ms);
+            if (keep_min(history.taken_mono_ns_,
+                         record.mono_ns)) {  // the clock that never steps says which is first
+                history.taken_ms_ = record.wall_ms;
                 changed = true;
             }
             return changed;
         }
         bool operator()(const Written& written) const {
-            if (written.attempt >= kMostAttempts) return false;
-            const auto [it, fresh] = life.attempts_.try_emplace(written.attempt);
-            return least(it->second.written_ms, record.wall_ms) || fresh;
+            if (written.attempt >= kMaxAttempts) return false;
+            const auto [it, fresh] = history.attempts_.try_emplace(written.attempt);
+            return keep_min(it->second.written_ms, record.wall_ms) || fresh;
         }
         bool operator()(const Ended& ended) const {
-            if (ended.attempt >= kMostAttempts) return false;
-            const auto [it, fresh] = life.attempts_.try_emplace(ended.attempt);
-            AttemptLife& attempt = it->second;
-            if (ended.ending == attempt.ending) return least(attempt.ended_ms, record.wall_ms) || fresh;
-            if (!worse(ended.ending, attempt.ending)) return fresh;
+            if (ended.attempt >= kMaxAttempts) return false;
+            const auto [it, fresh] = history.attempts_.try_emplace(ended.attempt);
+            AttemptHistory& attempt = it->second;
+            if (ended.ending == attempt.ending) return keep_min(attempt.ended_ms, record.wall_ms) || fresh;
+            if (!is_worse(ended.ending, attempt.ending)) return fresh;
             attempt.ending = ended.ending;
             attempt.ended_ms = record.wall_ms;
             return true;
         }
         bool operator()(const Answered& answered) const {
-            if (answered.answer == Final::None) return false;
-            if (answered.answer == life.answer_) return least(life.answered_ms_, record.wall_ms);
-            if (answered.answer < life.answer_) return false;
-            life.answer_ = answered.answer;
-            life.answered_ms_ = record.wall_ms;
+            if (answered.answer == FinalAnswer::None) return false;
+            if (answered.answer == history.answer_) return keep_min(history.answered_ms_, record.wall_ms);
+            if (answered.answer < history.answer_) return false;
+            history.answer_ = answered.answer;
+            history.answered_ms_ = record.wall_ms;
             return true;
         }
         bool operator()(const Gap&) const { return false; }
     };
-    return std::visit(Visitor{*this, record}, record.what);
+    return std::visit(Visitor{*this, record}, record.payload);
 }
 
-Effect Life::effect() const {
-    Effect worst = answer_ == Final::Served ? Effect::Ran : Effect::NeverRan;
+Effect RequestHistory::effect() const {
+    Effect worst = answer_ == FinalAnswer::Served ? Effect::Ran : Effect::NeverRan;
     for (const auto& [number, attempt] : attempts_) worst = std::max(worst, effect_of(attempt.ending));
     return worst;
 }
 
-std::string Life::reason() const {
+std::string RequestHistory::reason() const {
     if (attempts_.empty()) return "no attempt is known";
     const Effect worst = effect();
     for (const auto& [number, attempt] : attempts_) {
@@ -136,24 +137,25 @@
     return "the client was served";
 }
 
-bool Life::over() const {
-    return answer_ != Final::None && std::none_of(attempts_.begin(), attempts_.end(), [](const auto& each) {
-               return each.second.ending == Ending::Open;
-           });
+bool RequestHistory::is_complete() const {
+    return answer_ != FinalAnswer::None &&
+           std::none_of(attempts_.begin(), attempts_.end(),
+                        [](const auto& each) { return each.second.ending == Ending::Open; });
 }
 
-Life Life::of(Head head, std::map<std::uint32_t, AttemptLife> attempts) {
-    Life life;
-    life.id_ = std::move(head.id);
-    life.klass_ = std::move(head.klass);
-    life.key_ = std::move(head.key);
-    life.digest_ = std::move(head.digest);
-    life.taken_ms_ = head.taken_ms;
-    life.taken_mono_ns_ = head.taken_mono_ns;
-    life.answered_ms_ = head.answered_ms;
-    life.answer_ = head.answer;
-    life.attempts_ = std::move(attempts);
-    return life;
+RequestHistory RequestHistory::restore(StoredFields fields,
+                                       std::map<std::uint32_t, AttemptHistory> attempts) {
+    RequestHistory history;
+    history.id_ = std::move(fields.id);
+    history.klass_ = std::move(fields.klass);
+    history.key_ = std::move(fields.key);
+    history.digest_ = std::move(fields.digest);
+    history.taken_ms_ = fields.taken_ms;
+    history.taken_mono_ns_ = fields.taken_mono_ns;
+    history.answered_ms_ = fields.answered_ms;
+    history.answer_ = fields.answer;
+    history.attempts_ = std::move(attempts);
+    return history;
 }
 
 }  // namespace martenford::ledger
--- a/src/ledger/outbox.h
+++ b/src/ledger/outbox.h
@@ -15,7 +15,7 @@
 namespace martenford::ledger {
 
 /// What the journal promises of requests of a class.
-enum class Level : std::uint8_t {
+enum class Durability : std::uint8_t {
     Off,    ///< nothing is kept
     Async,  ///< the intent is on its way to the writer before the first byte goes out: a crash of the sidecar
             ///< loses nothing that was, one of the writer or the machine may
@@ -24,39 +24,39 @@
     Sync,   ///< the same, and its batch is closed at once
 };
 /// What becomes of a class's requests while nothing can be made durable.
-enum class Outage : std::uint8_t {
-    Refuse,  ///< they are refused, as never run
-    GoOn,    ///< they go out unjournaled, and a gap says so
+enum class OutagePolicy : std::uint8_t {
+    Refuse,           ///< they are refused, as never run
+    SendUnjournaled,  ///< they go out unjournaled, and a gap says so
 };
 
-class Outbox {
+class PendingRecords {
   public:
     struct Options {
-        std::size_t most_records = 50'000;         ///< not yet durable
-        std::size_t most_bytes = 8 * 1024 * 1024;  ///< of them: a sixth of the smallest memory limit
-        Duration ack_within = 1s;                  ///< a writer that owes an answer for longer hangs
-        Duration start_within = 5s;  ///< it may first have to read its log and wait for an earlier one
-        Duration backoff_first = 100ms, backoff_most = 5s;
-        Duration steady_after = 10s;  ///< a writer that ran so long is started again at once
+        std::size_t max_records = 50'000;         ///< not yet durable
+        std::size_t max_bytes = 8 * 1024 * 1024;  ///< of them: a sixth of the smallest memory limit
+        Duration ack_timeout = 1s;                ///< a writer that owes an answer for longer hangs
+        Duration start_timeout = 5s;  ///< it may first have to read its log and wait for an earlier one
+        Duration min_backoff = 100ms, max_backoff = 5s;
+        Duration stable_after = 10s;  ///< a writer that ran so long is started again at once
     };
     enum class Health {
         Down,      ///< no writer; one is started at restart_at()
         Starting,  ///< started, and not ready yet
         Up,
-        Troubled,  ///< there, and can't make anything durable now
+        Failing,  ///< there, and can't make anything durable now
     };
-    enum class Verdict { Go, Hold, Refuse, GoUnjournaled };
+    enum class SendDecision { Send, Hold, Refuse, SendUnjournaled };
 
-    explicit Outbox(const Options& options) : options_(options) {}
+    explicit PendingRecords(const Options& options) : options_(options) {}
 
     // ---- what requests want
     /// What an intent of this class does now. A first start and a first restart are waited for, also while it
     /// has yet to be tried; whoever waits has a limit of its own.
-    Verdict decide(Level level, Outage outage) const;
+    SendDecision decide(Durability level, OutagePolicy outage) const;
     /// Whether there is room for a record that a request depends on. A fifth is kept back for what ends those
     /// that are out: an ending that is lost leaves a request "possibly run" for ever.
     bool has_room() const {
-        return waiting_.size() < options_.most_records / 5 * 4 && bytes_ < options_.most_bytes / 5 * 4;
+        return queue_.size() < options_.max_records / 5 * 4 && bytes_ < options_.max_bytes / 5 * 4;
     }
     /// Takes a frame in; `sequence` grows by one each time. False: there is no room, and it is dropped.
     bool put(std::uint64_t sequence, std::string frame);
@@ -64,16 +64,16 @@
     // ---- what the writer gets
     /// Bytes that were not handed over yet, up to about `most`; empty: there are none, or nobody to take
     /// them.
-    std::string unsent(std::size_t most, Time now);
+    std::string take_unsent(std::size_t max_bytes, Time now);
 
     // ---- what becomes of the writer
-    void started(Time now);
-    void ready(Time now);
+    void writer_started(Time now);
+    void writer_ready(Time now);
     /// Records up to this one are durable.
-    void acked(std::uint64_t up_to, Time now);
-    void troubled(std::string what, Time now);
+    void acknowledged(std::uint64_t up_to, Time now);
+    void writer_failing(std::string what, Time now);
     /// It is dead, or is to be killed: all that it did not acknowledge goes to the next one.
-    void lost(std::string why, Time now);
+    void writer_lost(std::string why, Time now);
 
     Health health() const { return health_; }
     const std::string& reason() const { return reason_; }
@@ -81,30 +81,30 @@
         return health_ == Health::Down ? std::optional(restart_at_) : std::nullopt;
     }
     /// When hangs() may begin to hold.
-    std::optional<Time> patience_ends() const;
+    std::optional<Time> response_deadline() const;
     /// Whether the writer owes an answer for too long.
-    bool hangs(Time now) const {
-        const auto until = patience_ends();
+    bool is_unresponsive(Time now) const {
+        const auto until = response_deadline();
         return until && now >= *until;
     }
-    std::size_t records() const { return waiting_.size(); }
+    std::size_t records() const { return queue_.size(); }
     std::size_t bytes() const { return bytes_; }
-    std::uint64_t acked_up_to() const { return acked_; }
+    std::uint64_t acknowledged_up_to() const { return acknowledged_; }
     std::uint64_t dropped() const { return dropped_; }
 
   private:
-    struct Waiting {
+    struct QueuedRecord {
         std::uint64_t sequence;
         std::string frame;
     };
     Options options_;
-    std::deque<Waiting> waiting_;
-    std::size_t bytes_ = 0, sent_ = 0;  // of waiting_, the first are with the writer
-    std::uint64_t acked_ = 0, dropped_ = 0;
+    std::deque<QueuedRecord> queue_;
+    std::size_t bytes_ = 0, sent_ = 0;  // of queue_, the first are with the writer
+    std::uint64_t acknowledged_ = 0, dropped_ = 0;
     Health health_ = Health::Down;
-    bool failed_before_ = false;  // the last start did not come to anything
+    bool restart_failed_ = false;  // the last start did not come to anything
     std::string reason_ = "it has not been started";
-    Time restart_at_{}, started_at_{}, ready_at_{}, owes_since_{};
+    Time restart_at_{}, started_at_{}, ready_at_{}, waiting_since_{};
     Duration backoff_{};
 };
 
--- a/src/ledger/reconcile.cpp
+++ b/src/ledger/reconcile.cpp
@@ -9,17 +9,17 @@
 
 namespace {
 
-constexpr std::size_t kLinesATransaction = 50'000;
-constexpr std::size_t kMostLine = 64 * 1024;
+constexpr std::size_t kLinesPerTransaction = 50'000;
+constexpr std::size_t kMaxLineBytes = 64 * 1024;
 
 /// One record of RFC 4180, section 2; quoted fields may hold commas, quotes and line ends. False: there are
 /// no more.
 bool read_line(std::istream& from, std::vector<std::string>& fields, std::uint64_t& line) {
     fields.assign(1, {});
-    bool quoted = false, any = false;
+    bool quoted = false, read_any = false;
     std::size_t size = 0;
-    for (int c; (c = from.get()) != std::istream::traits_type::eof(); any = true) {
-        if (++size > kMostLine)
+    for (int c; (c = from.get()) != std::istream::traits_type::eof(); read_any = true) {
+        if (++size > kMaxLineBytes)
             throw std::runtime_error("line " + std::to_string(line + 1) + ": is too long");
         if (quoted) {
             if (c != '"') {
@@ -41,13 +41,14 @@
         }
     }
     if (quoted) throw std::runtime_error("line " + std::to_string(line + 1) + ": a quote is not closed");
-    if (any) ++line;
-    return any;
+    if (read_any) ++line;
+    return read_any;
 }
 
 }  // namespace
 
-Reconciliation reconcile(Book& book, std::istream& record, std::int64_t from_ms, std::int64_t to_ms,
+Reconciliation reconcile(JournalDatabase& database, std::istream& record, std::int64_t from_ms,
+                         std::int64_t to_ms,
                          const std::function<void(const char*, const std::string&)>& finding) {
     Reconciliation result;
     std::uint64_t line = 0;
@@ -59,15 +60,16 @@
 
     // In a file of its own that goes with this connection: the journal is not touched, and nothing of it is
     // locked while the record is read.
-    store::Database& db = book.database();
+    store::Database& db = database.database();
     db.execute(
         "PRAGMA query_only=0; PRAGMA temp_store=FILE; DROP TABLE IF EXISTS temp.record;"
         "CREATE TEMP TABLE record (id TEXT PRIMARY KEY, times INTEGER NOT NULL) WITHOUT ROWID");
     store::Statement insert(
         db, "INSERT INTO temp.record VALUES (?, 1) ON CONFLICT DO UPDATE SET times = times + 1");
-    for (bool more = true; more;) {
+    for (bool has_more = true; has_more;) {
         db.execute("BEGIN");
-        for (std::size_t n = 0; n < kLinesATransaction && (more = read_line(record, fields, line)); ++n) {
+        for (std::size_t n = 0; n < kLinesPerTransaction && (has_more = read_line(record, fields, line));
+             ++n) {
             if (fields.size() == 1 && fields[0].empty()) continue;
             if (fields.size() != columns)
                 throw std::runtime_error("line " + std::to_string(line) + ": has " +
@@ -82,20 +84,20 @@
 
     // A request that was repeated under one id on another sidecar is in the journal more than once: what any
     // of them says of its effect counts.
-    store::Statement judged(
+    store::Statement compared(
         db,
         "SELECT j.id, j.effect, j.settled, t.times FROM (SELECT id, MAX(effect) AS effect, "
         "MIN(settled) AS settled FROM request WHERE taken_ms >= ? AND taken_ms < ? GROUP BY id) j "
         "LEFT JOIN temp.record t ON t.id = j.id");
-    judged.bind_all(from_ms, to_ms);
-    while (judged.step()) {
-        const auto effect = static_cast<Effect>(judged.number(1));
-        const bool settled = judged.number(2) != 0, recorded = !judged.is_null(3);
-        const auto count = [&](std::uint64_t& to, const char* what) {
-            ++to;
-            if (what) finding(what, judged.text(0));
+    compared.bind_all(from_ms, to_ms);
+    while (compared.step()) {
+        const auto effect = static_cast<Effect>(compared.number(1));
+        const bool settled = compared.number(2) != 0, recorded = !compared.is_null(3);
+        const auto count = [&](std::uint64_t& counter, const char* what) {
+            ++counter;
+            if (what) finding(what, compared.text(0));
         };
-        if (judged.number(3) > 1) count(result.twice, "took effect more than once");
+        if (compared.number(3) > 1) count(result.duplicates, "took effect more than once");
         if (effect == Effect::Ran) {
             if (recorded) {
                 count(result.agree_ran, nullptr);
@@ -106,23 +108,23 @@
             count(result.under_way, nullptr);
         } else if (effect == Effect::MayHaveRun) {
             count(
-                recorded ? result.possibly_ran : result.possibly_not,
+                recorded ? result.possibly_ran : result.possibly_did_not_run,
                 recorded ? "possibly ran by the journal: it did" : "possibly ran by the journal: it did not");
         } else if (recorded) {
             count(result.never_but_ran, "never ran by the journal, and the record has it");
         } else {
-            count(result.agree_never, nullptr);
+            count(result.agree_never_ran, nullptr);
         }
     }
-    store::Statement strangers(db,
-                               "SELECT t.id, t.times FROM temp.record t WHERE NOT EXISTS "
-                               "(SELECT 1 FROM request r WHERE r.id = t.id)");
-    while (strangers.step()) {
-        ++result.unknown;
-        finding("in the record, and not in the journal", strangers.text(0));
-        if (strangers.number(1) > 1) {
-            ++result.twice;
-            finding("took effect more than once", strangers.text(0));
+    store::Statement unknown_rows(db,
+                                  "SELECT t.id, t.times FROM temp.record t WHERE NOT EXISTS "
+                                  "(SELECT 1 FROM request r WHERE r.id = t.id)");
+    while (unknown_rows.step()) {
+        ++result.not_in_journal;
+        finding("in the record, and not in the journal", unknown_rows.text(0));
+        if (unknown_rows.number(1) > 1) {
+            ++result.duplicates;
+            finding("took effect more than once", unknown_rows.text(0));
         }
     }
     return result;
--- a/src/ledger/record.h
+++ b/src/ledger/record.h
@@ -21,24 +21,24 @@
     NotSent = 8,        ///< never sent
     Withheld = 9,       ///< never sent, since this journal could not take it in time
 };
-constexpr int kEndings = 10;
+constexpr int kEndingCount = 10;
 
 /// What an attempt, or all of a request, means for its effect, from what is harmless to what is not.
 enum class Effect : std::uint8_t { NeverRan = 0, MayHaveRun = 1, Ran = 2 };
 
 /// The one final answer. The numbers stand in files.
-enum class Final : std::uint8_t {
-    None = 0,     ///< not known to have been given
-    Refused = 1,  ///< written whole to the client: never ran
-    Failed = 2,   ///< written whole to the client: may have run
-    Served = 3,   ///< written whole to the client
-    Left = 4,     ///< the client had gone before
+enum class FinalAnswer : std::uint8_t {
+    None = 0,        ///< not known to have been given
+    Refused = 1,     ///< written whole to the client: never ran
+    Failed = 2,      ///< written whole to the client: may have run
+    Served = 3,      ///< written whole to the client
+    ClientLeft = 4,  ///< the client had gone before
 };
-constexpr int kFinals = 5;
+constexpr int kFinalAnswerCount = 5;
 
 std::string_view name_of(Ending ending);
 std::string_view name_of(Effect effect);
-std::string_view name_of(Final answer);
+std::string_view name_of(FinalAnswer answer);
 
 /// Of one attempt, by how it ended; an open one may have run: its first byte may be out.
 Effect effect_of(Ending ending);
@@ -65,7 +65,7 @@
     bool operator==(const Ended&) const = default;
 };
 struct Answered {
-    Final answer = Final::None;
+    FinalAnswer answer = FinalAnswer::None;
     bool operator==(const Answered&) const = default;
 };
 /// Requests that went out while the journal could not take them: what is not found in this stretch may have
@@ -83,7 +83,7 @@
     std::int64_t wall_ms = 0;    ///< Unix time, which may step
     std::int64_t mono_ns = 0;    ///< the monotonic clock of the machine's boot
     bool urgent = false;         ///< a request waits for it: the batch is closed at once
-    std::variant<Intent, Written, Ended, Answered, Gap> what;
+    std::variant<Intent, Written, Ended, Answered, Gap> payload;
     bool operator==(const Record&) const = default;
 };
 
--- a/src/ledger/recorder.cpp
+++ b/src/ledger/recorder.cpp
@@ -15,7 +15,7 @@
 namespace {
 
 /// That an attempt was written whole is told so late: most have ended by then.
-constexpr Duration kWrittenAfter = 20ms;
+constexpr Duration kWrittenDelay = 20ms;
 
 Ending ending_of(Status status) {
     switch (status) {
@@ -39,84 +39,84 @@
     return Ending::Open;
 }
 
-Final final_of(Answer::Kind kind) {
+FinalAnswer final_answer_of(Answer::Kind kind) {
     switch (kind) {
         case Answer::Kind::Served:
-            return Final::Served;
+            return FinalAnswer::Served;
         case Answer::Kind::Refused:
-            return Final::Refused;
+            return FinalAnswer::Refused;
         case Answer::Kind::Failed:
-            return Final::Failed;
+            return FinalAnswer::Failed;
     }
-    return Final::None;
+    return FinalAnswer::None;
 }
 
 }  // namespace
 
 /// An attempt whose intent is not durable yet, and what it is once it is: the back's own.
-class Recorder::Held : public Back::Attempt, public std::enable_shared_from_this<Held> {
+class Recorder::HeldAttempt : public Back::Attempt, public std::enable_shared_from_this<HeldAttempt> {
   public:
-    Held(Recorder& recorder, EndpointId id, std::shared_ptr<const Message> message, Time end, Done done,
-         std::uint32_t attempt, bool refuses)
-        : refuses(refuses),
+    HeldAttempt(Recorder& recorder, EndpointId id, std::shared_ptr<const Message> message, Time end,
+                Done done, std::uint32_t attempt, bool refuse_on_outage)
+        : refuse_on_outage(refuse_on_outage),
           recorder_(recorder),
           endpoint_(id),
           message_(std::move(message)),
           end_(end),
           done_(std::move(done)),
           attempt_(attempt),
-          limit_(recorder.scheduler_) {
-        set_limit();
+          timeout_(recorder.scheduler_) {
+        set_timeout();
     }
-    const bool refuses;  ///< where the journal keeps nothing
+    const bool refuse_on_outage;  ///< where the journal keeps nothing
 
-    bool waits() const { return static_cast<bool>(done_); }
+    bool is_waiting() const { return static_cast<bool>(done_); }
     /// The intent is durable, or need not be.
-    void go() {
-        if (!waits()) return;
-        limit_.cancel();
+    void release() {
+        if (!is_waiting()) return;
+        timeout_.cancel();
         // Its time at the endpoint begins. Guards against a slow disk that the module takes for slow
         // endpoints.
         const auto self = shared_from_this();
         recorder_.release_(RequestId(message_->id()));
-        if (!waits()) return;
+        if (!is_waiting()) return;
         // Held by the back's attempt until that ends: the engine reaches it through here.
         Done done = [self, done = std::exchange(done_, nullptr)](Result&& result) {
             done(std::move(result));
         };
         inner_ =
-            recorder_.pass_on(endpoint_, std::exchange(message_, nullptr), end_, std::move(done), attempt_);
+            recorder_.forward(endpoint_, std::exchange(message_, nullptr), end_, std::move(done), attempt_);
     }
     /// It can't be made durable in time.
     void withhold() {
-        if (!waits()) return;
+        if (!is_waiting()) return;
         const RequestId id(message_->id());
         const auto self = shared_from_this();
         recorder_.withhold(id);  // completes the request, and so withdraws this attempt
         end(Ending::Withheld, Status::NotSent);
     }
     void cancel() override {
-        if (waits()) return end(Ending::NotSent, Status::Cancelled);
+        if (is_waiting()) return end(Ending::NotSent, Status::Cancelled);
         if (const auto inner = inner_.lock()) inner->cancel();
     }
     void withdraw_unwritten() override {
-        if (waits()) return end(Ending::Withheld, Status::NotSent);
+        if (is_waiting()) return end(Ending::Withheld, Status::NotSent);
         if (const auto inner = inner_.lock()) inner->withdraw_unwritten();
     }
     void end_at(Time end) override {
         end_ = end;
-        if (waits()) return set_limit();
+        if (is_waiting()) return set_timeout();
         if (const auto inner = inner_.lock()) inner->end_at(end);
     }
 
   private:
-    void set_limit() {
-        limit_.set(std::min(end_, recorder_.scheduler_.now() + recorder_.options_.hold),
-                   [this] { withhold(); });
+    void set_timeout() {
+        timeout_.set(std::min(end_, recorder_.scheduler_.now() + recorder_.options_.hold_timeout),
+                     [this] { withhold(); });
     }
     void end(Ending ending, Status status) {
-        if (!waits()) return;
-        limit_.cancel();
+        if (!is_waiting()) return;
+        timeout_.cancel();
         const auto self = shared_from_this();
         const auto done = std::exchange(done_, nullptr);
         recorder_.ended(RequestId(message_->id()), attempt_, ending);
@@ -132,7 +132,7 @@
     Time end_;
     Done done_;
     std::uint32_t attempt_;
-    Timer limit_;
+    Timer timeout_;
     Handle inner_;
 };
 
@@ -144,20 +144,20 @@
       placement_(placement),
       link_(link),
       options_(options),
-      tell_written_(scheduler),
+      written_timer_(scheduler),
       held_count_(counters.counter("ledger.held", "attempts that waited for their intent to be durable")),
       refused_(counters.counter("ledger.refused", "requests refused since the journal could not take them")),
-      unkept_(
+      unjournaled_(
           counters.counter("ledger.unjournaled", "attempts sent although the journal could not take them")) {
     for (const auto& each : classes) {
         const auto named = options.classes.find(each.name);
-        const bool unsafe = each.effect == decision::Effect::SingleShot;
+        const bool non_idempotent = each.effect == decision::Effect::SingleShot;
         classes_.push_back(named != options.classes.end() ? named->second
-                           : unsafe                       ? options.unsafe
+                           : non_idempotent               ? options.non_idempotent
                                                           : ClassOptions{});
         class_names_.push_back(each.name);
     }
-    if (!options.key_file.empty()) digest_ = std::make_unique<Digest>(options.key_file);
+    if (!options.key_file.empty()) digest_ = std::make_unique<BodyDigest>(options.key_file);
     back_.on_written([this](const Message& message, EndpointId endpoint) { written(message, endpoint); });
     link_.on_change([this] { journal_changed(); });
 }
@@ -166,42 +166,45 @@
     link_.on_change(nullptr);
 }
 
-const ClassOptions& Recorder::of(std::uint32_t class_index) const {
+const ClassOptions& Recorder::options_for(std::uint32_t class_index) const {
     static const ClassOptions kOff{};
     return class_index < classes_.size() ? classes_[class_index] : kOff;
 }
 
 bool Recorder::admits(const decision::Request& request) {
-    const ClassOptions& options = of(request.class_index);
-    if (link_.outbox().decide(options.level, options.outage) != Outbox::Verdict::Refuse) return true;
+    const ClassOptions& options = options_for(request.class_index);
+    if (link_.pending().decide(options.level, options.outage) != PendingRecords::SendDecision::Refuse)
+        return true;
     refused_.add();
     return false;
 }
 
 bool Recorder::holds(const decision::Request& request) {
-    const ClassOptions& options = of(request.class_index);
-    return link_.outbox().decide(options.level, options.outage) == Outbox::Verdict::Hold;
+    const ClassOptions& options = options_for(request.class_index);
+    return link_.pending().decide(options.level, options.outage) == PendingRecords::SendDecision::Hold;
 }
 
 Back::Handle Recorder::send(EndpointId id, std::shared_ptr<const Message> message, Time end, Done done) {
-    const ClassOptions& options = of(message->class_index);
-    if (options.level == Level::Off) return back_.send(id, std::move(message), end, std::move(done));
+    const ClassOptions& options = options_for(message->class_index);
+    if (options.level == Durability::Off) return back_.send(id, std::move(message), end, std::move(done));
     const RequestId request(message->id());
-    Call& call = call_of(request);
-    const std::uint32_t attempt = call.attempts++;
-    call.out.push_back({attempt, id});
-    auto verdict = link_.outbox().decide(options.level, options.outage);
-    if (verdict != Outbox::Verdict::Refuse) {
+    RequestState& request_state = state_of(request);
+    const std::uint32_t attempt = request_state.attempts++;
+    request_state.in_flight.push_back({attempt, id});
+    auto send_decision = link_.pending().decide(options.level, options.outage);
+    if (send_decision != PendingRecords::SendDecision::Refuse) {
         // Late is better than never: where it goes out unjournaled and there is room, the next writer is
         // told.
-        const bool told = intend(call, *message, id, attempt, options.level == Level::Sync);
-        call.told |= told;
-        if (!told) {
-            verdict =
-                options.outage == Outage::Refuse ? Outbox::Verdict::Refuse : Outbox::Verdict::GoUnjournaled;
+        const bool journaled =
+            append_intent(request_state, *message, id, attempt, options.level == Durability::Sync);
+        request_state.journaled |= journaled;
+        if (!journaled) {
+            send_decision = options.outage == OutagePolicy::Refuse
+                                ? PendingRecords::SendDecision::Refuse
+                                : PendingRecords::SendDecision::SendUnjournaled;
         }
     }
-    if (verdict == Outbox::Verdict::Refuse) {
+    if (send_decision == PendingRecords::SendDecision::Refuse) {
         withhold(request);
         ended(request, attempt, Ending::Withheld);
         Result result;
@@ -209,45 +212,46 @@
         done(std::move(result));
         return {};
     }
-    if (verdict == Outbox::Verdict::Hold) {
+    if (send_decision == PendingRecords::SendDecision::Hold) {
         held_count_.add();
-        auto held = std::make_shared<Held>(*this, id, std::move(message), end, std::move(done), attempt,
-                                           options.outage == Outage::Refuse);
+        auto held = std::make_shared<HeldAttempt>(*this, id, std::move(message), end, std::move(done),
+                                                  attempt, options.outage == OutagePolicy::Refuse);
         held_.emplace_back(link_.last_sequence(), held);
         return held;
     }
-    if (verdict == Outbox::Verdict::GoUnjournaled) went_unkept();
+    if (send_decision == PendingRecords::SendDecision::SendUnjournaled) note_unjournaled();
     release_(request);
-    return pass_on(id, message, end, std::move(done), attempt);
+    return forward(id, message, end, std::move(done), attempt);
 }
 
-Recorder::Call& Recorder::call_of(const RequestId& id) {
-    const auto [it, fresh] = calls_.try_emplace(id);
+Recorder::RequestState& Recorder::state_of(const RequestId& id) {
+    const auto [it, fresh] = requests_.try_emplace(id);
     if (fresh) it->second.serial = ++serial_;
     return it->second;
 }
 
-bool Recorder::tell(std::uint64_t serial, bool urgent, decltype(Record::what) what) {
-    return link_.put(
+bool Recorder::append(std::uint64_t serial, bool urgent, decltype(Record::payload) what) {
+    return link_.push(
         Record{0, serial, wall_ms(), scheduler_.now().time_since_epoch().count(), urgent, std::move(what)});
 }
 
-bool Recorder::intend(Call& call, const Message& message, EndpointId id, std::uint32_t attempt, bool urgent) {
+bool Recorder::append_intent(RequestState& request_state, const Message& message, EndpointId id,
+                             std::uint32_t attempt, bool urgent) {
     Intent intent;
     intent.attempt = attempt;
     intent.id = message.id();
     intent.klass = class_names_[message.class_index];
     intent.key = message.key();
     // Only the first: a body that has begun to go out is no longer held here.
-    if (digest_ && attempt == 0) intent.digest = digest_->of(message.held_body());
-    if (const auto node = nodes_.find(id); node != nodes_.end()) {
-        intent.uid = node->second.uid;
-        intent.address = node->second.address;
+    if (digest_ && attempt == 0) intent.digest = digest_->compute(message.held_body());
+    if (const auto endpoint_info = endpoints_.find(id); endpoint_info != endpoints_.end()) {
+        intent.uid = endpoint_info->second.uid;
+        intent.address = endpoint_info->second.address;
     }
-    return tell(call.serial, urgent, std::move(intent));
+    return append(request_state.serial, urgent, std::move(intent));
 }
 
-Back::Handle Recorder::pass_on(EndpointId id, const std::shared_ptr<const Message>& message, Time end,
+Back::Handle Recorder::forward(EndpointId id, const std::shared_ptr<const Message>& message, Time end,
                                Done done, std::uint32_t attempt) {
     return back_.send(
         id, message, end,
@@ -258,127 +262,129 @@
 }
 
 void Recorder::written(const Message& message, EndpointId endpoint) {
-    if (of(message.class_index).level == Level::Off) return;
-    const auto call = calls_.find(RequestId(message.id()));
-    if (call == calls_.end() || !call->second.told) return;
-    for (const Out& out : call->second.out) {
-        if (out.endpoint == endpoint) {
+    if (options_for(message.class_index).level == Durability::Off) return;
+    const auto request_state = requests_.find(RequestId(message.id()));
+    if (request_state == requests_.end() || !request_state->second.journaled) return;
+    for (const InFlight& sent : request_state->second.in_flight) {
+        if (sent.endpoint == endpoint) {
             if (written_.empty())
-                tell_written_.set(scheduler_.now() + kWrittenAfter, [this] { tell_written(); });
-            written_.push_back({RequestId(message.id()), out.attempt, wall_ms()});
+                written_timer_.set(scheduler_.now() + kWrittenDelay, [this] { append_written(); });
+            written_.push_back({RequestId(message.id()), sent.attempt, wall_ms()});
             return;
         }
     }
 }
 
 /// Of those that have not ended since: what an ending tells needs no telling twice.
-void Recorder::tell_written() {
+void Recorder::append_written() {
     for (const auto& [id, attempt, at] : std::exchange(written_, {})) {
-        const auto call = calls_.find(id);
-        if (call == calls_.end()) continue;
-        const auto& out = call->second.out;
-        const bool still =
-            std::any_of(out.begin(), out.end(), [&](const Out& o) { return o.attempt == attempt; });
-        if (still) {
-            link_.put(Record{0, call->second.serial, at, scheduler_.now().time_since_epoch().count(), false,
-                             Written{attempt}});
+        const auto request_state = requests_.find(id);
+        if (request_state == requests_.end()) continue;
+        const auto& in_flight = request_state->second.in_flight;
+        const bool still_in_flight =
+            std::any_of(in_flight.begin(), in_flight.end(),
+                        [&](const InFlight& sent) { return sent.attempt == attempt; });
+        if (still_in_flight) {
+            link_.push(Record{0, request_state->second.serial, at,
+                              scheduler_.now().time_since_epoch().count(), false, Written{attempt}});
         }
     }
 }
 
 void Recorder::ended(const RequestId& id, std::uint32_t attempt, Ending ending) {
-    const auto it = calls_.find(id);
-    if (it == calls_.end()) return;
-    Call& call = it->second;
-    std::erase_if(call.out, [&](const Out& out) { return out.attempt == attempt; });
-    call.may_have_run |= effect_of(ending) != Effect::NeverRan;
-    if (call.told) tell(call.serial, false, Ended{attempt, ending});
-    forget_if_over(id);
+    const auto it = requests_.find(id);
+    if (it == requests_.end()) return;
+    RequestState& request_state = it->second;
+    std::erase_if(request_state.in_flight, [&](const InFlight& sent) { return sent.attempt == attempt; });
+    request_state.may_have_run |= effect_of(ending) != Effect::NeverRan;
+    if (request_state.journaled) append(request_state.serial, false, Ended{attempt, ending});
+    erase_if_finished(id);
 }
 
 void Recorder::withhold(const RequestId& id) {
     refused_.add();
-    const auto call = calls_.find(id);
-    if (give_up_) give_up_(id, call == calls_.end() || !call->second.may_have_run);
+    const auto request_state = requests_.find(id);
+    if (give_up_) give_up_(id, request_state == requests_.end() || !request_state->second.may_have_run);
 }
 
 std::function<void()> Recorder::completed(const RequestId& id, Answer::Kind kind) {
-    const auto it = calls_.find(id);
-    if (it == calls_.end()) return {};
+    const auto it = requests_.find(id);
+    if (it == requests_.end()) return {};
     it->second.complete = true;
     const std::uint64_t serial = it->second.serial;
-    const bool told = it->second.told;
-    forget_if_over(id);
-    if (!told) return {};
-    return [this, serial, answer = final_of(kind)] { tell(serial, false, Answered{answer}); };
+    const bool journaled = it->second.journaled;
+    erase_if_finished(id);
+    if (!journaled) return {};
+    return [this, serial, answer = final_answer_of(kind)] { append(serial, false, Answered{answer}); };
 }
 
 void Recorder::left(const RequestId& id) {
-    const auto it = calls_.find(id);
-    if (it != calls_.end() && it->second.told) tell(it->second.serial, false, Answered{Final::Left});
+    const auto it = requests_.find(id);
+    if (it != requests_.end() && it->second.journaled)
+        append(it->second.serial, false, Answered{FinalAnswer::ClientLeft});
 }
 
-void Recorder::forget_if_over(const RequestId& id) {
-    const auto it = calls_.find(id);
-    if (it != calls_.end() && it->second.complete && it->second.out.empty()) calls_.erase(it);
+void Recorder::erase_if_finished(const RequestId& id) {
+    const auto it = requests_.find(id);
+    if (it != requests_.end() && it->second.complete && it->second.in_flight.empty()) requests_.erase(it);
 }
 
 /// Loudly: one line where it begins, and the figure.
-void Recorder::went_unkept() {
-    unkept_.add();
+void Recorder::note_unjournaled() {
+    unjournaled_.add();
     if (gap_.requests++ == 0) {
         gap_.from_ms = wall_ms();
-        gap_.reason = link_.outbox().reason();
+        gap_.reason = link_.pending().reason();
     }
-    if (!std::exchange(said_unkept_, true)) {
+    if (!std::exchange(unjournaled_logged_, true)) {
         martenford::tell(Event::JournalUnkept,
-                         "requests that must not run twice go out unjournaled: " + link_.outbox().reason());
+                         "requests that must not run twice go out unjournaled: " + link_.pending().reason());
     }
 }
 
 void Recorder::journal_changed() {
-    const Outbox& outbox = link_.outbox();
-    std::erase_if(held_, [](const auto& each) { return !each.second->waits(); });
-    while (!held_.empty() && held_.front().first <= outbox.acked_up_to()) {
+    const PendingRecords& pending = link_.pending();
+    std::erase_if(held_, [](const auto& each) { return !each.second->is_waiting(); });
+    while (!held_.empty() && held_.front().first <= pending.acknowledged_up_to()) {
         const auto held = std::move(held_.front().second);
         held_.pop_front();
-        held->go();
+        held->release();
     }
-    if (outbox.health() == Outbox::Health::Up) return close_gap();
+    if (pending.health() == PendingRecords::Health::Up) return close_gap();
     // Nothing can be made durable now. A writer that is started again at once may still be in time.
     auto waiting = std::exchange(held_, {});
     for (auto& [sequence, held] : waiting) {
-        if (outbox.decide(Level::Sync, Outage::Refuse) == Outbox::Verdict::Hold) {
+        if (pending.decide(Durability::Sync, OutagePolicy::Refuse) == PendingRecords::SendDecision::Hold) {
             held_.emplace_back(sequence, std::move(held));
-        } else if (held->refuses) {
+        } else if (held->refuse_on_outage) {
             held->withhold();
         } else {
-            went_unkept();
-            held->go();
+            note_unjournaled();
+            held->release();
         }
     }
 }
 
 void Recorder::close_gap() {
-    said_unkept_ = false;
-    if (gap_.requests > 0 && tell(0, false, gap_)) gap_ = {};
+    unjournaled_logged_ = false;
+    if (gap_.requests > 0 && append(0, false, gap_)) gap_ = {};
 }
 
 // ---- who an endpoint is -----------------------------------------------------------------------------
 
 void Recorder::name(EndpointId id, const std::string& uid) {
-    nodes_[id].uid = uid;
+    endpoints_[id].uid = uid;
 }
 
 void Recorder::place(EndpointId id, const Address& address, bool ready) {
     std::ostringstream text;
     text << address;
-    nodes_[id].address = text.str();
+    endpoints_[id].address = text.str();
     placement_.place(id, address, ready);
 }
 
 void Recorder::remove(EndpointId id) {
-    nodes_.erase(id);
+    endpoints_.erase(id);
     placement_.remove(id);
 }
 
--- a/src/ledger/recorder.h
+++ b/src/ledger/recorder.h
@@ -51,37 +51,39 @@
     void left(const decision::RequestId& id) override;
 
   private:
-    class Held;
-    struct Out {
+    class HeldAttempt;
+    struct InFlight {
         std::uint32_t attempt = 0;
         EndpointId endpoint{};
     };
-    struct Call {
+    struct RequestState {
         std::uint64_t serial = 0;
         std::uint32_t attempts = 0;
-        std::vector<Out> out;
-        bool told = false;  // the journal has an intent of it; what it has none of it hears no more about
+        std::vector<InFlight> in_flight;
+        bool journaled =
+            false;  // the journal has an intent of it; what it has none of it hears no more about
         bool may_have_run = false;  // by an attempt that has ended
         bool complete = false;
     };
-    struct Node {
+    struct EndpointInfo {
         std::string uid, address;
     };
 
-    const ClassOptions& of(std::uint32_t class_index) const;
-    Call& call_of(const decision::RequestId& id);
-    bool tell(std::uint64_t serial, bool urgent, decltype(Record::what) what);
-    bool intend(Call& call, const Message& message, EndpointId id, std::uint32_t attempt, bool urgent);
-    Handle pass_on(EndpointId id, const std::shared_ptr<const Message>& message, Time end, Done done,
+    const ClassOptions& options_for(std::uint32_t class_index) const;
+    RequestState& state_of(const decision::RequestId& id);
+    bool append(std::uint64_t serial, bool urgent, decltype(Record::payload) what);
+    bool append_intent(RequestState& request_state, const Message& message, EndpointId id,
+                       std::uint32_t attempt, bool urgent);
+    Handle forward(EndpointId id, const std::shared_ptr<const Message>& message, Time end, Done done,
                    std::uint32_t attempt);
     void ended(const decision::RequestId& id, std::uint32_t attempt, Ending ending);
     void written(const Message& message, EndpointId endpoint);
-    void tell_written();
+    void append_written();
     void withhold(const decision::RequestId& id);
-    void went_unkept();
+    void note_unjournaled();
     void journal_changed();
     void close_gap();
-    void forget_if_over(const decision::RequestId& id);
+    void erase_if_finished(const decision::RequestId& id);
 
     Scheduler& scheduler_;
     Back& back_;
@@ -90,23 +92,23 @@
     const Options& options_;
     std::vector<ClassOptions> classes_;
     std::vector<std::string> class_names_;
-    std::unique_ptr<Digest> digest_;
+    std::unique_ptr<BodyDigest> digest_;
     std::function<void(const decision::RequestId&, bool)> give_up_;
     std::function<void(const decision::RequestId&)> release_;
-    std::unordered_map<EndpointId, Node> nodes_;  // as many as discovery lists
-    std::unordered_map<decision::RequestId, Call> calls_;
+    std::unordered_map<EndpointId, EndpointInfo> endpoints_;  // as many as discovery lists
+    std::unordered_map<decision::RequestId, RequestState> requests_;
     std::uint64_t serial_ = 0;
-    std::deque<std::pair<std::uint64_t, std::shared_ptr<Held>>> held_;  // by sequence
+    std::deque<std::pair<std::uint64_t, std::shared_ptr<HeldAttempt>>> held_;  // by sequence
     struct WrittenAt {
         decision::RequestId id;
         std::uint32_t attempt = 0;
         std::int64_t wall_ms = 0;
     };
     std::vector<WrittenAt> written_;  // in the last 20 ms, as many as were sent in it
-    Timer tell_written_;
+    Timer written_timer_;
     Gap gap_;
-    bool said_unkept_ = false;
-    Counter &held_count_, &refused_, &unkept_;
+    bool unjournaled_logged_ = false;
+    Counter &held_count_, &refused_, &unjournaled_;
 };
 
 }  // namespace martenford::ledger
--- a/src/ledger/writer.cpp
+++ b/src/ledger/writer.cpp
@@ -26,20 +26,20 @@
 
 namespace {
 
-constexpr Duration kClaim = 3s;  // for an earlier writer to keep what it was sent, and end
-constexpr Duration kClaimAgain = 20ms;
-constexpr Duration kTryAgain = 200ms;        // after a batch that could not be kept
-constexpr Duration kHeirLooks = 500ms;       // whether the elder has ended
-constexpr Duration kIdle = 1s;               // without a record: time for what can wait
-constexpr std::size_t kConcludeStep = 2000;  // requests a transaction: some 30 ms
-constexpr std::size_t kReadSize = 256 * 1024;
-constexpr std::size_t kArchiveLeast = 1000;  // settled requests that are worth an archive
+constexpr Duration kLockTimeout = 3s;  // for an earlier writer to keep what it was sent, and end
+constexpr Duration kLockRetry = 20ms;
+constexpr Duration kRetryDelay = 200ms;       // after a batch that could not be kept
+constexpr Duration kPredecessorPoll = 500ms;  // whether the elder has ended
+constexpr Duration kIdlePoll = 1s;            // without a record: time for what can wait
+constexpr std::size_t kConcludeBatch = 2000;  // requests a transaction: some 30 ms
+constexpr std::size_t kReadBytes = 256 * 1024;
+constexpr std::size_t kMinArchiveRequests = 1000;  // settled requests that are worth an archive
 
 Time now() {
     return Time{std::chrono::duration_cast<Duration>(std::chrono::steady_clock::now().time_since_epoch())};
 }
-void wait(Duration how_long) {
-    std::this_thread::sleep_for(how_long);
+void sleep_for(Duration duration) {
+    std::this_thread::sleep_for(duration);
 }
 
 /// A file that one process at a time holds, for as long as it lives.
@@ -51,49 +51,49 @@
     Lock(const Lock&) = delete;
     Lock& operator=(const Lock&) = delete;
     ~Lock() { ::close(file_); }
-    bool take() { return held_ || (held_ = ::flock(file_, LOCK_EX | LOCK_NB) == 0); }
-    bool take_within(Duration most) {
-        for (const Time end = now() + most; !take(); wait(kClaimAgain)) {
+    bool try_lock() { return locked_ || (locked_ = ::flock(file_, LOCK_EX | LOCK_NB) == 0); }
+    bool lock_within(Duration timeout) {
+        for (const Time end = now() + timeout; !try_lock(); sleep_for(kLockRetry)) {
             if (now() >= end) return false;
         }
         return true;
     }
-    void release() {
-        if (std::exchange(held_, false)) ::flock(file_, LOCK_UN);
+    void unlock() {
+        if (std::exchange(locked_, false)) ::flock(file_, LOCK_UN);
     }
 
   private:
     int file_;
-    bool held_ = false;
+    bool locked_ = false;
 };
 
 class Writer {
   public:
     explicit Writer(const WriterOptions& options)
         : options_(options),
-          owner_(options.directory + "/owner.lock"),
-          heir_(options.directory + "/heir.lock"),
+          owner_lock_(options.directory + "/owner.lock"),
+          successor_lock_(options.directory + "/heir.lock"),
           commit_(options.batch) {}
 
     int run() {
-        if (!claim()) {
-            say("another sidecar's journal is in " + options_.directory);
+        if (!acquire_lock()) {
+            log_error("another sidecar's journal is in " + options_.directory);
             return kWriterNotOwner;
         }
         if (!read_hello()) return kWriterBadPeer;
-        open_book();
-        tell(Ready{});
+        open_database();
+        send_message(Ready{});
         for (;;) {
-            if (commit_.due(now())) keep_batch();
-            if (ended_ && commit_.records() == 0) break;
-            if (ended_) {
-                keep_batch();
+            if (commit_.due(now())) commit_batch();
+            if (input_closed_ && commit_.records() == 0) break;
+            if (input_closed_) {
+                commit_batch();
                 continue;
             }
             try {
-                take_in(patience());
+                receive(poll_timeout());
             } catch (const FrameError&) {
-                if (commit_.records() > 0) keep_batch();  // what came before can be read
+                if (commit_.records() > 0) commit_batch();  // what came before can be read
                 throw;
             }
         }
@@ -103,56 +103,56 @@
   private:
     /// An heir writes beside its elder, whose file it is too: SQLite orders the two. What the elder left open
     /// is looked into once its lock is free.
-    bool claim() {
-        if (!options_.heir) return owner_.take_within(kClaim);
-        return owner_.take() || heir_.take_within(kClaim);
+    bool acquire_lock() {
+        if (!options_.successor) return owner_lock_.lock_within(kLockTimeout);
+        return owner_lock_.try_lock() || successor_lock_.lock_within(kLockTimeout);
     }
-    void open_book() {
-        auto book = std::make_unique<Book>(options_.directory, true, store_options());
-        boot_ = book->open_boot(hello_);
+    void open_database() {
+        auto database = std::make_unique<JournalDatabase>(options_.directory, true, store_options());
+        boot_ = database->register_boot(hello_);
         // Only now. Guards against records without a boot, where the disk was full for that one step.
-        book_ = std::move(book);
-        concluded_ = false;
-        owner_taken_ = owner_.take();
-        if (owner_taken_) heir_.release();
+        database_ = std::move(database);
+        earlier_boots_concluded_ = false;
+        owner_locked_ = owner_lock_.try_lock();
+        if (owner_locked_) successor_lock_.unlock();
     }
     store::Options store_options() const {
         store::Options result;
-        result.most_bytes = options_.most_bytes;
+        result.most_bytes = options_.max_bytes;
         return result;
     }
 
     /// How long nothing needs to be done but to listen.
-    Duration patience() const {
+    Duration poll_timeout() const {
         if (const auto due = commit_.next_due()) return std::max(Duration{}, *due - now());
-        if (!concluded_) return owner_taken_ ? Duration{} : kHeirLooks;
-        return kIdle;
+        if (!earlier_boots_concluded_) return owner_locked_ ? Duration{} : kPredecessorPoll;
+        return kIdlePoll;
     }
 
-    void take_in(Duration most) {
+    void receive(Duration timeout) {
         pollfd poll_for{options_.descriptor, POLLIN, 0};
-        const auto nanoseconds = most.count();
+        const auto nanoseconds = timeout.count();
         const timespec limit{nanoseconds / 1'000'000'000, nanoseconds % 1'000'000'000};
         const int got = ::ppoll(&poll_for, 1, &limit, nullptr);
-        if (got == 0 && commit_.records() == 0) return while_idle();
+        if (got == 0 && commit_.records() == 0) return run_maintenance();
         if (got <= 0) return;
-        read_some();
+        read_socket();
         while (commit_.has_room()) {
             const auto message = reader_.next();
             if (!message) break;
-            take(read_to_writer(*message), message->size());
+            add_record(read_to_writer(*message), message->size());
         }
     }
-    void read_some() {
+    void read_socket() {
         // What did not fit the last batch comes first.
         if (!reader_.empty() && !commit_.has_room()) return;
-        char bytes[kReadSize];
+        char bytes[kReadBytes];
         const auto size = ::recv(options_.descriptor, bytes, sizeof bytes, MSG_DONTWAIT);
         if (size > 0) return reader_.feed({bytes, static_cast<std::size_t>(size)});
         if (size < 0 && (errno == EAGAIN || errno == EINTR)) return;
-        ended_ = true;  // also by a reset: what came before it has been read
+        input_closed_ = true;  // also by a reset: what came before it has been read
     }
-    void take(ToWriter&& message, std::size_t bytes) {
+    void add_record(ToWriter&& message, std::size_t bytes) {
         if (!std::holds_alternative<Record>(message)) throw FrameError("a second greeting");
         auto& record = std::get<Record>(message);
         commit_.add(bytes, record.urgent, now());
@@ -161,78 +161,81 @@
 
     /// Until it is kept, whatever that takes: its sidecar decides what goes on meanwhile, and has its own
     /// patience.
-    void keep_batch() {
+    void commit_batch() {
         for (;;) {
             try {
-                if (!book_) open_book();
-                book_->write(boot_, batch_);
+                if (!database_) open_database();
+                database_->write(boot_, batch_);
                 break;
             } catch (const store::StoreError& error) {
-                say(error.what());
+                log_error(error.what());
                 // After a failed sync nothing that the kernel holds of the file is to be trusted: opening it
                 // anew reads what is there and writes it again before anything is acknowledged.
-                if (error.fault != store::Fault::Full && error.fault != store::Fault::Busy) book_.reset();
+                if (error.fault != store::Fault::Full && error.fault != store::Fault::Busy) database_.reset();
                 if (error.fault == store::Fault::Corrupt || error.fault == store::Fault::Newer) throw;
-                tell(Trouble{std::string(store::name_of(error.fault)) + ": " + error.what()});
-                if (gone()) throw;
-                wait(kTryAgain);
+                send_message(Trouble{std::string(store::name_of(error.fault)) + ": " + error.what()});
+                if (peer_closed()) throw;
+                sleep_for(kRetryDelay);
             }
         }
         const std::uint64_t up_to = batch_.back().sequence;
         batch_.clear();
-        commit_.closed();
-        tell(Ack{up_to});
-        drain_reader();
+        commit_.reset();
+        send_message(Ack{up_to});
+        add_buffered_records();
     }
     /// Frames that were read already and had no room in the last batch.
-    void drain_reader() {
+    void add_buffered_records() {
         while (commit_.has_room()) {
             const auto message = reader_.next();
             if (!message) break;
-            take(read_to_writer(*message), message->size());
+            add_record(read_to_writer(*message), message->size());
         }
     }
     /// Whether nobody waits for the batch any more, and it can't be kept.
-    bool gone() {
+    bool peer_closed() {
         pollfd poll_for{options_.descriptor, 0, 0};
         return ::poll(&poll_for, 1, 0) > 0 && (poll_for.revents & (POLLHUP | POLLERR));
     }
 
     /// Off the busy time, in steps: what earlier boots left open, then what is old enough for an archive.
-    void while_idle() {
+    void run_maintenance() {
         try {
-            if (!book_) open_book();
-            if (!owner_taken_) {
-                owner_taken_ = owner_.take();
-                if (!owner_taken_) return;
-                heir_.release();
+            if (!database_) open_database();
+            if (!owner_locked_) {
+                owner_locked_ = owner_lock_.try_lock();
+                if (!owner_locked_) return;
+                successor_lock_.unlock();
             }
-            if (!concluded_) {
-                concluded_ = book_->conclude_before(boot_, wall_ms(), kConcludeStep);
+            if (!earlier_boots_concluded_) {
+                earlier_boots_concluded_ =
+                    database_->conclude_earlier_boots(boot_, wall_ms(), kConcludeBatch);
                 return;
             }
-            if (options_.keep > Duration{} && now() >= archive_at_) {
+            if (options_.journal_retention > Duration{} && now() >= next_archive_at_) {
                 Archives archives(options_.directory);
                 const auto moved = archives.move_settled(
-                    *book_,
-                    wall_ms() - std::chrono::duration_cast<std::chrono::milliseconds>(options_.keep).count(),
-                    kArchiveLeast);
+                    *database_,
+                    wall_ms() -
+                        std::chrono::duration_cast<std::chrono::milliseconds>(options_.journal_retention)
+                            .count(),
+                    kMinArchiveRequests);
                 if (moved == 0) {
                     archives.prune(wall_ms() - std::chrono::duration_cast<std::chrono::milliseconds>(
-                                                   options_.keep_archives)
+                                                   options_.archive_retention)
                                                    .count());
-                    archive_at_ = now() + std::chrono::minutes(1);
+                    next_archive_at_ = now() + std::chrono::minutes(1);
                 }
             }
         } catch (const store::StoreError& error) {
-            say(error.what());
-            if (error.fault != store::Fault::Full && error.fault != store::Fault::Busy) book_.reset();
-            wait(kTryAgain);
+            log_error(error.what());
+            if (error.fault != store::Fault::Full && error.fault != store::Fault::Busy) database_.reset();
+            sleep_for(kRetryDelay);
         }
     }
 
     bool read_hello() {
-        for (const Time end = now() + kClaim; now() < end;) {
+        for (const Time end = now() + kLockTimeout; now() < end;) {
             if (const auto message = reader_.next()) {
                 auto first = read_to_writer(*message);
                 const auto* hello = std::get_if<Hello>(&first);
@@ -242,14 +245,14 @@
             }
             pollfd poll_for{options_.descriptor, POLLIN, 0};
             ::poll(&poll_for, 1, 100);
-            read_some();
-            if (ended_ && reader_.empty()) return false;
+            read_socket();
+            if (input_closed_ && reader_.empty()) return false;
         }
         return false;
     }
 
     /// Its sidecar reads all the time; where it does not, it hears nothing and its patience ends.
-    void tell(const FromWriter& message) {
+    void send_message(const FromWriter& message) {
         const std::string frame = frame_of(message);
         for (std::size_t done = 0; done < frame.size();) {
             const auto n =
@@ -259,20 +262,20 @@
             done += static_cast<std::size_t>(n);
         }
     }
-    static void say(const std::string& line) {
+    static void log_error(const std::string& line) {
         std::cerr << "martenford-ledger: " + line + "\n" << std::flush;
     }
 
     const WriterOptions& options_;
-    Lock owner_, heir_;
+    Lock owner_lock_, successor_lock_;
     GroupCommit commit_;
     FrameReader reader_;
     Hello hello_;
-    std::unique_ptr<Book> book_;
+    std::unique_ptr<JournalDatabase> database_;
     std::int64_t boot_ = 0;
     std::vector<Record> batch_;
-    Time archive_at_{};
-    bool ended_ = false, concluded_ = false, owner_taken_ = false;
+    Time next_archive_at_{};
+    bool input_closed_ = false, earlier_boots_concluded_ = false, owner_locked_ = false;
 };
 
 }  // namespace
--- a/src/ledger/writer.h
+++ b/src/ledger/writer.h
@@ -11,12 +11,12 @@
 
 struct WriterOptions {
     std::string directory;
-    int descriptor = 3;  ///< the connected socket to the sidecar
-    bool heir = false;   ///< an earlier process of the same sidecar may still be finishing
-    std::uint64_t most_bytes = 0;
+    int descriptor = 3;      ///< the connected socket to the sidecar
+    bool successor = false;  ///< an earlier process of the same sidecar may still be finishing
+    std::uint64_t max_bytes = 0;
     GroupCommit::Options batch;
-    Duration keep{};  ///< 0: nothing is moved to archives
-    Duration keep_archives{};
+    Duration journal_retention{};  ///< 0: nothing is moved to archives
+    Duration archive_retention{};
 };
 
 /// Exit codes of the writer that its sidecar tells apart.
--- a/src/ledger/writer_link.cpp
+++ b/src/ledger/writer_link.cpp
@@ -23,10 +23,10 @@
 
 namespace {
 
-constexpr std::size_t kMostWrite = 64 * 1024;  // handed to the socket at once
-constexpr Duration kReapAgain = 50ms;          // a killed writer may hang in the kernel: it is not waited for
+constexpr std::size_t kMaxWriteBytes = 64 * 1024;  // handed to the socket at once
+constexpr Duration kReapRetry = 50ms;  // a killed writer may hang in the kernel: it is not waited for
 
-std::string milliseconds(Duration d) {
+std::string milliseconds_text(Duration d) {
     return std::to_string(std::chrono::duration_cast<std::chrono::milliseconds>(d).count());
 }
 
@@ -38,21 +38,21 @@
       options_(options),
       sidecar_(sidecar),
       boot_(boot),
-      outbox_(options.queue),
-      again_(loop),
-      patience_(loop),
-      reap_(loop),
-      finish_(loop),
+      pending_(options.queue),
+      restart_timer_(loop),
+      response_timer_(loop),
+      reap_timer_(loop),
+      finish_timer_(loop),
       records_(counters.counter("ledger.records", "records handed to the journal")),
       restarts_(counters.counter("ledger.writer_starts", "starts of the journal's writer")),
       troubles_(counters.counter("ledger.writer_troubles",
                                  "times that the writer died, hung or could keep nothing")) {
     counters.gauge("ledger.waiting", "records not yet durable",
-                   [this] { return static_cast<double>(outbox_.records()); });
+                   [this] { return static_cast<double>(pending_.records()); });
     counters.gauge("ledger.works", "1 while records are made durable",
-                   [this] { return outbox_.health() == Outbox::Health::Up ? 1.0 : 0.0; });
+                   [this] { return pending_.health() == PendingRecords::Health::Up ? 1.0 : 0.0; });
     counters.gauge("ledger.dropped", "records that found no room",
-                   [this] { return static_cast<double>(outbox_.dropped()); });
+                   [this] { return static_cast<double>(pending_.dropped()); });
 }
 
 WriterLink::~WriterLink() {
@@ -62,8 +62,8 @@
     }
 }
 
-void WriterLink::start(bool heir) {
-    heir_ = heir;
+void WriterLink::start(bool successor) {
+    successor_ = successor;
     started_ = true;
     start_writer();
 }
@@ -83,36 +83,36 @@
     socket_->non_blocking(true, ignored);
     reader_ = {};
     restarts_.add();
-    outbox_.started(Loop::monotonic());
-    greeting_ = frame_of(ToWriter{Hello{kLinkVersion, boot_, sidecar_, wall_ms()}});
+    pending_.writer_started(Loop::monotonic());
+    hello_frame_ = frame_of(ToWriter{Hello{kLinkVersion, boot_, sidecar_, wall_ms()}});
     read();
     flush();
-    watch();
-    changed();
+    arm_response_timer();
+    notify_change();
 }
 
 bool WriterLink::spawn(int descriptor) {
-    const std::string helper = options_.helper.empty() ? helper_beside_this_program() : options_.helper;
-    std::vector<std::string> words{helper,
-                                   "writer",
-                                   "--directory",
-                                   options_.directory,
-                                   "--batch-records",
-                                   std::to_string(options_.batch.most_records),
-                                   "--batch-delay-us",
-                                   std::to_string(options_.batch.delay.count() / 1000),
-                                   "--most-bytes",
-                                   std::to_string(options_.most_bytes),
-                                   "--keep-ms",
-                                   milliseconds(options_.keep),
-                                   "--keep-archives-ms",
-                                   milliseconds(options_.keep_archives)};
-    if (heir_) words.push_back("--heir");
-    writer_ = start_helper(std::move(words), descriptor);
-    return writer_ > 0;
-}
-
-bool WriterLink::put(Record record) {
+    const std::string helper = options_.helper.empty() ? default_helper_path() : options_.helper;
+    std::vector<std::string> arguments{helper,
+                                       "writer",
+                                       "--directory",
+                                       options_.directory,
+                                       "--batch-records",
+                                       std::to_string(options_.batch.max_records),
+                                       "--batch-delay-us",
+                                       std::to_string(options_.batch.delay.count() / 1000),
+                                       "--most-bytes",
+                                       std::to_string(options_.max_bytes),
+                                       "--keep-ms",
+                                       milliseconds_text(options_.journal_retention),
+                                       "--keep-archives-ms",
+                                       milliseconds_text(options_.archive_retention)};
+    if (successor_) arguments.push_back("--heir");
+    writer_pid_ = start_helper(std::move(arguments), descriptor);
+    return writer_pid_ > 0;
+}
+
+bool WriterLink::push(Record record) {
     record.sequence = sequence_ + 1;
     std::string frame;
     try {
@@ -120,29 +120,29 @@
     } catch (const FrameError&) {
         return false;  // a name longer than the bounds of any front allow
     }
-    if (!outbox_.put(sequence_ + 1, std::move(frame))) return false;
+    if (!pending_.put(sequence_ + 1, std::move(frame))) return false;
     ++sequence_;
     records_.add();
-    flush_soon();
+    schedule_flush();
     return true;
 }
 
 /// At the end of the turn: what came in one turn goes out in one write.
-void WriterLink::flush_soon() {
-    if (std::exchange(flushing_, true)) return;
+void WriterLink::schedule_flush() {
+    if (std::exchange(flush_scheduled_, true)) return;
     asio::post(loop_.io(), [this] {
-        flushing_ = false;
+        flush_scheduled_ = false;
         flush();
     });
 }
 
 void WriterLink::flush() {
     if (!socket_ || write_pending_) return;
-    writing_ = std::exchange(greeting_, {}) + outbox_.unsent(kMostWrite, Loop::monotonic());
-    if (writing_.empty()) return;
+    write_buffer_ = std::exchange(hello_frame_, {}) + pending_.take_unsent(kMaxWriteBytes, Loop::monotonic());
+    if (write_buffer_.empty()) return;
     write_pending_ = true;
-    watch();
-    asio::async_write(*socket_, asio::buffer(writing_),
+    arm_response_timer();
+    asio::async_write(*socket_, asio::buffer(write_buffer_),
                       [this, socket = socket_](const error_code& error, std::size_t) {
                           if (socket != socket_) return;  // of a writer that is gone
                           write_pending_ = false;
@@ -152,46 +152,46 @@
 }
 
 void WriterLink::read() {
-    socket_->async_read_some(asio::buffer(bytes_),
+    socket_->async_read_some(asio::buffer(read_buffer_),
                              [this, socket = socket_](const error_code& error, std::size_t size) {
                                  if (socket != socket_) return;
                                  if (error) return writer_lost("the writer has ended");
                                  try {
-                                     reader_.feed({bytes_, size});
+                                     reader_.feed({read_buffer_, size});
                                      while (const auto message = reader_.next())
-                                         take(read_from_writer(*message));
-                                 } catch (const FrameError& fault) {
-                                     return writer_lost(fault.what());
+                                         handle(read_from_writer(*message));
+                                 } catch (const FrameError& frame_error) {
+                                     return writer_lost(frame_error.what());
                                  }
                                  if (socket != socket_) return;
                                  flush();
-                                 watch();
+                                 arm_response_timer();
                                  read();
                              });
 }
 
-void WriterLink::take(const FromWriter& message) {
+void WriterLink::handle(const FromWriter& message) {
     const Time now = Loop::monotonic();
     if (const auto* ack = std::get_if<Ack>(&message)) {
-        outbox_.acked(ack->up_to, now);
+        pending_.acknowledged(ack->up_to, now);
     } else if (const auto* trouble = std::get_if<Trouble>(&message)) {
-        if (outbox_.health() != Outbox::Health::Troubled) troubles_.add();
-        if (!std::exchange(said_, true))
+        if (pending_.health() != PendingRecords::Health::Failing) troubles_.add();
+        if (!std::exchange(outage_logged_, true))
             tell(Event::JournalLost, "the journal keeps nothing now: " + trouble->what);
-        outbox_.troubled(trouble->what, now);
-        return changed();
+        pending_.writer_failing(trouble->what, now);
+        return notify_change();
     } else {
-        outbox_.ready(now);
+        pending_.writer_ready(now);
     }
-    if (outbox_.health() == Outbox::Health::Up && std::exchange(said_, false))
+    if (pending_.health() == PendingRecords::Health::Up && std::exchange(outage_logged_, false))
         tell(Event::JournalWorks, "the journal works again");
-    changed();
+    notify_change();
 }
 
 /// A line of log where that begins, none for each further start.
 void WriterLink::writer_lost(const std::string& why) {
     troubles_.add();
-    if (!std::exchange(said_, true))
+    if (!std::exchange(outage_logged_, true))
         tell(Event::JournalLost, "the journal's writer is lost, and started again: " + why);
     if (socket_) {
         error_code ignored;
@@ -199,47 +199,47 @@
         socket_.reset();
     }
     write_pending_ = false;
-    if (writer_ > 0) {
-        ::kill(writer_, SIGKILL);
-        dead_.push_back(std::exchange(writer_, -1));
+    if (writer_pid_ > 0) {
+        ::kill(writer_pid_, SIGKILL);
+        killed_pids_.push_back(std::exchange(writer_pid_, -1));
     }
     reap();
-    outbox_.lost(why, Loop::monotonic());
-    again_.set(*outbox_.restart_at(), [this] { start_writer(); });
-    patience_.cancel();
-    changed();
+    pending_.writer_lost(why, Loop::monotonic());
+    restart_timer_.set(*pending_.restart_at(), [this] { start_writer(); });
+    response_timer_.cancel();
+    notify_change();
 }
 
 void WriterLink::reap() {
-    std::erase_if(dead_, [](pid_t pid) { return ::waitpid(pid, nullptr, WNOHANG) != 0; });
-    if (dead_.empty()) return;
-    reap_.set(Loop::monotonic() + kReapAgain, [this] { reap(); });
+    std::erase_if(killed_pids_, [](pid_t pid) { return ::waitpid(pid, nullptr, WNOHANG) != 0; });
+    if (killed_pids_.empty()) return;
+    reap_timer_.set(Loop::monotonic() + kReapRetry, [this] { reap(); });
 }
 
-void WriterLink::watch() {
-    const auto until = outbox_.patience_ends();
-    if (!until) return patience_.cancel();
-    patience_.set(*until, [this] {
-        if (outbox_.hangs(Loop::monotonic())) return writer_lost("it owes an answer for too long");
-        watch();
+void WriterLink::arm_response_timer() {
+    const auto until = pending_.response_deadline();
+    if (!until) return response_timer_.cancel();
+    response_timer_.set(*until, [this] {
+        if (pending_.is_unresponsive(Loop::monotonic())) return writer_lost("it owes an answer for too long");
+        arm_response_timer();
     });
 }
 
-void WriterLink::changed() {
-    if (changed_) changed_();
-    if (finished_ && outbox_.records() == 0) {
-        finish_.cancel();
-        std::exchange(finished_, nullptr)();
+void WriterLink::notify_change() {
+    if (on_change_) on_change_();
+    if (on_finished_ && pending_.records() == 0) {
+        finish_timer_.cancel();
+        std::exchange(on_finished_, nullptr)();
     }
 }
 
-void WriterLink::finish(Duration most, std::function<void()> done) {
-    finished_ = std::move(done);
-    finish_.set(Loop::monotonic() + most, [this] {
-        if (finished_) std::exchange(finished_, nullptr)();
+void WriterLink::finish(Duration timeout, std::function<void()> done) {
+    on_finished_ = std::move(done);
+    finish_timer_.set(Loop::monotonic() + timeout, [this] {
+        if (on_finished_) std::exchange(on_finished_, nullptr)();
     });
     flush();
-    changed();
+    notify_change();
 }
 
 }  // namespace martenford::ledger
--- a/src/ledger/writer_link.h
+++ b/src/ledger/writer_link.h
@@ -26,16 +26,16 @@
     ~WriterLink();
 
     /// Starts the first writer. `heir`: an earlier process of this sidecar may still be finishing.
-    void start(bool heir);
+    void start(bool successor);
     /// Called when records were acknowledged or the writer's state has changed.
-    void on_change(std::function<void()> changed) { changed_ = std::move(changed); }
+    void on_change(std::function<void()> callback) { on_change_ = std::move(callback); }
     /// Takes a record, to be written in this turn of the loop; its sequence is given here. False: there was
     /// no room.
-    bool put(Record record);
+    bool push(Record record);
     std::uint64_t last_sequence() const { return sequence_; }
-    const Outbox& outbox() const { return outbox_; }
+    const PendingRecords& pending() const { return pending_; }
     /// Calls `done` once all is kept, or `most` has passed: the writer then keeps what it was sent by itself.
-    void finish(Duration most, std::function<void()> done);
+    void finish(Duration timeout, std::function<void()> done);
 
   private:
     using Socket = asio::local::stream_protocol::socket;
@@ -43,30 +43,31 @@
     void start_writer();
     bool spawn(int descriptor);
     void read();
-    void take(const FromWriter& message);
-    void flush_soon();
+    void handle(const FromWriter& message);
+    void schedule_flush();
     void flush();
     void writer_lost(const std::string& why);
     void reap();
-    void watch();
-    void changed();
+    void arm_response_timer();
+    void notify_change();
 
     Loop& loop_;
     const Options& options_;
     std::string sidecar_;
     std::uint64_t boot_;
-    Outbox outbox_;
+    PendingRecords pending_;
     std::shared_ptr<Socket> socket_;
     FrameReader reader_;
-    std::string greeting_, writing_;
-    bool heir_ = false, started_ = false, flushing_ = false, write_pending_ = false, said_ = false;
-    pid_t writer_ = -1;
-    std::vector<pid_t> dead_;  // killed, and not reaped yet
+    std::string hello_frame_, write_buffer_;
+    bool successor_ = false, started_ = false, flush_scheduled_ = false, write_pending_ = false,
+         outage_logged_ = false;
+    pid_t writer_pid_ = -1;
+    std::vector<pid_t> killed_pids_;  // killed, and not reaped yet
     std::uint64_t sequence_ = 0;
-    Timer again_, patience_, reap_, finish_;
-    std::function<void()> changed_, finished_;
+    Timer restart_timer_, response_timer_, reap_timer_, finish_timer_;
+    std::function<void()> on_change_, on_finished_;
     Counter &records_, &restarts_, &troubles_;
-    char bytes_[16 * 1024];
+    char read_buffer_[16 * 1024];
 };
 
 }  // namespace martenford::ledger
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -41,11 +41,11 @@
 namespace martenford {
 namespace {
 
-constexpr int kBadConfig = 2;  // exit code
+constexpr int kExitConfigError = 2;  // exit code
 // The standard streams, the loop's own, the listener, discovery, the console's.
-constexpr std::size_t kSpareSockets = 16 + Console::kMostCallers;
-constexpr std::size_t kLeastForRequests = 16;  // descriptors for clients and endpoints, or nothing is served
-constexpr Duration kLateFirstList =
+constexpr std::size_t kReservedSockets = 16 + Console::kMaxConnections;
+constexpr std::size_t kMinRequestSockets = 16;  // descriptors for clients and endpoints, or nothing is served
+constexpr Duration kFirstListTimeout =
     4s;  // a process that takes over serves by the list it was given after this
 
 /// Of a new configuration only discovery's address takes effect: the rest holds from the start on.
@@ -58,7 +58,7 @@
 }
 
 /// Our own file: named on the command line or by MARTENFORD_CONFIG; without one nothing is switched on.
-Features features_of(const std::string& named) {
+Features own_features(const std::string& named) {
     std::string path = named;
     if (const char* value = std::getenv("MARTENFORD_CONFIG"); path.empty() && value) path = value;
     return path.empty() ? Features{} : load_features(path);
@@ -75,16 +75,16 @@
 }
 
 /// The journal's helper, in this process's place: the sidecar itself carries no database.
-int ask_journal(const std::vector<std::string>& words) {
-    std::string helper = helper_beside_this_program();
-    std::vector<std::string> all{helper};
-    all.insert(all.end(), words.begin(), words.end());
-    std::vector<char*> arguments;
-    for (std::string& word : all) arguments.push_back(word.data());
-    arguments.push_back(nullptr);
-    ::execv(helper.c_str(), arguments.data());
+int run_ledger_command(const std::vector<std::string>& arguments) {
+    std::string helper = default_helper_path();
+    std::vector<std::string> argument_list{helper};
+    argument_list.insert(argument_list.end(), arguments.begin(), arguments.end());
+    std::vector<char*> argv;
+    for (std::string& word : argument_list) argv.push_back(word.data());
+    argv.push_back(nullptr);
+    ::execv(helper.c_str(), argv.data());
     log(helper + ": " + std::strerror(errno));
-    return kBadConfig;
+    return kExitConfigError;
 }
 
 /// All that serves, joined.
@@ -92,18 +92,21 @@
   public:
     Program(const Features& features, const Config& config)
         : config_(config),
-          half_((config.sockets - set_aside(features, config)) / 2),
-          most_back_(features.connections.most > 0 ? std::min(features.connections.most, half_) : half_),
-          hang_up_(loop_.io(), SIGHUP),
-          signals_(loop_.io(), SIGTERM, SIGINT),
+          socket_share_((config.sockets - reserved_sockets(features, config)) / 2),
+          max_upstream_sockets_(features.connections.most > 0
+                                    ? std::min(features.connections.most, socket_share_)
+                                    : socket_share_),
+          reload_signal_(loop_.io(), SIGHUP),
+          stop_signals_(loop_.io(), SIGTERM, SIGINT),
           tally_(counters_, config.settings.classes),
-          front_dialect_(config.settings),
-          back_(loop_, back_dialect_, config.settings.limits, most_back_, features.connections.per_endpoint,
-                counters_),
+          server_protocol_(config.settings),
+          upstream_(loop_, client_protocol_, config.settings.limits, max_upstream_sockets_,
+                    features.connections.per_endpoint, counters_),
           journal_(features.ledger
-                       ? std::make_unique<Journal>(*features.ledger, config, loop_, back_, counters_)
+                       ? std::make_unique<Journal>(*features.ledger, config, loop_, upstream_, counters_)
                        : nullptr),
-          engine_(loop_, journal_ ? static_cast<Back&>(journal_->recorder) : back_, config.settings.limits,
+          engine_(loop_, journal_ ? static_cast<Back&>(journal_->recorder) : upstream_,
+                  config.settings.limits,
                   make_policy(config.settings, config.seed, features, counters_, &outliers_), tally_),
           telemetry_(features.telemetry ? std::make_unique<Telemetry>(*features.telemetry, config, loop_,
                                                                       placement(), counters_)
@@ -118,9 +121,9 @@
                       : nullptr),
           discovery_(loop_, telemetry_ ? static_cast<Placement&>(telemetry_->tap) : placement(), engine_,
                      config, membership_options(features, config.settings), counters_),
-          front_(
-              loop_, engine_, front_dialect_, half_, [this] { return knows_enough(); }, counters_),
-          late_(loop_) {
+          http_listener_(
+              loop_, engine_, server_protocol_, socket_share_, [this] { return has_endpoints(); }, counters_),
+          first_list_timer_(loop_) {
         engine_.on_subscribe([this] { discovery_.subscribe(); });
         engine_.on_ended([this](EndpointId id, decision::Status status) { discovery_.saw(id, status); });
         if (keeper_) {
@@ -155,20 +158,20 @@
     }
 
     int run() {
-        signals_.async_wait([this](const boost::system::error_code& error, int) {
-            if (!error) end();
+        stop_signals_.async_wait([this](const boost::system::error_code& error, int) {
+            if (!error) stop();
         });
-        await_hang_up();
+        await_reload_signal();
         if (config_.console) {
-            console_.emplace(loop_, *config_.console, calls(), counters_);
-            std::ostringstream where;
-            where << console_->listens_at();
-            tell(Event::Console, "operators call at " + where.str());
+            console_.emplace(loop_, *config_.console, console_commands(), counters_);
+            std::ostringstream address;
+            address << console_->listens_at();
+            tell(Event::Console, "operators call at " + address.str());
         }
         const char* directory = std::getenv("TMPDIR");
         if (directory && *directory) {
             handover_.emplace(loop_, directory, config_.name);
-            handover_->on_company([this](bool company) { share_limits(company); });
+            handover_->on_company([this](bool two_processes) { share_limits(two_processes); });
             handover_->look([this](std::optional<int> listener) { start(listener); });
         } else {
             start(std::nullopt);
@@ -182,7 +185,7 @@
     struct Journal {
         Journal(const ledger::Options& options, const Config& config, Loop& loop, Http1Back& back,
                 Counters& counters)
-            : link(loop, options, config.name, new_boot(), counters),
+            : link(loop, options, config.name, random_boot_id(), counters),
               recorder(loop, back, back, link, options, config.settings.classes, counters) {}
         ledger::WriterLink link;
         ledger::Recorder recorder;
@@ -195,18 +198,18 @@
                         counters),
               tap(placement, collector) {}
         telemetry::Collector collector;
-        telemetry::NamesTap tap;
+        telemetry::EndpointNameTap tap;
     };
     /// Descriptors that neither clients nor endpoints get; those of the fleet's links among them.
-    static std::size_t set_aside(const Features& features, const Config& config) {
-        std::size_t spare = kSpareSockets;
+    static std::size_t reserved_sockets(const Features& features, const Config& config) {
+        std::size_t reserved = kReservedSockets;
         if (features.fleet && (config.name.empty() || !fleet::may_be_said(config.name)))
             throw ConfigError(config.name +
                               ": field 'name' can't be a member's of [fleet]: 1 to 64 bytes, no blanks");
-        if (features.fleet) spare += features.fleet->most_links + peers::Peers::kOtherSockets;
-        if (spare + kLeastForRequests > config.sockets)
+        if (features.fleet) reserved += features.fleet->most_links + peers::Peers::kOtherSockets;
+        if (reserved + kMinRequestSockets > config.sockets)
             throw ConfigError(config.name + ": field 'limits.sockets' leaves no room beside [fleet]'s links");
-        return spare;
+        return reserved;
     }
     static std::string zone_of(const Config& config) {
         const auto& zones = config.names.zones;
@@ -214,10 +217,10 @@
             config.settings.zone < zones.size() && fleet::may_be_said(zones[config.settings.zone]);
         return named ? zones[config.settings.zone] : std::string();
     }
-    Placement& placement() { return journal_ ? static_cast<Placement&>(journal_->recorder) : back_; }
+    Placement& placement() { return journal_ ? static_cast<Placement&>(journal_->recorder) : upstream_; }
 
     /// Of this process, in the journal: 63 bits, as its file's numbers have.
-    static std::uint64_t new_boot() {
+    static std::uint64_t random_boot_id() {
         std::random_device random;
         return (static_cast<std::uint64_t>(random()) << 32 | random()) >> 1;
     }
@@ -228,102 +231,107 @@
         engine_.start();
         discovery_.start();
         if (!listener) {
-            front_.listen(config_.listen);
-            return open();
+            http_listener_.listen(config_.listen);
+            return announce();
         }
         // Another process serves until this one can: what was listed when its configuration was written may
         // be long gone, so discovery is asked first, at once, since nobody else starts with it.
         tell(Event::TakesOver, "takes over from an earlier process");
-        listener_ = *listener;
-        may_be_late_ = true;
+        inherited_listener_ = *listener;
+        awaiting_first_list_ = true;
         discovery_.subscribe();
-        late_.set(Loop::monotonic() + kLateFirstList, [this] {
-            may_be_late_ = false;
-            open_when_ready();
+        first_list_timer_.set(Loop::monotonic() + kFirstListTimeout, [this] {
+            awaiting_first_list_ = false;
+            listen_when_ready();
         });
-        open_when_ready();
+        listen_when_ready();
     }
-    void open_when_ready() {
-        if (listener_ < 0 || ending_) return;
-        if (!knows_enough()) return again_.set(Loop::monotonic() + kLookAgain, [this] { open_when_ready(); });
-        front_.adopt(std::exchange(listener_, -1));
-        open();
+    void listen_when_ready() {
+        if (inherited_listener_ < 0 || stopping_) return;
+        if (!has_endpoints())
+            return retry_timer_.set(Loop::monotonic() + kReadyPoll, [this] { listen_when_ready(); });
+        http_listener_.adopt(std::exchange(inherited_listener_, -1));
+        announce();
     }
-    void open() {
-        std::ostringstream where;
-        where << front_.listens_at();
+    void announce() {
+        std::ostringstream address;
+        address << http_listener_.listens_at();
         // Before it is said: whoever ends the earlier process on that word finds it told that it is replaced.
-        if (handover_) handover_->announce([this] { return front_.listening() ? front_.listener() : -1; });
-        tell(Event::Listening, "listening on " + where.str());
+        if (handover_)
+            handover_->announce(
+                [this] { return http_listener_.listening() ? http_listener_.listener() : -1; });
+        tell(Event::Listening, "listening on " + address.str());
     }
     /// Whether it can serve: some endpoint is known, to a process that takes over by discovery's own word.
-    bool knows_enough() const { return discovery_.knows_any() && (!may_be_late_ || discovery_.heard()); }
-    bool is_ready() const { return front_.listening() && front_.is_ready(); }
+    bool has_endpoints() const {
+        return discovery_.knows_any() && (!awaiting_first_list_ || discovery_.heard());
+    }
+    bool is_ready() const { return http_listener_.listening() && http_listener_.is_ready(); }
 
     /// What the two of a sidecar hold is counted together.
-    void share_limits(bool company) {
-        front_.hold_at_most(company ? half_ / 2 : half_);
-        back_.hold_at_most(company ? most_back_ / 2 : most_back_);
+    void share_limits(bool two_processes) {
+        http_listener_.hold_at_most(two_processes ? socket_share_ / 2 : socket_share_);
+        upstream_.hold_at_most(two_processes ? max_upstream_sockets_ / 2 : max_upstream_sockets_);
     }
 
-    Calls calls() {
-        return Calls({[this] { return is_ready(); }, [this] { return statsd(counters_); },
-                      [this] {
-                          if (ending_) return false;
-                          tell(Event::Evacuates, "evacuates: an operator said so");
-                          front_.evacuate();
-                          return true;
-                      },
-                      [this] {
-                          if (ending_) return false;
-                          tell(Event::Activates, "serves again: an operator said so");
-                          front_.activate();
-                          return true;
-                      },
-                      [this](std::string_view line) -> std::optional<std::string> {
-                          if (telemetry_) {
-                              if (auto lines = telemetry_->collector.answer(line)) return lines;
-                          }
-                          if (keeper_) {
-                              if (auto lines = keeper_->answer(line)) return lines;
-                          }
-                          return peers_ ? peers_->answer(line) : std::nullopt;
-                      }});
+    ConsoleCommands console_commands() {
+        return ConsoleCommands({[this] { return is_ready(); }, [this] { return statsd(counters_); },
+                                [this] {
+                                    if (stopping_) return false;
+                                    tell(Event::Evacuates, "evacuates: an operator said so");
+                                    http_listener_.evacuate();
+                                    return true;
+                                },
+                                [this] {
+                                    if (stopping_) return false;
+                                    tell(Event::Activates, "serves again: an operator said so");
+                                    http_listener_.activate();
+                                    return true;
+                                },
+                                [this](std::string_view line) -> std::optional<std::string> {
+                                    if (telemetry_) {
+                                        if (auto lines = telemetry_->collector.answer(line)) return lines;
+                                    }
+                                    if (keeper_) {
+                                        if (auto lines = keeper_->answer(line)) return lines;
+                                    }
+                                    return peers_ ? peers_->answer(line) : std::nullopt;
+                                }});
     }
 
-    void end() {
-        ending_ = true;
+    void stop() {
+        stopping_ = true;
         if (peers_) peers_->leave();
-        const auto over = [this] {
+        const auto stopped = [this] {
             if (!journal_) return loop_.stop();
-            journal_->link.finish(kJournalEnd, [this] { loop_.stop(); });
+            journal_->link.finish(kJournalFlushTimeout, [this] { loop_.stop(); });
         };
-        front_.drain(over, handover_ && handover_->replaced());
+        http_listener_.drain(stopped, handover_ && handover_->replaced());
     }
 
-    void await_hang_up() {
-        hang_up_.async_wait([this](const boost::system::error_code& error, int) {
+    void await_reload_signal() {
+        reload_signal_.async_wait([this](const boost::system::error_code& error, int) {
             if (error) return;
             reload(discovery_);
-            await_hang_up();
+            await_reload_signal();
         });
     }
 
-    static constexpr Duration kLookAgain = 20ms;
+    static constexpr Duration kReadyPoll = 20ms;
     /// For what ended last to be kept; within what is left before SIGKILL, after which the writer goes on
     /// alone.
-    static constexpr Duration kJournalEnd = 100ms;
+    static constexpr Duration kJournalFlushTimeout = 100ms;
 
     const Config& config_;
-    const std::size_t half_, most_back_;
+    const std::size_t socket_share_, max_upstream_sockets_;
     Counters counters_;
     Loop loop_;
     // First: guards against dying on a SIGHUP that comes while the rest is being set up.
-    asio::signal_set hang_up_, signals_;
+    asio::signal_set reload_signal_, stop_signals_;
     Tally tally_;
-    SidecarServerProtocol front_dialect_;
-    SidecarClientProtocol back_dialect_;
-    Http1Back back_;
+    SidecarServerProtocol server_protocol_;
+    SidecarClientProtocol client_protocol_;
+    Http1Back upstream_;
     std::unique_ptr<Journal> journal_;
     outlier::OutlierPolicy* outliers_ = nullptr;  // within the engine
     Engine engine_;
@@ -331,12 +339,12 @@
     std::unique_ptr<peers::Peers> peers_;
     std::unique_ptr<replica::Keeper> keeper_;
     Discovery discovery_;
-    HttpListener front_;
+    HttpListener http_listener_;
     std::optional<Console> console_;
     std::optional<Handover> handover_;
-    Timer late_, again_{loop_};
-    int listener_ = -1;  // an earlier process's, until this one can serve
-    bool may_be_late_ = false, ending_ = false;
+    Timer first_list_timer_, retry_timer_{loop_};
+    int inherited_listener_ = -1;  // an earlier process's, until this one can serve
+    bool awaiting_first_list_ = false, stopping_ = false;
 };
 
 int serve(const Features& features) {
@@ -344,11 +352,12 @@
     return Program(features, config).run();
 }
 
-void add_state_words(CLI::App& app, StateWords& state) {
-    auto* ask = app.add_subcommand("state", "what all sidecars of a fleet share: read, write, compare");
-    ask->require_subcommand(1);
+void add_state_commands(CLI::App& app, StateOptions& state) {
+    auto* state_command =
+        app.add_subcommand("state", "what all sidecars of a fleet share: read, write, compare");
+    state_command->require_subcommand(1);
     const auto add = [&](const char* name, const char* what) {
-        auto* each = ask->add_subcommand(name, what);
+        auto* each = state_command->add_subcommand(name, what);
         each->add_option("--console", state.console, "where operators call; otherwise PROXY_CONSOLE")
             ->type_name("ADDRESS");
         each->add_flag("--json", state.json, "one JSON object a line");
@@ -389,8 +398,9 @@
         "A sidecar load balancer. The platform's configuration is the file that PROXY_CONFIG names."};
     app.set_version_flag("--version", std::string("martenford ") + MARTENFORD_VERSION);
     bool check = false;
-    std::string own;
-    app.add_option("--config", own, "our own configuration, in TOML; otherwise MARTENFORD_CONFIG names it")
+    std::string own_config;
+    app.add_option("--config", own_config,
+                   "our own configuration, in TOML; otherwise MARTENFORD_CONFIG names it")
         ->type_name("FILE");
     app.add_flag("--check-config", check, "read the configuration, say what is wrong with it, and end");
     // Before they are added: each takes it over, so that --config may stand behind them too.
@@ -401,55 +411,55 @@
     ledger->prefix_command();
     ledger->fallthrough(false);  // all that follows is the helper's
     ledger->set_help_flag();
-    martenford::WhyWords why;
-    auto* ask_why = app.add_subcommand(
+    martenford::WhyOptions why;
+    auto* why_command = app.add_subcommand(
         "why", "asks a running sidecar what explains its bad requests, or for one's story");
-    ask_why->add_option("id", why.id, "of a request");
-    ask_why->add_option("--console", why.console, "where operators call; otherwise PROXY_CONSOLE")
+    why_command->add_option("id", why.id, "of a request");
+    why_command->add_option("--console", why.console, "where operators call; otherwise PROXY_CONSOLE")
         ->type_name("ADDRESS");
-    ask_why->add_option("--since", why.since, "how far back, 5m at most");
-    ask_why->add_option("--slowest", why.slowest, "the slowest that are kept, so many")
+    why_command->add_option("--since", why.since, "how far back, 5m at most");
+    why_command->add_option("--slowest", why.slowest, "the slowest that are kept, so many")
         ->check(CLI::Range(1, 100));
-    ask_why->add_option("--class", why.klass, "of those")->needs("--slowest");
-    ask_why->add_flag("--latencies", why.latencies, "quantiles of the time to an answer");
-    martenford::FleetWords fleet;
-    auto* ask_fleet = app.add_subcommand("fleet", "asks a running sidecar about the others of its fleet");
-    ask_fleet->require_subcommand(1);
+    why_command->add_option("--class", why.klass, "of those")->needs("--slowest");
+    why_command->add_flag("--latencies", why.latencies, "quantiles of the time to an answer");
+    martenford::FleetOptions fleet;
+    auto* fleet_command = app.add_subcommand("fleet", "asks a running sidecar about the others of its fleet");
+    fleet_command->require_subcommand(1);
     for (const auto& [name, what] :
          {std::pair{"members", "who is alive, as it sees them"}, std::pair{"links", "its links to others"},
           std::pair{"watch", "what changes, until it is interrupted"}}) {
-        auto* each = ask_fleet->add_subcommand(name, what);
+        auto* each = fleet_command->add_subcommand(name, what);
         each->add_option("--console", fleet.console, "where operators call; otherwise PROXY_CONSOLE")
             ->type_name("ADDRESS");
         each->add_flag("--json", fleet.json, "one JSON object a line");
         each->callback([&fleet, name = name] { fleet.what = name; });
     }
-    martenford::StateWords state;
-    martenford::add_state_words(app, state);
+    martenford::StateOptions state;
+    martenford::add_state_commands(app, state);
     auto* events = app.add_subcommand("events", "the page of all that it may tell of itself");
     app.require_subcommand(0, 1);
     try {
         app.parse(argc, argv);
     } catch (const CLI::ParseError& error) {
-        return app.exit(error) == 0 ? 0 : martenford::kBadConfig;
+        return app.exit(error) == 0 ? 0 : martenford::kExitConfigError;
     }
     if (events->parsed()) {
         std::cout << martenford::events_page();
         return 0;
     }
-    if (ask_why->parsed()) return martenford::ask_why(why);
-    if (ask_fleet->parsed()) return martenford::ask_fleet(fleet);
-    if (!state.what.empty()) return martenford::ask_state(state);
-    if (ledger->parsed()) return martenford::ask_journal(ledger->remaining());
+    if (why_command->parsed()) return martenford::run_why(why);
+    if (fleet_command->parsed()) return martenford::run_fleet(fleet);
+    if (!state.what.empty()) return martenford::run_state(state);
+    if (ledger->parsed()) return martenford::run_ledger_command(ledger->remaining());
     try {
-        const martenford::Features features = martenford::features_of(own);
+        const martenford::Features features = martenford::own_features(own_config);
         return check ? martenford::check_config(features) : martenford::serve(features);
     } catch (const martenford::TomlError& error) {
         martenford::log(error.what());
-        return martenford::kBadConfig;
+        return martenford::kExitConfigError;
     } catch (const martenford::ConfigError& error) {
         martenford::log(error.what());
-        return martenford::kBadConfig;
+        return martenford::kExitConfigError;
     } catch (const std::exception& error) {
         martenford::log(error.what());
         return 1;
