--- a/src/replica/shelf_link.cpp
+++ b/src/replica/shelf_link.cpp
@@ -32,7 +32,7 @@
 ShelfLink::ShelfLink(Loop& loop, std::string helper, std::string directory, std::string fleet, Duration life,
                      Calls calls)
     : loop_(loop),
-      helper_(helper.empty() ? helper_beside_this_program() : std::move(helper)),
+      helper_(helper.empty() ? default_helper_path() : std::move(helper)),
       directory_(std::move(directory)),
       fleet_(std::move(fleet)),
       life_(life),
--- a/src/telemetry/causes.cpp
+++ b/src/telemetry/causes.cpp
@@ -17,7 +17,7 @@
 
 /// Twice the log-likelihood that two shares of bad ones, of these `all` and of the rest, gain over one for
 /// all.
-double gain_of(std::uint64_t bad, std::uint64_t all, std::uint64_t total_bad, std::uint64_t total) {
+double g_statistic_of(std::uint64_t bad, std::uint64_t all, std::uint64_t total_bad, std::uint64_t total) {
     const auto part = [&](std::uint64_t seen, std::uint64_t row, std::uint64_t column) {
         if (seen == 0) return 0.0;
         const double expected =
@@ -31,17 +31,17 @@
 
 }  // namespace
 
-double chance_of(std::uint64_t bad, std::uint64_t all, std::uint64_t total_bad, std::uint64_t total) {
-    const std::uint64_t most = std::min(all, total_bad);
-    const std::uint64_t least = all + total_bad > total ? all + total_bad - total : 0;
-    if (bad <= least) return 1.0;
-    if (bad > most) return 0.0;
+double fisher_p_value(std::uint64_t bad, std::uint64_t all, std::uint64_t total_bad, std::uint64_t total) {
+    const std::uint64_t max_bad = std::min(all, total_bad);
+    const std::uint64_t min_bad = all + total_bad > total ? all + total_bad - total : 0;
+    if (bad <= min_bad) return 1.0;
+    if (bad > max_bad) return 0.0;
     // Terms of the hypergeometric distribution from `bad` up, each from the one before. They fall once they
     // are past the middle; below it the sum is near 1 and its exact value is of no interest.
     double term = std::exp(log_choose(total_bad, bad) + log_choose(total - total_bad, all - bad) -
                            log_choose(total, all));
     double sum = 0.0;
-    for (std::uint64_t k = bad; k <= most; ++k) {
+    for (std::uint64_t k = bad; k <= max_bad; ++k) {
         sum += term;
         if (term < sum * 1e-12) break;
         term *= static_cast<double>(total_bad - k) * static_cast<double>(all - k) /
@@ -50,11 +50,11 @@
     return std::min(sum, 1.0);
 }
 
-Causes::Causes(std::vector<std::string> names, const Options& options) : options_(options) {
+CauseAnalyzer::CauseAnalyzer(std::vector<std::string> names, const Options& options) : options_(options) {
     for (std::string& name : names) tables_.push_back({std::move(name), {}, {}});
 }
 
-void Causes::count(Value& value, std::int64_t step, bool bad) const {
+void CauseAnalyzer::count(Value& value, std::int64_t step, bool bad) const {
     // Whatever stands between the last step and this one is older than the ring.
     const std::int64_t from = std::max(value.last + 1, step - static_cast<std::int64_t>(kSteps) + 1);
     for (std::int64_t s = from; s <= step; ++s) value.steps[static_cast<std::size_t>(s) % kSteps] = {};
@@ -65,7 +65,7 @@
     ++value.seen;
 }
 
-Causes::Counts Causes::sum(const Value& value, std::int64_t from, std::int64_t to) const {
+CauseAnalyzer::Counts CauseAnalyzer::sum(const Value& value, std::int64_t from, std::int64_t to) const {
     Counts result;
     const std::int64_t oldest = std::max(from, value.last - static_cast<std::int64_t>(kSteps) + 1);
     for (std::int64_t s = std::max<std::int64_t>(oldest, 0); s <= std::min(to, value.last); ++s) {
@@ -78,21 +78,21 @@
 
 /// Those seen least go, an eighth at a time, so that names that come once each don't make every request scan.
 /// All age by half once as many have gone as there is room for: what was frequent long ago gives way too.
-void Causes::make_room(Table& table) {
-    std::uint64_t least = std::numeric_limits<std::uint64_t>::max();
-    for (const auto& [name, value] : table.values) least = std::min(least, value.seen);
-    const std::size_t going = std::max<std::size_t>(1, options_.most_values / 8);
-    std::size_t gone = 0;
+void CauseAnalyzer::evict_rarest(Table& table) {
+    std::uint64_t fewest = std::numeric_limits<std::uint64_t>::max();
+    for (const auto& [name, value] : table.values) fewest = std::min(fewest, value.seen);
+    const std::size_t to_evict = std::max<std::size_t>(1, options_.max_values / 8);
+    std::size_t newly_evicted = 0;
     std::erase_if(table.values, [&](const auto& entry) {
-        return gone < going && entry.second.seen <= least && ++gone > 0;
+        return newly_evicted < to_evict && entry.second.seen <= fewest && ++newly_evicted > 0;
     });
-    evicted_ += gone;
-    if ((table.gone += gone) < options_.most_values) return;
-    table.gone = 0;
+    evicted_ += newly_evicted;
+    if ((table.evicted_since_aging += newly_evicted) < options_.max_values) return;
+    table.evicted_since_aging = 0;
     for (auto& [name, value] : table.values) value.seen /= 2;
 }
 
-void Causes::saw(Time now, const std::vector<std::string_view>& values, bool bad) {
+void CauseAnalyzer::observe(Time now, const std::vector<std::string_view>& values, bool bad) {
     const std::int64_t step = now.time_since_epoch() / options_.step;
     for (std::size_t i = 0; i < std::min(values.size(), tables_.size()); ++i) {
         if (values[i].empty()) continue;
@@ -100,7 +100,7 @@
         count(table.total, step, bad);
         auto it = table.values.find(std::string(values[i]));
         if (it == table.values.end()) {
-            if (table.values.size() >= options_.most_values) make_room(table);
+            if (table.values.size() >= options_.max_values) evict_rarest(table);
             it = table.values.try_emplace(std::string(values[i])).first;
             it->second.last = step;
         }
@@ -108,7 +108,8 @@
     }
 }
 
-std::vector<Causes::Cause> Causes::explain(Time now, Duration since, std::size_t most) const {
+std::vector<CauseAnalyzer::Cause> CauseAnalyzer::explain(Time now, Duration since,
+                                                         std::size_t max_causes) const {
     const std::int64_t to = now.time_since_epoch() / options_.step;
     const std::int64_t from = (now - since).time_since_epoch() / options_.step;
     std::vector<Cause> found;
@@ -116,7 +117,7 @@
         const Counts total = sum(table.total, from, to);
         for (const auto& [name, value] : table.values) {
             const Counts counts = sum(value, from, to);
-            if (counts.bad < options_.least_bad) continue;
+            if (counts.bad < options_.min_bad) continue;
             Cause cause{
                 table.name, name, counts.bad, counts.all, total.bad - counts.bad, total.all - counts.all,
                 0,          0,    1};
@@ -124,25 +125,28 @@
             if (cause.rest_all == 0) continue;
             const double share = static_cast<double>(cause.rest_bad) / static_cast<double>(cause.rest_all);
             cause.excess = static_cast<double>(cause.bad) - share * static_cast<double>(cause.all);
-            cause.gain = gain_of(cause.bad, cause.all, total.bad, total.all);
-            cause.chance = chance_of(counts.bad, counts.all, total.bad, total.all);
+            cause.g_statistic = g_statistic_of(cause.bad, cause.all, total.bad, total.all);
+            cause.p_value = fisher_p_value(counts.bad, counts.all, total.bad, total.all);
             found.push_back(std::move(cause));
         }
     }
     // Benjamini and Hochberg's step-up: of m looks the i-th smallest chance is corrected by m/i.
-    std::sort(found.begin(), found.end(), [](const Cause& a, const Cause& b) { return a.chance < b.chance; });
+    std::sort(found.begin(), found.end(),
+              [](const Cause& a, const Cause& b) { return a.p_value < b.p_value; });
     double smallest = 1.0;
     for (std::size_t i = found.size(); i-- > 0;) {
-        smallest = std::min(smallest,
-                            found[i].chance * static_cast<double>(found.size()) / static_cast<double>(i + 1));
-        found[i].chance = smallest;
+        smallest = std::min(
+            smallest, found[i].p_value * static_cast<double>(found.size()) / static_cast<double>(i + 1));
+        found[i].p_value = smallest;
     }
-    std::erase_if(found,
-                  [&](const Cause& each) { return each.chance > options_.most_false || each.excess <= 0.0; });
+    std::erase_if(found, [&](const Cause& each) {
+        return each.p_value > options_.max_false_discovery_rate || each.excess <= 0.0;
+    });
     std::sort(found.begin(), found.end(), [](const Cause& a, const Cause& b) {
-        return std::tuple(-a.gain, a.all, a.name, a.value) < std::tuple(-b.gain, b.all, b.name, b.value);
+        return std::tuple(-a.g_statistic, a.all, a.name, a.value) <
+               std::tuple(-b.g_statistic, b.all, b.name, b.value);
     });
-    if (found.size() > most) found.resize(most);
+    if (found.size() > max_causes) found.resize(max_causes);
     return found;
 }
 
--- a/src/telemetry/causes.h
+++ b/src/telemetry/causes.h
@@ -15,13 +15,14 @@
 
 namespace martenford::telemetry {
 
-class Causes {
+class CauseAnalyzer {
   public:
     struct Options {
-        Duration step = 10s;            ///< counts are kept by such stretches, `kSteps` of them
-        std::size_t most_values = 512;  ///< of one attribute; the one seen least gives way
-        std::size_t least_bad = 5;      ///< fewer bad requests with a value say nothing of it
-        double most_false = 0.01;  ///< share of named causes that may be chance (Benjamini, Hochberg 1995)
+        Duration step = 10s;           ///< counts are kept by such stretches, `kSteps` of them
+        std::size_t max_values = 512;  ///< of one attribute; the one seen least gives way
+        std::size_t min_bad = 5;       ///< fewer bad requests with a value say nothing of it
+        double max_false_discovery_rate =
+            0.01;  ///< share of named causes that may be chance (Benjamini, Hochberg 1995)
     };
     static constexpr std::size_t kSteps = 32;
 
@@ -32,22 +33,22 @@
         std::string name, value;
         std::uint64_t bad = 0, all = 0;            ///< of requests with this value
         std::uint64_t rest_bad = 0, rest_all = 0;  ///< of those with another value of the attribute
-        double excess = 0.0;  ///< bad ones beyond what the rest's share would give: what it explains
-        double gain = 0.0;    ///< the G statistic
-        double chance = 1.0;  ///< that a value stands out so by itself, corrected
+        double excess = 0.0;       ///< bad ones beyond what the rest's share would give: what it explains
+        double g_statistic = 0.0;  ///< the G statistic
+        double p_value = 1.0;      ///< that a value stands out so by itself, corrected
     };
 
     /// `names`: the attributes, in the order in which requests give their values.
-    Causes(std::vector<std::string> names, const Options& options);
+    CauseAnalyzer(std::vector<std::string> names, const Options& options);
 
     /// One request: a value for each attribute, empty where it has none. Times must not go back.
-    void saw(Time now, const std::vector<std::string_view>& values, bool bad);
+    void observe(Time now, const std::vector<std::string_view>& values, bool bad);
 
     /// What stands out over the last `since`, what explains most first: by the likelihood that telling
     /// requests apart by this value gains over not doing so (the G statistic). A zone with one bad endpoint
     /// has as many bad requests too many as that endpoint, in more requests, and gains less; a bad zone gains
     /// more than each of its endpoints.
-    std::vector<Cause> explain(Time now, Duration since, std::size_t most) const;
+    std::vector<Cause> explain(Time now, Duration since, std::size_t max_causes) const;
 
     std::uint64_t evicted() const { return evicted_; }
 
@@ -58,18 +59,18 @@
     struct Value {
         std::array<Counts, kSteps> steps{};
         std::int64_t last = 0;   // the newest step it has counts of
-        std::uint64_t seen = 0;  // ages, see make_room()
+        std::uint64_t seen = 0;  // ages, see evict_rarest()
     };
     struct Table {
         std::string name;
         std::unordered_map<std::string, Value> values;
         Value total;
-        std::size_t gone = 0;  // since all aged
+        std::size_t evicted_since_aging = 0;  // since all aged
     };
 
     void count(Value& value, std::int64_t step, bool bad) const;
     Counts sum(const Value& value, std::int64_t from, std::int64_t to) const;
-    void make_room(Table& table);
+    void evict_rarest(Table& table);
 
     Options options_;
     std::vector<Table> tables_;
@@ -78,6 +79,6 @@
 
 /// The chance that at least `bad` of `all` requests drawn from `total` are among its `total_bad` bad ones:
 /// Fisher's exact test, one-sided.
-double chance_of(std::uint64_t bad, std::uint64_t all, std::uint64_t total_bad, std::uint64_t total);
+double fisher_p_value(std::uint64_t bad, std::uint64_t all, std::uint64_t total_bad, std::uint64_t total);
 
 }  // namespace martenford::telemetry
--- a/src/telemetry/collector.cpp
+++ b/src/telemetry/collector.cpp
@@ -15,9 +15,9 @@
 
 namespace {
 
-constexpr std::size_t kMostCauses = 5;                        // told at once: more are for a closer look
-constexpr std::uint64_t kUsualSince = 300, kMostSince = 310;  // seconds: what the counts reach back
-constexpr std::uint64_t kMostSlowest = 100;                   // told at once, some hundred bytes each
+constexpr std::size_t kMaxCauses = 5;                          // told at once: more are for a closer look
+constexpr std::uint64_t kDefaultSince = 300, kMaxSince = 310;  // seconds: what the counts reach back
+constexpr std::uint64_t kMaxSlowest = 100;                     // told at once, some hundred bytes each
 
 const char* name_of(Status status) {
     switch (status) {
@@ -63,29 +63,29 @@
     return how == Tally::End::Served ? "served" : how == Tally::End::Refused ? "refused" : "failed";
 }
 
-double ms(Duration d) {
+double to_ms(Duration d) {
     return static_cast<double>(d.count()) * 1e-6;
 }
 
-std::string lines_of(const std::vector<Causes::Cause>& causes, const char* of) {
+std::string lines_of(const std::vector<CauseAnalyzer::Cause>& causes, const char* of) {
     std::string text;
-    for (const Causes::Cause& c : causes) {
+    for (const CauseAnalyzer::Cause& c : causes) {
         text += fmt::format("{} {}={}: {} of {} bad, elsewhere {} of {}; by chance {:.1g}\n", of, c.name,
-                            c.value, c.bad, c.all, c.rest_bad, c.rest_all, c.chance);
+                            c.value, c.bad, c.all, c.rest_bad, c.rest_all, c.p_value);
     }
     return text;
 }
 
 }  // namespace
 
-Collector::Collector(const Scheduler& scheduler, const decision::Settings& settings, NamesOfNumbers names,
+Collector::Collector(const Scheduler& scheduler, const decision::Settings& settings, AttributeNames names,
                      const Options& options, std::uint64_t seed, Counters& counters)
     : scheduler_(scheduler),
       settings_(settings),
       names_(std::move(names)),
       requests_({"class", "tenant", "endpoint", "zone", "kind", "client-retry"}, options.causes),
       attempts_({"endpoint", "zone", "kind", "class"}, options.causes),
-      stories_(options.stories, seed),
+      sampler_(options.sampler, seed),
       latencies_(settings.classes.size()),
       offered_(counters.counter("telemetry.stories", "requests whose story was told")),
       kept_(counters.counter("telemetry.kept", "of them, kept for a while")) {
@@ -93,10 +93,10 @@
                    [this] { return static_cast<double>(requests_.evicted() + attempts_.evicted()); });
 }
 
-const Collector::Node& Collector::node(EndpointId id) const {
-    static const Node kUnknown{"?", 0, 0};
-    const auto it = nodes_.find(id);
-    return it == nodes_.end() ? kUnknown : it->second;
+const Collector::EndpointInfo& Collector::endpoint_info(EndpointId id) const {
+    static const EndpointInfo kUnknown{"?", 0, 0};
+    const auto it = endpoints_.find(id);
+    return it == endpoints_.end() ? kUnknown : it->second;
 }
 
 std::string_view Collector::at(const std::vector<std::string>& names, std::uint32_t index) {
@@ -104,28 +104,28 @@
 }
 
 void Collector::name(EndpointId id, const std::string& uid) {
-    nodes_[id].uid = uid;
+    endpoints_[id].uid = uid;
 }
 
 void Collector::listed(const decision::Discovered& news) {
     if (!news.endpoints) return;
     for (const decision::Endpoint& each : *news.endpoints) {
         if (each.availability == decision::Availability::Gone) {
-            nodes_.erase(each.id);
+            endpoints_.erase(each.id);
         } else {
-            Node& node = nodes_[each.id];
-            node.zone = each.zone;
-            node.kind = each.kind;
+            EndpointInfo& endpoint_info = endpoints_[each.id];
+            endpoint_info.zone = each.zone;
+            endpoint_info.kind = each.kind;
         }
     }
 }
 
 void Collector::taken(const decision::Request& request) {
-    Open& open = open_[request.id];
-    open.story.id = request.id;
-    open.story.klass = settings_.classes[request.class_index].name;
-    open.story.taken = scheduler_.now();
-    open.story.wall_ms = wall_ms();
+    OpenRequest& open = open_requests_[request.id];
+    open.trace.id = request.id;
+    open.trace.klass = settings_.classes[request.class_index].name;
+    open.trace.started = scheduler_.now();
+    open.trace.wall_ms = wall_ms();
     open.class_index = request.class_index;
     if (request.tenant && *request.tenant < settings_.tenants.size())
         open.tenant = settings_.tenants[*request.tenant].name;
@@ -133,71 +133,72 @@
 }
 
 void Collector::sent(const RequestId& id, std::size_t attempt, EndpointId endpoint) {
-    const auto it = open_.find(id);
-    if (it == open_.end()) return;
-    Open& open = it->second;
+    const auto it = open_requests_.find(id);
+    if (it == open_requests_.end()) return;
+    OpenRequest& open = it->second;
     // Attempts that ended before they were sent have no place in the story.
     open.endpoints.resize(attempt + 1, EndpointId{});
     open.steps.resize(attempt + 1, 0);
     open.endpoints[attempt] = endpoint;
-    open.steps[attempt] = open.story.steps.size() + 1;
-    open.story.steps.push_back({node(endpoint).uid, scheduler_.now() - open.story.taken, {}, "out"});
+    open.steps[attempt] = open.trace.spans.size() + 1;
+    open.trace.spans.push_back(
+        {endpoint_info(endpoint).uid, scheduler_.now() - open.trace.started, {}, "out"});
     ++open.out;
 }
 
 void Collector::ended(const RequestId& id, std::size_t attempt, Status status) {
-    const auto it = open_.find(id);
-    if (it == open_.end()) return;
-    Open& open = it->second;
+    const auto it = open_requests_.find(id);
+    if (it == open_requests_.end()) return;
+    OpenRequest& open = it->second;
     if (attempt >= open.steps.size() || open.steps[attempt] == 0) return;
-    Step& step = open.story.steps[std::exchange(open.steps[attempt], 0) - 1];
-    step.to = scheduler_.now() - open.story.taken;
-    step.outcome = name_of(status);
+    Span& span = open.trace.spans[std::exchange(open.steps[attempt], 0) - 1];
+    span.end = scheduler_.now() - open.trace.started;
+    span.outcome = name_of(status);
     --open.out;
     if (status != Status::NotSent && status != Status::Cancelled) {
-        const Node& where = node(open.endpoints[attempt]);
-        attempts_.saw(
+        const EndpointInfo& where = endpoint_info(open.endpoints[attempt]);
+        attempts_.observe(
             scheduler_.now(),
-            {where.uid, at(names_.zones, where.zone), at(names_.kinds, where.kind), open.story.klass},
+            {where.uid, at(names_.zones, where.zone), at(names_.kinds, where.kind), open.trace.klass},
             status != Status::Ok);
     }
-    forget_if_over(id);
+    finish_if_over(id);
 }
 
 void Collector::completed(const RequestId& id, Tally::End how, Why why) {
-    const auto it = open_.find(id);
-    if (it == open_.end()) return;
-    Open& open = it->second;
-    Story& story = open.story;
-    story.took = scheduler_.now() - story.taken;
-    story.answer = why == Why::Client ? "left" : name_of(how);
-    story.why = name_of(why);
+    const auto it = open_requests_.find(id);
+    if (it == open_requests_.end()) return;
+    OpenRequest& open = it->second;
+    RequestTrace& trace = open.trace;
+    trace.duration = scheduler_.now() - trace.started;
+    trace.answer = why == Why::Client ? "left" : name_of(how);
+    trace.why = name_of(why);
     const auto& rules = settings_.classes[open.class_index];
-    story.late = how == Tally::End::Served && rules.aim > Duration{} && story.took > rules.aim;
+    trace.late = how == Tally::End::Served && rules.aim > Duration{} && trace.duration > rules.aim;
     open.over = true;
     if (how == Tally::End::Served)
-        latencies_[open.class_index].add(static_cast<double>(story.took.count()) * 1e-9);
+        latencies_[open.class_index].add(static_cast<double>(trace.duration.count()) * 1e-9);
     // Its client's own leaving says nothing of us.
     if (why != Why::Client) {
-        const Node* where = open.endpoints.empty() ? nullptr : &node(open.endpoints.back());
-        requests_.saw(
+        const EndpointInfo* where = open.endpoints.empty() ? nullptr : &endpoint_info(open.endpoints.back());
+        requests_.observe(
             scheduler_.now(),
-            {story.klass, open.tenant, where ? std::string_view(where->uid) : std::string_view(),
+            {trace.klass, open.tenant, where ? std::string_view(where->uid) : std::string_view(),
              where ? at(names_.zones, where->zone) : std::string_view(),
              where ? at(names_.kinds, where->kind) : std::string_view(), open.resent ? "yes" : "no"},
-            how != Tally::End::Served || story.late);
+            how != Tally::End::Served || trace.late);
     }
-    forget_if_over(id);
+    finish_if_over(id);
 }
 
 /// Told once its last attempt has ended too: what was still out when the answer was given belongs to the
 /// story.
-void Collector::forget_if_over(const RequestId& id) {
-    const auto it = open_.find(id);
-    if (it == open_.end() || !it->second.over || it->second.out > 0) return;
+void Collector::finish_if_over(const RequestId& id) {
+    const auto it = open_requests_.find(id);
+    if (it == open_requests_.end() || !it->second.over || it->second.out > 0) return;
     offered_.add();
-    if (stories_.offer(std::move(it->second.story))) kept_.add();
-    open_.erase(it);
+    if (sampler_.offer(std::move(it->second.trace))) kept_.add();
+    open_requests_.erase(it);
 }
 
 std::optional<std::string> Collector::answer(std::string_view line) const {
@@ -207,66 +208,66 @@
         words.push_back(line.substr(at, end - at));
         at = end;
     }
-    const auto number = [&](std::size_t word, std::uint64_t otherwise, std::uint64_t most) {
-        std::uint64_t value = otherwise;
+    const auto number = [&](std::size_t word, std::uint64_t default_value, std::uint64_t max_count) {
+        std::uint64_t value = default_value;
         if (word < words.size())
             std::from_chars(words[word].data(), words[word].data() + words[word].size(), value);
-        return std::clamp<std::uint64_t>(value, 1, most);
+        return std::clamp<std::uint64_t>(value, 1, max_count);
     };
     if (words.empty()) return std::nullopt;
     if (words[0] == "why" && words.size() <= 2)
-        return why(std::chrono::seconds(number(1, kUsualSince, kMostSince)));
+        return why(std::chrono::seconds(number(1, kDefaultSince, kMaxSince)));
     if (words[0] == "latencies" && words.size() == 1) return latencies();
     if (words[0] == "story" && words.size() == 2) {
-        auto text = story(std::string(words[1]));
+        auto text = trace(std::string(words[1]));
         return text.empty() ? "none is kept of it\n" : text;
     }
     if (words[0] == "slowest" && words.size() <= 3) {
-        return slowest(number(1, 10, kMostSlowest), words.size() > 2 ? std::string(words[2]) : std::string());
+        return slowest(number(1, 10, kMaxSlowest), words.size() > 2 ? std::string(words[2]) : std::string());
     }
     return std::nullopt;
 }
 
 std::string Collector::why(Duration since) const {
     const Time now = scheduler_.now();
-    std::string text = lines_of(requests_.explain(now, since, kMostCauses), "requests");
-    text += lines_of(attempts_.explain(now, since, kMostCauses), "attempts");
+    std::string text = lines_of(requests_.explain(now, since, kMaxCauses), "requests");
+    text += lines_of(attempts_.explain(now, since, kMaxCauses), "attempts");
     return text.empty() ? "nothing stands out\n" : text;
 }
 
-std::string Collector::tell(const Story& story) const {
-    std::string text = fmt::format("{} {} {} by {} after {:.1f} ms{}\n", story.id, story.klass, story.answer,
-                                   story.why, ms(story.took), story.late ? ", late" : "");
-    for (const Step& step : story.steps) {
-        text += fmt::format("  {:.1f} ms: to {}, {} at {:.1f} ms\n", ms(step.from), step.endpoint,
-                            step.outcome, ms(step.to));
+std::string Collector::format_trace(const RequestTrace& trace) const {
+    std::string text = fmt::format("{} {} {} by {} after {:.1f} ms{}\n", trace.id, trace.klass, trace.answer,
+                                   trace.why, to_ms(trace.duration), trace.late ? ", late" : "");
+    for (const Span& span : trace.spans) {
+        text += fmt::format("  {:.1f} ms: to {}, {} at {:.1f} ms\n", to_ms(span.start), span.endpoint,
+                            span.outcome, to_ms(span.end));
     }
     return text;
 }
 
-std::string Collector::story(const std::string& id) const {
-    const Story* found = stories_.find(id);
-    return found ? tell(*found) : std::string();
+std::string Collector::trace(const std::string& id) const {
+    const RequestTrace* found = sampler_.find(id);
+    return found ? format_trace(*found) : std::string();
 }
 
-std::string Collector::slowest(std::size_t most, const std::string& klass) const {
-    std::vector<const Story*> all;
-    stories_.each([&](const Story& story, TailSampler::Reason) {
-        if (klass.empty() || story.klass == klass) all.push_back(&story);
+std::string Collector::slowest(std::size_t max_count, const std::string& klass) const {
+    std::vector<const RequestTrace*> all;
+    sampler_.each([&](const RequestTrace& trace, TailSampler::Reason) {
+        if (klass.empty() || trace.klass == klass) all.push_back(&trace);
         return true;
     });
-    most = std::min(most, all.size());
-    std::partial_sort(all.begin(), all.begin() + static_cast<std::ptrdiff_t>(most), all.end(),
-                      [](const Story* a, const Story* b) { return a->took > b->took; });
+    max_count = std::min(max_count, all.size());
+    std::partial_sort(all.begin(), all.begin() + static_cast<std::ptrdiff_t>(max_count), all.end(),
+                      [](const RequestTrace* a, const RequestTrace* b) { return a->duration > b->duration; });
     std::string text;
-    for (std::size_t i = 0; i < most; ++i) text += tell(*all[i]);
+    for (std::size_t i = 0; i < max_count; ++i) text += format_trace(*all[i]);
     return text.empty() ? "none is kept\n" : text;
 }
 
 std::string Collector::latencies() const {
     std::string text;
     for (std::size_t i = 0; i < latencies_.size(); ++i) {
-        const Sketch& each = latencies_[i];
+        const QuantileSketch& each = latencies_[i];
         text += fmt::format("{}: {} served, p50 {:.1f} ms, p90 {:.1f} ms, p99 {:.1f} ms, p99.9 {:.1f} ms\n",
                             settings_.classes[i].name, each.count(), each.quantile(0.5) * 1e3,
                             each.quantile(0.9) * 1e3, each.quantile(0.99) * 1e3, each.quantile(0.999) * 1e3);
--- a/src/telemetry/collector.h
+++ b/src/telemetry/collector.h
@@ -20,20 +20,20 @@
 namespace martenford::telemetry {
 
 /// The names behind the settings' numbers.
-struct NamesOfNumbers {
+struct AttributeNames {
     std::vector<std::string> zones, kinds;
 };
 
 class Collector : public Observer {
   public:
     /// Both references outlive it. `seed`: of the samples.
-    Collector(const Scheduler& scheduler, const decision::Settings& settings, NamesOfNumbers names,
+    Collector(const Scheduler& scheduler, const decision::Settings& settings, AttributeNames names,
               const Options& options, std::uint64_t seed, Counters& counters);
 
     /// An endpoint's uid, as the placement hears it.
     void name(EndpointId id, const std::string& uid);
     /// It is listed no more, also where a whole list left it out without a word.
-    void forget(EndpointId id) { nodes_.erase(id); }
+    void forget(EndpointId id) { endpoints_.erase(id); }
 
     void taken(const decision::Request& request) override;
     void sent(const decision::RequestId& id, std::size_t attempt, EndpointId endpoint) override;
@@ -49,19 +49,19 @@
     /// What explains the bad requests and the bad attempts of the last `since`.
     std::string why(Duration since) const;
     /// The story of one request; empty: it is not kept.
-    std::string story(const std::string& id) const;
+    std::string trace(const std::string& id) const;
     /// The slowest of a class that are kept, or of all; `most` of them.
-    std::string slowest(std::size_t most, const std::string& klass) const;
+    std::string slowest(std::size_t max_count, const std::string& klass) const;
     /// Quantiles of the time to an answer, by class.
     std::string latencies() const;
 
   private:
-    struct Node {
+    struct EndpointInfo {
         std::string uid;
         std::uint32_t zone = 0, kind = 0;
     };
-    struct Open {
-        Story story;
+    struct OpenRequest {
+        RequestTrace trace;
         std::uint32_t class_index = 0;
         std::string tenant;
         bool resent = false;
@@ -70,39 +70,41 @@
         std::size_t out = 0;
         bool over = false;
     };
-    void forget_if_over(const decision::RequestId& id);
-    void keep(Open& open);
-    const Node& node(EndpointId id) const;
+    void finish_if_over(const decision::RequestId& id);
+    void keep(OpenRequest& open);
+    const EndpointInfo& endpoint_info(EndpointId id) const;
     static std::string_view at(const std::vector<std::string>& names, std::uint32_t index);
-    std::string tell(const Story& story) const;
+    std::string format_trace(const RequestTrace& trace) const;
 
     const Scheduler& scheduler_;
     const decision::Settings& settings_;
-    NamesOfNumbers names_;
-    Causes requests_, attempts_;
-    TailSampler stories_;
-    std::vector<Sketch> latencies_;                       // by class, since the start
-    std::unordered_map<EndpointId, Node> nodes_;          // as many as discovery lists
-    std::unordered_map<decision::RequestId, Open> open_;  // as many as the engine has
+    AttributeNames names_;
+    CauseAnalyzer requests_, attempts_;
+    TailSampler sampler_;
+    std::vector<QuantileSketch> latencies_;                               // by class, since the start
+    std::unordered_map<EndpointId, EndpointInfo> endpoints_;              // as many as discovery lists
+    std::unordered_map<decision::RequestId, OpenRequest> open_requests_;  // as many as the engine has
     Counter &offered_, &kept_;
 };
 
 /// Hears the names of endpoints on their way to a back.
-class NamesTap : public Placement {
+class EndpointNameTap : public Placement {
   public:
-    NamesTap(Placement& to, Collector& collector) : to_(to), collector_(collector) {}
+    EndpointNameTap(Placement& to, Collector& collector) : next_(to), collector_(collector) {}
     void name(EndpointId id, const std::string& uid) override {
         collector_.name(id, uid);
-        to_.name(id, uid);
+        next_.name(id, uid);
+    }
+    void place(EndpointId id, const Address& address, bool ready) override {
+        next_.place(id, address, ready);
     }
-    void place(EndpointId id, const Address& address, bool ready) override { to_.place(id, address, ready); }
     void remove(EndpointId id) override {
         collector_.forget(id);
-        to_.remove(id);
+        next_.remove(id);
     }
 
   private:
-    Placement& to_;
+    Placement& next_;
     Collector& collector_;
 };
 
--- a/src/telemetry/options.h
+++ b/src/telemetry/options.h
@@ -7,8 +7,8 @@
 namespace martenford::telemetry {
 
 struct Options {
-    TailSampler::Options stories;
-    Causes::Options causes;
+    TailSampler::Options sampler;
+    CauseAnalyzer::Options causes;
 };
 
 }  // namespace martenford::telemetry
--- a/src/telemetry/sketch.cpp
+++ b/src/telemetry/sketch.cpp
@@ -6,7 +6,7 @@
 
 namespace martenford::telemetry {
 
-Sketch::Sketch(double relative_error)
+QuantileSketch::QuantileSketch(double relative_error)
     : error_(relative_error),
       gamma_((1.0 + relative_error) / (1.0 - relative_error)),
       log_gamma_(std::log(gamma_)) {
@@ -14,21 +14,21 @@
 }
 
 /// Bucket i holds the values in (gamma^(i-1), gamma^i].
-int Sketch::index_of(double value) const {
-    return static_cast<int>(std::ceil(std::log(std::max(value, kLeast)) / log_gamma_));
+int QuantileSketch::index_of(double value) const {
+    return static_cast<int>(std::ceil(std::log(std::max(value, kMinValue)) / log_gamma_));
 }
 
 /// The value whose relative distance to both ends of the bucket is the error.
-double Sketch::value_of(int index) const {
+double QuantileSketch::value_of(int index) const {
     return 2.0 * std::exp(log_gamma_ * index) / (gamma_ + 1.0);
 }
 
-void Sketch::make_room(int index) {
+void QuantileSketch::cover_bucket(int index) {
     if (counts_.empty()) first_ = index;
     const int last = first_ + static_cast<int>(counts_.size()) - 1;
     int low = std::min(first_, index);
     const int high = counts_.empty() ? index : std::max(last, index);
-    low = std::max(low, high - static_cast<int>(kMostBuckets) + 1);
+    low = std::max(low, high - static_cast<int>(kMaxBuckets) + 1);
     if (counts_.empty() || low < first_) {
         counts_.insert(counts_.begin(), static_cast<std::size_t>(counts_.empty() ? 0 : first_ - low), 0);
         first_ = low;
@@ -45,11 +45,11 @@
     counts_.resize(std::max(counts_.size(), static_cast<std::size_t>(high - first_ + 1)), 0);
 }
 
-void Sketch::add(double value, std::uint64_t times) {
+void QuantileSketch::add(double value, std::uint64_t times) {
     if (times == 0 || std::isnan(value)) return;
     int index = index_of(value);
     if (index < first_ || index >= first_ + static_cast<int>(counts_.size())) {
-        make_room(index);
+        cover_bucket(index);
         index = std::max(index, first_);
     }
     counts_[static_cast<std::size_t>(index - first_)] += times;
@@ -57,12 +57,12 @@
     sum_ += value * static_cast<double>(times);
 }
 
-void Sketch::merge(const Sketch& other) {
+void QuantileSketch::merge(const QuantileSketch& other) {
     if (other.error_ != error_) throw std::invalid_argument("sketches of different errors");
     if (other.counts_.empty()) return;
-    make_room(other.first_ + static_cast<int>(other.counts_.size()) - 1);
-    make_room(
-        std::max(other.first_, first_ + static_cast<int>(counts_.size()) - static_cast<int>(kMostBuckets)));
+    cover_bucket(other.first_ + static_cast<int>(other.counts_.size()) - 1);
+    cover_bucket(
+        std::max(other.first_, first_ + static_cast<int>(counts_.size()) - static_cast<int>(kMaxBuckets)));
     for (std::size_t i = 0; i < other.counts_.size(); ++i) {
         const int index = std::max(first_, other.first_ + static_cast<int>(i));
         counts_[static_cast<std::size_t>(index - first_)] += other.counts_[i];
@@ -71,7 +71,7 @@
     sum_ += other.sum_;
 }
 
-double Sketch::quantile(double share) const {
+double QuantileSketch::quantile(double share) const {
     if (count_ == 0) return 0.0;
     const double rank = std::clamp(share, 0.0, 1.0) * static_cast<double>(count_ - 1);
     std::uint64_t seen = 0;
@@ -82,7 +82,7 @@
     return value_of(first_ + static_cast<int>(counts_.size()) - 1);
 }
 
-void Sketch::clear() {
+void QuantileSketch::clear() {
     counts_.clear();
     first_ = 0;
     count_ = 0;
--- a/src/telemetry/sketch.h
+++ b/src/telemetry/sketch.h
@@ -8,21 +8,21 @@
 
 namespace martenford::telemetry {
 
-class Sketch {
+class QuantileSketch {
   public:
     /// Of values above `least`; what is smaller counts as that. 1 us, in seconds: nothing of ours is timed
     /// finer.
-    static constexpr double kLeast = 1e-6;
+    static constexpr double kMinValue = 1e-6;
     /// Buckets at most. At an error of 1% they span eleven orders of magnitude; beyond that the lowest are
     /// merged, and only quantiles down there lose their bound.
-    static constexpr std::size_t kMostBuckets = 1280;
+    static constexpr std::size_t kMaxBuckets = 1280;
 
     /// `relative_error`: of any quantile, above 0 and below 1.
-    explicit Sketch(double relative_error = 0.01);
+    explicit QuantileSketch(double relative_error = 0.01);
 
     void add(double value, std::uint64_t times = 1);
     /// Of the same relative error; throws std::invalid_argument otherwise.
-    void merge(const Sketch& other);
+    void merge(const QuantileSketch& other);
     /// The value that `share` (0 to 1) of all are at or below, within the relative error; 0 where there is
     /// none.
     double quantile(double share) const;
@@ -34,7 +34,7 @@
   private:
     int index_of(double value) const;
     double value_of(int index) const;
-    void make_room(int index);
+    void cover_bucket(int index);
 
     double error_, gamma_, log_gamma_;
     std::vector<std::uint64_t> counts_;  // of the buckets from first_ on
--- a/src/telemetry/tail_sampler.h
+++ b/src/telemetry/tail_sampler.h
@@ -18,73 +18,73 @@
 namespace martenford::telemetry {
 
 /// What one attempt was, or a wait between two.
-struct Step {
-    std::string endpoint;   ///< its uid; empty: a wait
-    Duration from{}, to{};  ///< since the request was taken
+struct Span {
+    std::string endpoint;     ///< its uid; empty: a wait
+    Duration start{}, end{};  ///< since the request was taken
     std::string outcome;
 };
 
-struct Story {
-    std::string id, klass, trace;
-    Time taken{};
+struct RequestTrace {
+    std::string id, klass, trace_id;
+    Time started{};
     std::int64_t wall_ms = 0;
-    Duration took{};
+    Duration duration{};
     std::string answer;  ///< served, refused, failed, left
     std::string why;     ///< the reason of a refusal or a failure, in a word
     bool late = false;   ///< served after its class's aim
-    std::vector<Step> steps;
+    std::vector<Span> spans;
 };
 
 class TailSampler {
   public:
     /// In the order in which room is given.
-    enum class Reason : std::uint8_t { Failed, Late, Refused, Rare, Usual };
+    enum class Reason : std::uint8_t { Failed, Late, Refused, Rare, Normal };
     static constexpr std::size_t kReasons = 5;
 
     struct Options {
-        std::size_t most = 2000;      ///< stories of one reason, over all classes and stretches
-        std::size_t most_steps = 16;  ///< of one story; more are counted
-        Duration stretch = 60s;       ///< each has an equal share of the room, so that a burst keeps none out
-        std::size_t stretches = 10;
-        std::size_t most_paths = 4096;  ///< paths that are told apart
-        std::uint64_t rare_below = 4;   ///< a path seen less often than that is rare
+        std::size_t max_traces = 2000;  ///< stories of one reason, over all classes and stretches
+        std::size_t max_spans = 16;     ///< of one story; more are counted
+        Duration window = 60s;  ///< each has an equal share of the room, so that a burst keeps none out
+        std::size_t windows = 10;
+        std::size_t max_paths = 4096;  ///< paths that are told apart
+        std::uint64_t rare_below = 4;  ///< a path seen less often than that is rare
     };
 
     TailSampler(const Options& options, std::uint64_t seed);
 
     /// True: it is kept now; a later one may still take its place where it is one of too many alike.
-    bool offer(Story story);
+    bool offer(RequestTrace trace);
 
     /// What is kept, newest first; false ends it.
-    void each(const std::function<bool(const Story&, Reason)>& see) const;
-    const Story* find(const std::string& id) const;
+    void each(const std::function<bool(const RequestTrace&, Reason)>& visit) const;
+    const RequestTrace* find(const std::string& id) const;
     std::size_t size() const;
     /// Offered so far, by reason: with what is kept this tells the weight of each.
     std::uint64_t offered(Reason reason) const { return offered_[static_cast<std::size_t>(reason)]; }
 
-    static Reason reason_of(const Story& story, bool rare);
+    static Reason reason_of(const RequestTrace& trace, bool rare);
     /// Outcomes in order, without names: two requests of one path differ in where and how long alone.
-    static std::string path_of(const Story& story);
+    static std::string path_of(const RequestTrace& trace);
 
   private:
     /// A uniform sample of what was offered to it (J. Vitter, "Random Sampling with a Reservoir", 1985,
     /// algorithm R).
     struct Reservoir {
         std::uint64_t offered = 0;
-        std::vector<Story> kept;
+        std::vector<RequestTrace> kept;
     };
-    struct Stretch {
+    struct Window {
         std::int64_t number = 0;
         std::array<Reservoir, kReasons> by_reason;
     };
 
-    Stretch& stretch_at(Time now);
+    Window& window_at(Time now);
     bool is_rare(const std::string& path);
     std::uint64_t draw(std::uint64_t below);
 
     Options options_;
     std::uint64_t random_;
-    std::deque<Stretch> stretches_;  // the newest last
+    std::deque<Window> windows_;  // the newest last
     std::unordered_map<std::string, std::uint64_t> paths_;
     std::array<std::uint64_t, kReasons> offered_{};
 };
--- a/src/telemetry/trace_context.cpp
+++ b/src/telemetry/trace_context.cpp
@@ -22,11 +22,11 @@
 }
 
 /// Whether it may be passed on: printable, and few enough members. What they say is their owners' matter.
-bool may_pass(std::string_view state) {
-    if (state.size() > kMostTraceState) return false;
+bool may_forward(std::string_view state) {
+    if (state.size() > kMaxTraceStateBytes) return false;
     if (std::any_of(state.begin(), state.end(), [](char c) { return (c < ' ' && c != '\t') || c > '~'; }))
         return false;
-    return static_cast<std::size_t>(std::count(state.begin(), state.end(), ',')) < kMostTraceMembers;
+    return static_cast<std::size_t>(std::count(state.begin(), state.end(), ',')) < kMaxTraceStateMembers;
 }
 
 }  // namespace
@@ -44,7 +44,7 @@
     if (!high || !low || !parent || !flags) return std::nullopt;
     TraceContext context{{*high, *low}, *parent, (*flags & 1) != 0, {}};
     if (!context.trace.valid() || context.parent == 0) return std::nullopt;
-    if (may_pass(tracestate)) context.state = tracestate;
+    if (may_forward(tracestate)) context.state = tracestate;
     return context;
 }
 
--- a/src/telemetry/trace_context.h
+++ b/src/telemetry/trace_context.h
@@ -25,8 +25,8 @@
 };
 
 /// Of tracestate: the least that has to be passed on (section 3.3.1.5). Longer ones are dropped whole.
-constexpr std::size_t kMostTraceState = 512;
-constexpr std::size_t kMostTraceMembers = 32;
+constexpr std::size_t kMaxTraceStateBytes = 512;
+constexpr std::size_t kMaxTraceStateMembers = 32;
 
 /// Reads both headers; nothing where traceparent is none. A tracestate that can't be read is left out.
 std::optional<TraceContext> read_trace_context(std::string_view traceparent, std::string_view tracestate);
--- a/tests/assembly/features_test.cpp
+++ b/tests/assembly/features_test.cpp
@@ -54,12 +54,12 @@
 )",
                                         "martenford.toml");
     ASSERT_TRUE(read.ledger);
-    EXPECT_EQ(read.ledger->unsafe.level, ledger::Level::Group);
-    EXPECT_EQ(read.ledger->unsafe.outage, ledger::Outage::Refuse);
-    EXPECT_EQ(read.ledger->classes.at("usage-post").level, ledger::Level::Async);
-    EXPECT_EQ(read.ledger->classes.at("usage-post").outage, ledger::Outage::GoOn);
-    EXPECT_EQ(read.ledger->keep, 168h);
-    EXPECT_EQ(read.ledger->hold, 250ms);
+    EXPECT_EQ(read.ledger->non_idempotent.level, ledger::Durability::Group);
+    EXPECT_EQ(read.ledger->non_idempotent.outage, ledger::OutagePolicy::Refuse);
+    EXPECT_EQ(read.ledger->classes.at("usage-post").level, ledger::Durability::Async);
+    EXPECT_EQ(read.ledger->classes.at("usage-post").outage, ledger::OutagePolicy::SendUnjournaled);
+    EXPECT_EQ(read.ledger->journal_retention, 168h);
+    EXPECT_EQ(read.ledger->hold_timeout, 250ms);
 }
 
 struct Wrong {
--- a/tests/console/calls_test.cpp
+++ b/tests/console/calls_test.cpp
@@ -15,52 +15,53 @@
 struct Operator {
     bool ready = true, ending = false, away = false;
     int evacuations = 0;
-    Calls calls{{[this] { return ready && !away; }, [] { return std::string("sidecar.inflight:0|g\n"); },
-                 [this] {
-                     if (ending) return false;
-                     away = true;
-                     ++evacuations;
-                     return true;
-                 },
-                 [this] {
-                     if (ending) return false;
-                     away = false;
-                     return true;
-                 }}};
+    ConsoleCommands commands{{[this] { return ready && !away; },
+                              [] { return std::string("sidecar.inflight:0|g\n"); },
+                              [this] {
+                                  if (ending) return false;
+                                  away = true;
+                                  ++evacuations;
+                                  return true;
+                              },
+                              [this] {
+                                  if (ending) return false;
+                                  away = false;
+                                  return true;
+                              }}};
 };
 
-TEST(Calls, SayWhetherTheProcessIsReady) {
-    Operator at;
-    EXPECT_EQ(at.calls.reply("readyz"), "YES\n");
-    at.ready = false;
-    EXPECT_TRUE(at.calls.reply("readyz").starts_with("NO"));
+TEST(ConsoleCommands, SayWhetherTheProcessIsReady) {
+    Operator console_operator;
+    EXPECT_EQ(console_operator.commands.reply("readyz"), "YES\n");
+    console_operator.ready = false;
+    EXPECT_TRUE(console_operator.commands.reply("readyz").starts_with("NO"));
 }
 
-TEST(Calls, EvacuateUntilActivated) {
-    Operator at;
-    EXPECT_EQ(at.calls.reply("evacuate"), "YES\n");
-    EXPECT_TRUE(at.calls.reply("readyz").starts_with("NO"));
-    EXPECT_EQ(at.calls.reply("activate"), "YES\n");
-    EXPECT_EQ(at.calls.reply("readyz"), "YES\n");
-    at.ending = true;
-    EXPECT_TRUE(at.calls.reply("evacuate").starts_with("NO"));
-    EXPECT_TRUE(at.calls.reply("activate").starts_with("NO"));
+TEST(ConsoleCommands, EvacuateUntilActivated) {
+    Operator console_operator;
+    EXPECT_EQ(console_operator.commands.reply("evacuate"), "YES\n");
+    EXPECT_TRUE(console_operator.commands.reply("readyz").starts_with("NO"));
+    EXPECT_EQ(console_operator.commands.reply("activate"), "YES\n");
+    EXPECT_EQ(console_operator.commands.reply("readyz"), "YES\n");
+    console_operator.ending = true;
+    EXPECT_TRUE(console_operator.commands.reply("evacuate").starts_with("NO"));
+    EXPECT_TRUE(console_operator.commands.reply("activate").starts_with("NO"));
 }
 
-TEST(Calls, FiguresEndWithALineOfTheirOwn) {
-    EXPECT_EQ(Operator().calls.reply("telemetry"), "sidecar.inflight:0|g\nEND\n");
+TEST(ConsoleCommands, FiguresEndWithALineOfTheirOwn) {
+    EXPECT_EQ(Operator().commands.reply("telemetry"), "sidecar.inflight:0|g\nEND\n");
 }
 
-TEST(Calls, WhatIsNoCallIsAnsweredNoInOneLineAndDoesNothing) {
-    Operator at;
+TEST(ConsoleCommands, WhatIsNoCallIsAnsweredNoInOneLineAndDoesNothing) {
+    Operator console_operator;
     for (const char* line :
          {"", " \r", "evacuate now", "EVACUATE", "readyz\n", "\x01\xff", "GET / HTTP/1.1"}) {
-        const std::string reply = at.calls.reply(line);
+        const std::string reply = console_operator.commands.reply(line);
         EXPECT_TRUE(reply.starts_with("NO ")) << line;
         EXPECT_EQ(reply.find('\n'), reply.size() - 1) << line;
     }
-    EXPECT_EQ(at.evacuations, 0);
-    EXPECT_EQ(at.calls.reply(" readyz \r"), "YES\n");  // what a terminal may add
+    EXPECT_EQ(console_operator.evacuations, 0);
+    EXPECT_EQ(console_operator.commands.reply(" readyz \r"), "YES\n");  // what a terminal may add
 }
 
 TEST(Statsd, WritesEachClassAndGaugeOnceAndLeavesOthersOut) {
--- a/tests/ledger/book_test.cpp
+++ b/tests/ledger/book_test.cpp
@@ -20,7 +20,7 @@
 using martenford::standins::FaultyDisk;
 namespace store = martenford::store;
 
-Record record(std::uint64_t sequence, std::uint64_t serial, decltype(Record::what) what) {
+Record record(std::uint64_t sequence, std::uint64_t serial, decltype(Record::payload) what) {
     const auto at = static_cast<std::int64_t>(sequence) * 1000;
     return Record{sequence, serial, at, at * 1'000'000, false, std::move(what)};
 }
@@ -54,7 +54,8 @@
                 second.push_back(record(++sequence, s, intent(s, 1)));
             } else if (s % 7 != 0) {  // one in seven never ends
                 second.push_back(record(++sequence, s, Ended{0, s % 4 ? Ending::Served : Ending::Reset}));
-                second.push_back(record(++sequence, s, Answered{s % 4 ? Final::Served : Final::Failed}));
+                second.push_back(
+                    record(++sequence, s, Answered{s % 4 ? FinalAnswer::Served : FinalAnswer::Failed}));
             }
         }
         batches.push_back(std::move(first));
@@ -63,14 +64,14 @@
     return batches;
 }
 
-using Lives = std::map<std::uint64_t, Life>;
-void join(Lives& lives, const std::vector<Record>& records) {
-    for (const Record& each : records) lives[each.serial].join(each);
+using Histories = std::map<std::uint64_t, RequestHistory>;
+void merge(Histories& histories, const std::vector<Record>& records) {
+    for (const Record& each : records) histories[each.serial].merge(each);
 }
-Lives lives_in(Book& book) {
-    Lives found;
-    book.by_time(0, std::numeric_limits<std::int64_t>::max(), [&](const Entry& entry) {
-        found.emplace(entry.serial, entry.life);
+Histories histories_in(JournalDatabase& database) {
+    Histories found;
+    database.by_time(0, std::numeric_limits<std::int64_t>::max(), [&](const Entry& entry) {
+        found.emplace(entry.serial, entry.history);
         return true;
     });
     return found;
@@ -81,28 +82,28 @@
 /// Plays the day as the writer does: a batch that fails is kept again, on a file that is opened anew where a
 /// sync failed. Gives what was acknowledged, and what was on its way.
 struct Outcome {
-    Lives kept, on_the_way;
+    Histories kept, on_the_way;
 };
 Outcome play_day(FaultyDisk& disk) {
     Outcome outcome;
-    std::unique_ptr<Book> book;
+    std::unique_ptr<JournalDatabase> database;
     std::int64_t boot = 0;
     for (const auto& batch : scripted_day()) {
         outcome.on_the_way = outcome.kept;
-        join(outcome.on_the_way, batch);
+        merge(outcome.on_the_way, batch);
         for (int tries = 0;; ++tries) {
             try {
-                if (!book) {
-                    auto fresh = std::make_unique<Book>("", true, on(disk));
-                    boot = fresh->open_boot(kHello);
-                    book = std::move(fresh);
+                if (!database) {
+                    auto fresh = std::make_unique<JournalDatabase>("", true, on(disk));
+                    boot = fresh->register_boot(kHello);
+                    database = std::move(fresh);
                 }
-                book->write(boot, batch);
+                database->write(boot, batch);
                 break;
             } catch (const store::StoreError& error) {
-                if (disk.dark()) return outcome;
+                if (disk.powered_off()) return outcome;
                 if (tries > 3) throw;
-                if (error.fault != store::Fault::Full) book.reset();
+                if (error.fault != store::Fault::Full) database.reset();
             }
         }
         outcome.kept = outcome.on_the_way;
@@ -126,27 +127,27 @@
         FaultyDisk disk("faulty");
         disk.fail_at(at, GetParam().first);
         const Outcome outcome = play_day(disk);
-        ASSERT_TRUE(disk.struck());
+        ASSERT_TRUE(disk.fault_hit());
         disk.power_off();  // at the end too: what was acknowledged must not need the kernel's memory
-        disk.power_back(at * 7 + 1);
-        Book book("", true, on(disk));
-        ASSERT_EQ(book.verify(), std::vector<std::string>{});
-        const Lives found = lives_in(book);
+        disk.power_on(at * 7 + 1);
+        JournalDatabase database("", true, on(disk));
+        ASSERT_EQ(database.verify(), std::vector<std::string>{});
+        const Histories found = histories_in(database);
         ASSERT_TRUE(found == outcome.kept || found == outcome.on_the_way)
             << found.size() << " requests are there, " << outcome.kept.size() << " were acknowledged";
         // A later start concludes once, and a second one changes nothing.
-        const auto next = book.open_boot({kLinkVersion, 100, "n0", 2});
-        while (!book.conclude_before(next, 5, 4)) {
+        const auto next = database.register_boot({kLinkVersion, 100, "n0", 2});
+        while (!database.conclude_earlier_boots(next, 5, 4)) {
         }
         std::size_t concluded = 0;
-        book.by_time(0, 1'000'000, [&](const Entry& entry) {
+        database.by_time(0, 1'000'000, [&](const Entry& entry) {
             EXPECT_TRUE(entry.concluded);
-            EXPECT_EQ(*entry.concluded, entry.life.effect());
+            EXPECT_EQ(*entry.concluded, entry.history.effect());
             ++concluded;
             return true;
         });
         ASSERT_EQ(concluded, found.size());
-        ASSERT_TRUE(book.conclude_before(next, 6, 4));
+        ASSERT_TRUE(database.conclude_earlier_boots(next, 6, 4));
     }
 }
 
@@ -178,7 +179,7 @@
     }
     for (const bool writing : {true, false}) {
         try {
-            Book book(directory, writing);
+            JournalDatabase database(directory, writing);
             FAIL();
         } catch (const store::StoreError& error) {
             EXPECT_EQ(error.fault, store::Fault::Newer) << error.what();
@@ -186,23 +187,23 @@
     }
     std::filesystem::remove(directory + "/ledger.db");
     {
-        Book book(directory, true);
-        book.write(book.open_boot(kHello), {record(1, 1, intent(1))});
-        book.database().execute("DROP INDEX request_doubt; PRAGMA user_version=1");
+        JournalDatabase database(directory, true);
+        database.write(database.register_boot(kHello), {record(1, 1, intent(1))});
+        database.database().execute("DROP INDEX request_doubt; PRAGMA user_version=1");
     }
-    Book older(directory, false);
+    JournalDatabase older(directory, false);
     EXPECT_EQ(older.version(), 1);
-    EXPECT_EQ(lives_in(older).size(), 1u);
-    Book newer(directory, true);
+    EXPECT_EQ(histories_in(older).size(), 1u);
+    JournalDatabase newer(directory, true);
     EXPECT_EQ(newer.version(), 2);
-    EXPECT_EQ(lives_in(newer).size(), 1u);
+    EXPECT_EQ(histories_in(newer).size(), 1u);
 }
 
 TEST_F(OnDisk, ABoundOnTheFileIsAFullDisk) {
     store::Options options;
     options.most_bytes = 256 * 1024;
-    Book book(directory, true, options);
-    const auto boot = book.open_boot(kHello);
+    JournalDatabase database(directory, true, options);
+    const auto boot = database.register_boot(kHello);
     std::uint64_t kept = 0;
     try {
         for (;; ++kept) {
@@ -210,44 +211,44 @@
             for (std::uint64_t i = 1; i <= 50; ++i) {
                 batch.push_back(record(kept * 50 + i, kept * 50 + i, intent(kept * 50 + i)));
             }
-            book.write(boot, batch);
+            database.write(boot, batch);
             ASSERT_LT(kept, 1000u);
         }
     } catch (const store::StoreError& error) {
         EXPECT_EQ(error.fault, store::Fault::Full) << error.what();
     }
-    EXPECT_EQ(book.stats().requests, kept * 50);  // the batch that failed is not there in part
+    EXPECT_EQ(database.stats().requests, kept * 50);  // the batch that failed is not there in part
     EXPECT_GT(kept, 0u);
 }
 
 TEST_F(OnDisk, ArchivesHoldWhatTheFileHeldAndABrokenOneIsIsolated) {
-    Book book(directory, true);
-    const auto boot = book.open_boot(kHello);
+    JournalDatabase database(directory, true);
+    const auto boot = database.register_boot(kHello);
     std::vector<Record> records;
     std::uint64_t sequence = 0;
     for (std::uint64_t s = 1; s <= 300; ++s) {
         records.push_back(record(++sequence, s, intent(s)));
         if (s % 10 == 0) continue;  // possibly ran
         records.push_back(record(++sequence, s, Ended{0, Ending::Served}));
-        records.push_back(record(++sequence, s, Answered{Final::Served}));
+        records.push_back(record(++sequence, s, Answered{FinalAnswer::Served}));
     }
-    book.write(boot, records);
-    const auto next = book.open_boot({kLinkVersion, 100, "n0", 2});
-    while (!book.conclude_before(next, 1, 1000)) {
+    database.write(boot, records);
+    const auto next = database.register_boot({kLinkVersion, 100, "n0", 2});
+    while (!database.conclude_earlier_boots(next, 1, 1000)) {
     }
     const auto cut = records[records.size() / 2].wall_ms;
     Archives archives(directory);
-    const std::size_t first = archives.move_settled(book, cut, 1);
-    const std::size_t second = archives.move_settled(book, std::numeric_limits<std::int64_t>::max(), 1);
+    const std::size_t first = archives.move_settled(database, cut, 1);
+    const std::size_t second = archives.move_settled(database, std::numeric_limits<std::int64_t>::max(), 1);
     EXPECT_EQ(first + second, 270u);
-    EXPECT_EQ(archives.move_settled(book, std::numeric_limits<std::int64_t>::max(), 1), 0u);
-    EXPECT_EQ(book.stats().requests, 30u);  // what possibly ran is never moved
-    EXPECT_EQ(book.stats().attempts, 30u);
+    EXPECT_EQ(archives.move_settled(database, std::numeric_limits<std::int64_t>::max(), 1), 0u);
+    EXPECT_EQ(database.stats().requests, 30u);  // what possibly ran is never moved
+    EXPECT_EQ(database.stats().attempts, 30u);
     EXPECT_EQ(archives.totals().archives, 2u);
     EXPECT_EQ(archives.verify(), std::vector<std::string>{});
     const auto count = [&](const std::string& name, bool key) {
         int found = 0;
-        archives.by_name(name, key, [&](const story::Story& story) {
+        archives.by_id_or_key(name, key, [&](const story::Story& story) {
             EXPECT_EQ(story.effect(), "ran");
             return ++found > 0;
         });
@@ -276,39 +277,39 @@
 }
 
 TEST_F(OnDisk, ReconcilingTellsAgreementsDoubtsAndContradictionsApart) {
-    Book book(directory, true);
-    const auto boot = book.open_boot(kHello);
+    JournalDatabase database(directory, true);
+    const auto boot = database.register_boot(kHello);
     std::uint64_t sequence = 0;
-    const auto request = [&](std::uint64_t serial, Ending ending, Final answer) {
+    const auto request = [&](std::uint64_t serial, Ending ending, FinalAnswer answer) {
         std::vector<Record> records{record(++sequence, serial, intent(serial))};
         if (ending != Ending::Open) records.push_back(record(++sequence, serial, Ended{0, ending}));
-        if (answer != Final::None) records.push_back(record(++sequence, serial, Answered{answer}));
-        book.write(boot, records);
+        if (answer != FinalAnswer::None) records.push_back(record(++sequence, serial, Answered{answer}));
+        database.write(boot, records);
     };
-    request(1, Ending::Served, Final::Served);    // agrees
-    request(2, Ending::Full, Final::Refused);     // agrees: not in the record
-    request(3, Ending::Reset, Final::Failed);     // possibly ran: it did
-    request(4, Ending::Timeout, Final::Failed);   // possibly ran: it did not
-    request(5, Ending::Served, Final::Served);    // ran, and is not recorded
-    request(6, Ending::NotSent, Final::Refused);  // never ran, and is recorded
-    request(7, Ending::Served, Final::Served);    // twice
-    request(8, Ending::Open, Final::None);        // under way
+    request(1, Ending::Served, FinalAnswer::Served);    // agrees
+    request(2, Ending::Full, FinalAnswer::Refused);     // agrees: not in the record
+    request(3, Ending::Reset, FinalAnswer::Failed);     // possibly ran: it did
+    request(4, Ending::Timeout, FinalAnswer::Failed);   // possibly ran: it did not
+    request(5, Ending::Served, FinalAnswer::Served);    // ran, and is not recorded
+    request(6, Ending::NotSent, FinalAnswer::Refused);  // never ran, and is recorded
+    request(7, Ending::Served, FinalAnswer::Served);    // twice
+    request(8, Ending::Open, FinalAnswer::None);        // under way
     std::istringstream file(
         "uid,id\r\ns-1,r1\r\ns-1,\"r3\"\r\ns-1,r6\r\ns-1,r7\ns-2,r7\r\n\"a,\"\"b\",stranger\r\n");
     std::map<std::string, std::string> findings;
-    Book reader(directory, false);
+    JournalDatabase reader(directory, false);
     const auto r = reconcile(reader, file, 0, std::numeric_limits<std::int64_t>::max(),
                              [&](const char* what, const std::string& id) { findings[id] += what; });
     EXPECT_EQ(r.lines, 6u);
     EXPECT_EQ(r.agree_ran, 2u);
-    EXPECT_EQ(r.agree_never, 1u);
+    EXPECT_EQ(r.agree_never_ran, 1u);
     EXPECT_EQ(r.possibly_ran, 1u);
-    EXPECT_EQ(r.possibly_not, 1u);
+    EXPECT_EQ(r.possibly_did_not_run, 1u);
     EXPECT_EQ(r.ran_unrecorded, 1u);
     EXPECT_EQ(r.never_but_ran, 1u);
-    EXPECT_EQ(r.twice, 1u);
+    EXPECT_EQ(r.duplicates, 1u);
     EXPECT_EQ(r.under_way, 1u);
-    EXPECT_EQ(r.unknown, 1u);
+    EXPECT_EQ(r.not_in_journal, 1u);
     EXPECT_EQ(findings.size(), 6u);
     EXPECT_NE(findings["r6"].find("never ran"), std::string::npos);
     for (const char* broken : {"", "uid\nx\n", "id,uid\nr1\n", "id\n\"r1\n"}) {
--- a/tests/ledger/golden_test.cpp
+++ b/tests/ledger/golden_test.cpp
@@ -55,10 +55,10 @@
     EXPECT_EQ(record.wall_ms, 1'700'000'000'103);
     EXPECT_EQ(record.mono_ns, 104);
     EXPECT_TRUE(record.urgent);
-    return std::get<What>(record.what);
+    return std::get<What>(record.payload);
 }
 
-Record record(std::uint64_t sequence, std::uint64_t serial, decltype(Record::what) what) {
+Record record(std::uint64_t sequence, std::uint64_t serial, decltype(Record::payload) what) {
     const auto at = static_cast<std::int64_t>(sequence);
     return Record{sequence, serial, 1'700'000'000'000 + at * 1000, at * 1'000'000, false, std::move(what)};
 }
@@ -73,9 +73,10 @@
 const Hello kNow{kLinkVersion, 0x123456789abcdef, "sidecar-b", 1'700'000'900'000};
 
 /// What the client was told, by how the attempt ended.
-constexpr Final kAnswers[kEndings] = {Final::None,    Final::Served, Final::Failed,  Final::Failed,
-                                      Final::Left,    Final::Left,   Final::Refused, Final::Refused,
-                                      Final::Refused, Final::Refused};
+constexpr FinalAnswer kAnswers[kEndingCount] = {
+    FinalAnswer::None,       FinalAnswer::Served,     FinalAnswer::Failed,  FinalAnswer::Failed,
+    FinalAnswer::ClientLeft, FinalAnswer::ClientLeft, FinalAnswer::Refused, FinalAnswer::Refused,
+    FinalAnswer::Refused,    FinalAnswer::Refused};
 
 /// The words that stand in archives and exports, by their numbers.
 const std::vector<std::string> kEndingWords{"open",      "served", "error",          "timeout", "reset",
@@ -87,7 +88,7 @@
 std::vector<Record> records_before() {
     std::vector<Record> records;
     std::uint64_t sequence = 0;
-    for (int ending = 0; ending < kEndings; ++ending) {
+    for (int ending = 0; ending < kEndingCount; ++ending) {
         const auto serial = static_cast<std::uint64_t>(ending) + 1;
         records.push_back(record(++sequence, serial, intent(serial)));
         if (ending == 0) continue;
@@ -101,14 +102,14 @@
     records.push_back(record(++sequence, 11, intent(11, 1)));
     records.push_back(record(++sequence, 11, Written{1}));
     records.push_back(record(++sequence, 11, Ended{1, Ending::Served}));
-    records.push_back(record(++sequence, 11, Answered{Final::Served}));
+    records.push_back(record(++sequence, 11, Answered{FinalAnswer::Served}));
     records.push_back(record(++sequence, 0, Gap{1'700'000'001'000, 7, "the disk was full"}));
     return records;
 }
 /// Of a boot that may still run: one under way, one served.
 std::vector<Record> records_now() {
     return {record(901, 1, intent(1)), record(902, 2, intent(2)), record(903, 2, Written{0}),
-            record(904, 2, Ended{0, Ending::Served}), record(905, 2, Answered{Final::Served})};
+            record(904, 2, Ended{0, Ending::Served}), record(905, 2, Answered{FinalAnswer::Served})};
 }
 
 TEST(GoldenLedgerFrames, Hello) {
@@ -137,7 +138,7 @@
 }
 
 TEST(GoldenLedgerFrames, EndedEveryWayWithItsNumber) {
-    for (int number = 1; number < kEndings; ++number) {
+    for (int number = 1; number < kEndingCount; ++number) {
         const auto ending = static_cast<Ending>(number);
         const auto read = read_record("record-ended-" + std::to_string(number) + ".bin", Ended{5, ending});
         EXPECT_EQ(read.attempt, 5u);
@@ -156,16 +157,16 @@
 }
 
 TEST(GoldenLedgerFrames, AnsweredEveryWayWithItsNumber) {
-    for (int number = 1; number < kFinals; ++number) {
+    for (int number = 1; number < kFinalAnswerCount; ++number) {
         const auto read = read_record("record-answered-" + std::to_string(number) + ".bin",
-                                      Answered{static_cast<Final>(number)});
+                                      Answered{static_cast<FinalAnswer>(number)});
         EXPECT_EQ(static_cast<int>(read.answer), number);
     }
-    EXPECT_EQ(static_cast<int>(Final::None), 0);
-    EXPECT_EQ(static_cast<int>(Final::Refused), 1);
-    EXPECT_EQ(static_cast<int>(Final::Failed), 2);
-    EXPECT_EQ(static_cast<int>(Final::Served), 3);
-    EXPECT_EQ(static_cast<int>(Final::Left), 4);
+    EXPECT_EQ(static_cast<int>(FinalAnswer::None), 0);
+    EXPECT_EQ(static_cast<int>(FinalAnswer::Refused), 1);
+    EXPECT_EQ(static_cast<int>(FinalAnswer::Failed), 2);
+    EXPECT_EQ(static_cast<int>(FinalAnswer::Served), 3);
+    EXPECT_EQ(static_cast<int>(FinalAnswer::ClientLeft), 4);
 }
 
 TEST(GoldenLedgerFrames, Gap) {
@@ -182,9 +183,9 @@
 }
 
 /// Of requests in the file, by boot and serial.
-std::map<std::pair<std::int64_t, std::uint64_t>, Entry> entries_in(Book& book) {
+std::map<std::pair<std::int64_t, std::uint64_t>, Entry> entries_in(JournalDatabase& database) {
     std::map<std::pair<std::int64_t, std::uint64_t>, Entry> found;
-    book.by_time(0, std::numeric_limits<std::int64_t>::max(), [&](const Entry& entry) {
+    database.by_time(0, std::numeric_limits<std::int64_t>::max(), [&](const Entry& entry) {
         found.emplace(std::pair{entry.boot, entry.serial}, entry);
         return true;
     });
@@ -195,22 +196,22 @@
     if (golden::writes()) {
         golden::Folder made;
         {
-            Book book(made.at, true);
-            const auto before = book.open_boot(kBefore);
-            book.write(before, records_before());
-            const auto now = book.open_boot(kNow);
-            while (!book.conclude_before(now, 1'700'000'901'000, 100)) {
+            JournalDatabase database(made.at, true);
+            const auto before = database.register_boot(kBefore);
+            database.write(before, records_before());
+            const auto now = database.register_boot(kNow);
+            while (!database.conclude_earlier_boots(now, 1'700'000'901'000, 100)) {
             }
-            book.write(now, records_now());
+            database.write(now, records_now());
         }
         golden::put_directory(made.at, path_of("journal"));
     }
     golden::Folder copy(path_of("journal"));
-    Book book(copy.at, true);
-    EXPECT_EQ(book.version(), 2);
-    EXPECT_EQ(book.verify(), std::vector<std::string>{});
+    JournalDatabase database(copy.at, true);
+    EXPECT_EQ(database.version(), 2);
+    EXPECT_EQ(database.verify(), std::vector<std::string>{});
 
-    const auto boots = book.boots();
+    const auto boots = database.boots();
     ASSERT_EQ(boots.size(), 2u);
     const bool first_first = boots[0].number == 1;
     const BootInfo& before = boots[first_first ? 0 : 1];
@@ -226,43 +227,43 @@
     EXPECT_EQ(now.started_ms, 1'700'000'900'000);
     EXPECT_EQ(now.concluded_ms, 0);
 
-    const auto found = entries_in(book);
+    const auto found = entries_in(database);
     ASSERT_EQ(found.size(), 13u);
     // What the records say; the sums of it are the file's own.
-    std::map<std::pair<std::int64_t, std::uint64_t>, Life> lives;
+    std::map<std::pair<std::int64_t, std::uint64_t>, RequestHistory> histories;
     for (const Record& each : records_before()) {
-        if (each.serial != 0) lives[{1, each.serial}].join(each);
+        if (each.serial != 0) histories[{1, each.serial}].merge(each);
     }
-    for (const Record& each : records_now()) lives[{2, each.serial}].join(each);
+    for (const Record& each : records_now()) histories[{2, each.serial}].merge(each);
     for (const auto& [name, entry] : found) {
         SCOPED_TRACE(std::to_string(name.first) + "." + std::to_string(name.second));
-        ASSERT_TRUE(lives.contains(name));
-        EXPECT_EQ(entry.life, lives.at(name));
+        ASSERT_TRUE(histories.contains(name));
+        EXPECT_EQ(entry.history, histories.at(name));
         EXPECT_EQ(entry.sidecar, name.first == 1 ? "sidecar-a" : "sidecar-b");
     }
     // And by figures that stand here alone.
-    for (int ending = 0; ending < kEndings; ++ending) {
+    for (int ending = 0; ending < kEndingCount; ++ending) {
         const auto serial = static_cast<std::uint64_t>(ending) + 1;
         const std::string number = std::to_string(serial);
         SCOPED_TRACE(number);
         const Entry& entry = found.at({1, serial});
-        const Life& life = entry.life;
+        const RequestHistory& history = entry.history;
         const std::int64_t taken = ending == 0 ? 1 : 4 * ending - 2;  // the sequence of its intent
-        EXPECT_EQ(life.id(), "request-" + number);
-        EXPECT_EQ(life.klass(), "debit");
-        EXPECT_EQ(life.key(), "key-" + number);
-        EXPECT_EQ(life.digest(), std::string("digest\0\xff", 8));
-        EXPECT_EQ(life.taken_ms(), 1'700'000'000'000 + taken * 1000);
-        EXPECT_EQ(life.taken_mono_ns(), taken * 1'000'000);
-        EXPECT_EQ(life.answer(), kAnswers[ending]);
-        ASSERT_EQ(life.attempts().size(), 1u);
-        const AttemptLife& attempt = life.attempts().at(0);
+        EXPECT_EQ(history.id(), "request-" + number);
+        EXPECT_EQ(history.klass(), "debit");
+        EXPECT_EQ(history.key(), "key-" + number);
+        EXPECT_EQ(history.digest(), std::string("digest\0\xff", 8));
+        EXPECT_EQ(history.taken_ms(), 1'700'000'000'000 + taken * 1000);
+        EXPECT_EQ(history.taken_mono_ns(), taken * 1'000'000);
+        EXPECT_EQ(history.answer(), kAnswers[ending]);
+        ASSERT_EQ(history.attempts().size(), 1u);
+        const AttemptHistory& attempt = history.attempts().at(0);
         EXPECT_EQ(attempt.uid, "uid-" + number);
         EXPECT_EQ(attempt.address, "10.3.0." + number + ":80");
         EXPECT_EQ(attempt.intent_ms, 1'700'000'000'000 + taken * 1000);
         EXPECT_EQ(static_cast<int>(attempt.ending), ending);
         ASSERT_TRUE(entry.concluded.has_value());
-        EXPECT_EQ(*entry.concluded, life.effect());
+        EXPECT_EQ(*entry.concluded, history.effect());
         if (ending == 0) continue;
         EXPECT_EQ(attempt.written_ms, 1'700'000'000'000 + (taken + 1) * 1000);
         EXPECT_EQ(attempt.ended_ms, 1'700'000'000'000 + (taken + 2) * 1000);
@@ -271,15 +272,15 @@
     EXPECT_EQ(*found.at({1, 2}).concluded, Effect::Ran);         // served
     EXPECT_EQ(*found.at({1, 5}).concluded, Effect::MayHaveRun);  // reset
     EXPECT_EQ(*found.at({1, 7}).concluded, Effect::NeverRan);    // turned away
-    const Life& twice = found.at({1, 11}).life;
+    const RequestHistory& twice = found.at({1, 11}).history;
     ASSERT_EQ(twice.attempts().size(), 2u);
     EXPECT_EQ(twice.attempts().at(0).ending, Ending::Full);
     EXPECT_EQ(twice.attempts().at(1).ending, Ending::Served);
-    EXPECT_EQ(twice.answer(), Final::Served);
+    EXPECT_EQ(twice.answer(), FinalAnswer::Served);
     EXPECT_FALSE(found.at({2, 1}).concluded.has_value());  // under way
-    EXPECT_EQ(found.at({2, 2}).life.effect(), Effect::Ran);
+    EXPECT_EQ(found.at({2, 2}).history.effect(), Effect::Ran);
 
-    const auto gaps = book.gaps(0, std::numeric_limits<std::int64_t>::max());
+    const auto gaps = database.gaps(0, std::numeric_limits<std::int64_t>::max());
     ASSERT_EQ(gaps.size(), 1u);
     EXPECT_EQ(gaps[0].boot, 1);
     EXPECT_EQ(gaps[0].from_ms, 1'700'000'001'000);
@@ -290,32 +291,33 @@
 
 TEST(GoldenLedgerFile, ItIsFoundByIdAndKeyAndGoesOn) {
     golden::Folder copy(path_of("journal"));
-    Book book(copy.at, true);
+    JournalDatabase database(copy.at, true);
     std::vector<std::uint64_t> serials;
     const auto each = [&](const Entry& entry) {
         serials.push_back(entry.serial);
         return true;
     };
-    book.by_id("request-11", each);
-    book.by_key("key-3", each);
+    database.by_id("request-11", each);
+    database.by_key("key-3", each);
     EXPECT_EQ(serials, (std::vector<std::uint64_t>{11, 3}));
     // The same boot is known again; what it had open goes on, and what was written changes nothing.
-    const auto boot = book.open_boot(kNow);
+    const auto boot = database.register_boot(kNow);
     EXPECT_EQ(boot, 2);
-    book.write(boot, records_now());
-    EXPECT_EQ(entries_in(book).size(), 13u);
-    book.write(boot, {record(906, 1, Ended{0, Ending::Served}), record(907, 1, Answered{Final::Served})});
-    EXPECT_TRUE(entries_in(book).at({2, 1}).life.over());
-    EXPECT_EQ(book.verify(), std::vector<std::string>{});
+    database.write(boot, records_now());
+    EXPECT_EQ(entries_in(database).size(), 13u);
+    database.write(boot,
+                   {record(906, 1, Ended{0, Ending::Served}), record(907, 1, Answered{FinalAnswer::Served})});
+    EXPECT_TRUE(entries_in(database).at({2, 1}).history.is_complete());
+    EXPECT_EQ(database.verify(), std::vector<std::string>{});
 }
 
 TEST(GoldenLedgerArchive, TheWordsInItStay) {
-    ASSERT_EQ(kEndingWords.size(), static_cast<std::size_t>(kEndings));
-    ASSERT_EQ(kAnswerWords.size(), static_cast<std::size_t>(kFinals));
+    ASSERT_EQ(kEndingWords.size(), static_cast<std::size_t>(kEndingCount));
+    ASSERT_EQ(kAnswerWords.size(), static_cast<std::size_t>(kFinalAnswerCount));
     for (std::size_t at = 0; at < kEndingWords.size(); ++at)
         EXPECT_EQ(name_of(static_cast<Ending>(at)), kEndingWords[at]);
     for (std::size_t at = 0; at < kAnswerWords.size(); ++at)
-        EXPECT_EQ(name_of(static_cast<Final>(at)), kAnswerWords[at]);
+        EXPECT_EQ(name_of(static_cast<FinalAnswer>(at)), kAnswerWords[at]);
     for (std::size_t at = 0; at < kEffectWords.size(); ++at)
         EXPECT_EQ(name_of(static_cast<Effect>(at)), kEffectWords[at]);
 }
@@ -323,8 +325,8 @@
 TEST(GoldenLedgerArchive, ItsFilesAreMadeAlikeFromTheSameJournal) {
     golden::Folder made(path_of("journal"));
     {
-        Book book(made.at, true);
-        EXPECT_EQ(Archives(made.at).move_settled(book, 1'700'000'900'000, 1), 6u);
+        JournalDatabase database(made.at, true);
+        EXPECT_EQ(Archives(made.at).move_settled(database, 1'700'000'900'000, 1), 6u);
     }
     std::filesystem::remove(made.at + "/ledger.db");
     if (golden::writes()) golden::put_directory(made.at, path_of("archives"));
@@ -385,12 +387,12 @@
     EXPECT_EQ(found[5].attempts(1).number(), 1u);
     EXPECT_EQ(found[5].attempts(1).ending(), "served");
     std::vector<std::uint64_t> serials;
-    archives.by_name("key-9", true, [&](const story::Story& each) {
+    archives.by_id_or_key("key-9", true, [&](const story::Story& each) {
         serials.push_back(each.serial());
         return true;
     });
     EXPECT_EQ(serials, std::vector<std::uint64_t>{9});
-    EXPECT_EQ(archives.troubles(), std::vector<std::string>{});
+    EXPECT_EQ(archives.errors(), std::vector<std::string>{});
 }
 
 }  // namespace
--- a/tests/ledger/life_test.cpp
+++ b/tests/ledger/life_test.cpp
@@ -22,48 +22,49 @@
 
 // ---- generators -------------------------------------------------------------------------------------
 
-Record record_of(std::uint64_t sequence, std::int64_t at, decltype(Record::what) what) {
+Record record_of(std::uint64_t sequence, std::int64_t at, decltype(Record::payload) what) {
     return Record{sequence, 7, at, at * 1'000'000, false, std::move(what)};
 }
 
 rc::Gen<Record> any_record() {
-    return rc::gen::map(rc::gen::tuple(rc::gen::inRange(0, 5), rc::gen::inRange<std::uint32_t>(0, 4),
-                                       rc::gen::inRange(1, kEndings), rc::gen::inRange(1, kFinals),
-                                       rc::gen::inRange<std::int64_t>(1, 50)),
-                        [](const auto& drawn) {
-                            const auto [kind, attempt, ending, answer, at] = drawn;
-                            switch (kind) {
-                                case 0:
-                                case 1:
-                                    return record_of(1, at,
-                                                     Intent{attempt, "r", "debit", "k", "d",
-                                                            "s-" + std::to_string(attempt), "a:1"});
-                                case 2:
-                                    return record_of(1, at, Written{attempt});
-                                case 3:
-                                    return record_of(1, at, Ended{attempt, static_cast<Ending>(ending)});
-                                default:
-                                    return record_of(1, at, Answered{static_cast<Final>(answer)});
-                            }
-                        });
+    return rc::gen::map(
+        rc::gen::tuple(rc::gen::inRange(0, 5), rc::gen::inRange<std::uint32_t>(0, 4),
+                       rc::gen::inRange(1, kEndingCount), rc::gen::inRange(1, kFinalAnswerCount),
+                       rc::gen::inRange<std::int64_t>(1, 50)),
+        [](const auto& drawn) {
+            const auto [kind, attempt, ending, answer, at] = drawn;
+            switch (kind) {
+                case 0:
+                case 1:
+                    return record_of(
+                        1, at,
+                        Intent{attempt, "r", "debit", "k", "d", "s-" + std::to_string(attempt), "a:1"});
+                case 2:
+                    return record_of(1, at, Written{attempt});
+                case 3:
+                    return record_of(1, at, Ended{attempt, static_cast<Ending>(ending)});
+                default:
+                    return record_of(1, at, Answered{static_cast<FinalAnswer>(answer)});
+            }
+        });
 }
 
-Life life_of(const std::vector<Record>& records) {
-    Life life;
-    for (const Record& record : records) life.join(record);
-    return life;
+RequestHistory history_of(const std::vector<Record>& records) {
+    RequestHistory history;
+    for (const Record& record : records) history.merge(record);
+    return history;
 }
 
 // ---- lives ------------------------------------------------------------------------------------------
 
-RC_GTEST_PROP(Life, IsTheSameInAnyOrderAndHoweverOftenItIsTold, ()) {
+RC_GTEST_PROP(RequestHistory, IsTheSameInAnyOrderAndHoweverOftenItIsTold, ()) {
     const auto records = *rc::gen::container<std::vector<Record>>(any_record());
     auto shuffled = records;
     for (const Record& record : records) {
         if (*rc::gen::arbitrary<bool>()) shuffled.push_back(record);
     }
     std::shuffle(shuffled.begin(), shuffled.end(), std::mt19937(*rc::gen::arbitrary<unsigned>()));
-    RC_ASSERT(life_of(shuffled) == life_of(records));
+    RC_ASSERT(history_of(shuffled) == history_of(records));
 }
 
 /// A sidecar's own story of one request, in order, as the recorder tells it; and what truly happened.
@@ -76,13 +77,13 @@
     Played played;
     std::int64_t at = 1;
     bool ran = false;
-    const auto tell = [&](decltype(Record::what) what) {
+    const auto tell = [&](decltype(Record::payload) what) {
         played.records.push_back(record_of(played.records.size() + 1, at++, std::move(what)));
     };
     const auto attempts = 1 + random() % 3;
     for (std::uint32_t n = 0; n < attempts; ++n) {
         tell(Intent{n, "r", "debit", "", "", "s", "a"});
-        const auto ending = static_cast<Ending>(1 + random() % (kEndings - 1));
+        const auto ending = static_cast<Ending>(1 + random() % (kEndingCount - 1));
         const bool out = effect_of(ending) != Effect::NeverRan;
         played.may_have_run.resize(played.records.size(), ran);
         ran |= out;  // from here on bytes may be out, whatever is told of it
@@ -92,31 +93,32 @@
         played.may_have_run.resize(played.records.size(), ran);
         if (out) break;  // an unsafe call goes again only after proof that it never ran
     }
-    tell(Answered{ran ? Final::Failed : Final::Refused});
+    tell(Answered{ran ? FinalAnswer::Failed : FinalAnswer::Refused});
     played.may_have_run.resize(played.records.size(), ran);
     return played;
 }
 
-TEST(Life, WhatPossiblyRanIsNeverConcludedAsNeverRunAtAnyCut) {
+TEST(RequestHistory, WhatPossiblyRanIsNeverConcludedAsNeverRunAtAnyCut) {
     std::mt19937_64 random(24);
     for (int round = 0; round < 200'000; ++round) {
         const Played played = play(random);
-        Life life;
+        RequestHistory history;
         for (std::size_t cut = 0; cut < played.records.size(); ++cut) {
-            life.join(played.records[cut]);
+            history.merge(played.records[cut]);
             if (played.may_have_run[cut]) {
-                ASSERT_NE(life.effect(), Effect::NeverRan) << "round " << round << " cut after " << cut + 1;
+                ASSERT_NE(history.effect(), Effect::NeverRan)
+                    << "round " << round << " cut after " << cut + 1;
             }
         }
-        ASSERT_TRUE(life.over());
-        ASSERT_FALSE(life.contradicts_itself()) << life.reason();
-        ASSERT_EQ(life.effect() == Effect::NeverRan, !played.may_have_run.back());
+        ASSERT_TRUE(history.is_complete());
+        ASSERT_FALSE(history.contradicts_itself()) << history.reason();
+        ASSERT_EQ(history.effect() == Effect::NeverRan, !played.may_have_run.back());
     }
 }
 
-TEST(Life, GivesTheReasonThatDecides) {
+TEST(RequestHistory, GivesTheReasonThatDecides) {
     struct Case {
-        std::vector<decltype(Record::what)> told;
+        std::vector<decltype(Record::payload)> told;
         Effect effect;
         const char* reason;
     };
@@ -130,7 +132,9 @@
          Effect::MayHaveRun,
          "attempt 1 was about to be sent and its ending is not known"},
         {{first, Ended{0, Ending::Timeout}}, Effect::MayHaveRun, "attempt 0 ended: timeout"},
-        {{first, Ended{0, Ending::Served}, Answered{Final::Served}}, Effect::Ran, "attempt 0 ended: served"},
+        {{first, Ended{0, Ending::Served}, Answered{FinalAnswer::Served}},
+         Effect::Ran,
+         "attempt 0 ended: served"},
         // Two that contradict each other: the worse stays.
         {{first, Ended{0, Ending::NotSent}, Ended{0, Ending::Reset}},
          Effect::MayHaveRun,
@@ -140,21 +144,21 @@
          "attempt 0 ended: reset"},
     };
     for (const Case& each : cases) {
-        Life life;
+        RequestHistory history;
         std::int64_t at = 1;
-        for (const auto& what : each.told) life.join(record_of(1, at++, what));
-        EXPECT_EQ(life.effect(), each.effect) << each.reason;
-        EXPECT_EQ(life.reason(), each.reason);
+        for (const auto& what : each.told) history.merge(record_of(1, at++, what));
+        EXPECT_EQ(history.effect(), each.effect) << each.reason;
+        EXPECT_EQ(history.reason(), each.reason);
     }
 }
 
-TEST(Life, TakesTheTimeFromTheClockThatNeverSteps) {
+TEST(RequestHistory, TakesTheTimeFromTheClockThatNeverSteps) {
     Record early = record_of(1, 5000, Intent{0, "r", "debit", "", "", "s", "a"});
     Record late =
         record_of(2, 1000, Intent{1, "r", "debit", "", "", "s", "a"});  // the wall clock stepped back
     late.mono_ns = early.mono_ns + 1;
-    EXPECT_EQ(life_of({early, late}).taken_ms(), 5000);
-    EXPECT_EQ(life_of({late, early}).taken_ms(), 5000);
+    EXPECT_EQ(history_of({early, late}).taken_ms(), 5000);
+    EXPECT_EQ(history_of({late, early}).taken_ms(), 5000);
 }
 
 // ---- frames -----------------------------------------------------------------------------------------
@@ -196,7 +200,7 @@
 TEST(Frame, ARecordThatSaysNothingKnownIsRefused) {
     EXPECT_THROW(read_to_writer(""), FrameError);
     EXPECT_THROW(read_to_writer("\xff\xff"), FrameError);
-    Record beyond = record_of(1, 1, Ended{0, static_cast<Ending>(kEndings)});
+    Record beyond = record_of(1, 1, Ended{0, static_cast<Ending>(kEndingCount)});
     const std::string frame = frame_of(ToWriter{beyond});
     EXPECT_THROW(read_to_writer(std::string_view(frame).substr(kFrameHead)), FrameError);
     EXPECT_THROW(
@@ -221,7 +225,7 @@
         EXPECT_EQ(*commit.next_due(), start + each.due);
         EXPECT_EQ(commit.due(start), each.due == 0ms);
         EXPECT_TRUE(commit.due(start + 5ms));
-        commit.closed();
+        commit.reset();
         EXPECT_FALSE(commit.due(start + 1h));
         commit.add(1, false, start + 1s);
         EXPECT_EQ(*commit.next_due(), start + 1s + 5ms);  // what was urgent before is over
@@ -230,67 +234,67 @@
 
 // ---- the outbox -------------------------------------------------------------------------------------
 
-TEST(Outbox, DecidesByLevelPolicyAndTheWritersHealth) {
-    using V = Outbox::Verdict;
-    Outbox::Options options;
-    Outbox box(options);
+TEST(PendingRecords, DecidesByLevelPolicyAndTheWritersHealth) {
+    using V = PendingRecords::SendDecision;
+    PendingRecords::Options options;
+    PendingRecords pending(options);
     const Time t{100s};
     const auto expect = [&](const char* when, V sync, V async, V go_on) {
-        EXPECT_EQ(box.decide(Level::Sync, Outage::Refuse), sync) << when;
-        EXPECT_EQ(box.decide(Level::Group, Outage::Refuse), sync) << when;
-        EXPECT_EQ(box.decide(Level::Async, Outage::Refuse), async) << when;
-        EXPECT_EQ(box.decide(Level::Group, Outage::GoOn), go_on) << when;
-        EXPECT_EQ(box.decide(Level::Off, Outage::Refuse), V::Go) << when;
+        EXPECT_EQ(pending.decide(Durability::Sync, OutagePolicy::Refuse), sync) << when;
+        EXPECT_EQ(pending.decide(Durability::Group, OutagePolicy::Refuse), sync) << when;
+        EXPECT_EQ(pending.decide(Durability::Async, OutagePolicy::Refuse), async) << when;
+        EXPECT_EQ(pending.decide(Durability::Group, OutagePolicy::SendUnjournaled), go_on) << when;
+        EXPECT_EQ(pending.decide(Durability::Off, OutagePolicy::Refuse), V::Send) << when;
     };
-    expect("before a start", V::Hold, V::Go, V::Hold);
-    box.started(t);
-    expect("while it starts", V::Hold, V::Go, V::Hold);
-    box.ready(t);
-    expect("up", V::Hold, V::Go, V::Hold);
-    box.troubled("full", t);
-    expect("in trouble", V::Refuse, V::Refuse, V::GoUnjournaled);
-    box.acked(0, t);
-    expect("up again", V::Hold, V::Go, V::Hold);
-    box.lost("killed", t + options.steady_after);
-    expect("lost after a steady run", V::Hold, V::Go, V::Hold);
-    EXPECT_EQ(*box.restart_at(), t + options.steady_after);  // it had run for long: at once
-    box.started(t + options.steady_after);
-    expect("started again", V::Hold, V::Go, V::Hold);
-    box.lost("dies young", t + options.steady_after);
-    expect("it died young", V::Refuse, V::Refuse, V::GoUnjournaled);
-    box.started(t + options.steady_after);
-    expect("started again after it died young", V::Refuse, V::Refuse, V::GoUnjournaled);
+    expect("before a start", V::Hold, V::Send, V::Hold);
+    pending.writer_started(t);
+    expect("while it starts", V::Hold, V::Send, V::Hold);
+    pending.writer_ready(t);
+    expect("up", V::Hold, V::Send, V::Hold);
+    pending.writer_failing("full", t);
+    expect("in trouble", V::Refuse, V::Refuse, V::SendUnjournaled);
+    pending.acknowledged(0, t);
+    expect("up again", V::Hold, V::Send, V::Hold);
+    pending.writer_lost("killed", t + options.stable_after);
+    expect("lost after a steady run", V::Hold, V::Send, V::Hold);
+    EXPECT_EQ(*pending.restart_at(), t + options.stable_after);  // it had run for long: at once
+    pending.writer_started(t + options.stable_after);
+    expect("started again", V::Hold, V::Send, V::Hold);
+    pending.writer_lost("dies young", t + options.stable_after);
+    expect("it died young", V::Refuse, V::Refuse, V::SendUnjournaled);
+    pending.writer_started(t + options.stable_after);
+    expect("started again after it died young", V::Refuse, V::Refuse, V::SendUnjournaled);
 }
 
-TEST(Outbox, ABackoffGrowsToItsBoundAndIsForgottenAfterASteadyRun) {
-    Outbox::Options options;
-    Outbox box(options);
+TEST(PendingRecords, ABackoffGrowsToItsBoundAndIsForgottenAfterASteadyRun) {
+    PendingRecords::Options options;
+    PendingRecords pending(options);
     Time t{1s};
     std::vector<Duration> waits;
     for (int i = 0; i < 9; ++i) {
-        box.started(t);
-        box.lost("dead", t);
-        waits.push_back(*box.restart_at() - t);
-        t = *box.restart_at();
+        pending.writer_started(t);
+        pending.writer_lost("dead", t);
+        waits.push_back(*pending.restart_at() - t);
+        t = *pending.restart_at();
     }
-    EXPECT_EQ(waits.front(), options.backoff_first);
+    EXPECT_EQ(waits.front(), options.min_backoff);
     EXPECT_TRUE(std::is_sorted(waits.begin(), waits.end()));
-    EXPECT_EQ(waits.back(), options.backoff_most);
-    box.started(t);
-    box.ready(t);
-    box.lost("dead", t + options.steady_after);
-    EXPECT_EQ(*box.restart_at(), t + options.steady_after);
+    EXPECT_EQ(waits.back(), options.max_backoff);
+    pending.writer_started(t);
+    pending.writer_ready(t);
+    pending.writer_lost("dead", t + options.stable_after);
+    EXPECT_EQ(*pending.restart_at(), t + options.stable_after);
 }
 
 /// Against a plain model: every record that was taken is acknowledged once by some writer in order, or still
 /// waits; nothing is handed to a writer before what stands ahead of it, and bounds hold.
-TEST(Outbox, LosesNothingOverAnyOrderOfEvents) {
+TEST(PendingRecords, LosesNothingOverAnyOrderOfEvents) {
     std::mt19937_64 random(7);
-    Outbox::Options options;
-    options.most_records = 64;
-    options.most_bytes = 64 * 40;
+    PendingRecords::Options options;
+    options.max_records = 64;
+    options.max_bytes = 64 * 40;
     for (int seed = 0; seed < 200; ++seed) {
-        Outbox box(options);
+        PendingRecords pending(options);
         Time now{1s};
         std::uint64_t next = 0, durable = 0, with_writer = 0;
         std::vector<std::uint64_t> taken;
@@ -303,25 +307,25 @@
                     std::string frame(8, '\0');
                     const std::uint64_t sequence = next + 1;
                     std::copy_n(reinterpret_cast<const char*>(&sequence), 8, frame.begin());
-                    if (box.put(sequence, frame)) {
+                    if (pending.put(sequence, frame)) {
                         taken.push_back(++next);
                     } else {
-                        ASSERT_EQ(box.records(), options.most_records);
+                        ASSERT_EQ(pending.records(), options.max_records);
                     }
                     break;
                 }
                 case 3:
-                    if (box.health() == Outbox::Health::Down && now >= *box.restart_at()) {
-                        box.started(now);
+                    if (pending.health() == PendingRecords::Health::Down && now >= *pending.restart_at()) {
+                        pending.writer_started(now);
                         with_writer = durable;
                     }
                     break;
                 case 4:
-                    if (box.health() == Outbox::Health::Starting) box.ready(now);
+                    if (pending.health() == PendingRecords::Health::Starting) pending.writer_ready(now);
                     break;
                 case 5: {
-                    const std::string bytes = box.unsent(1 + random() % 100, now);
-                    ASSERT_TRUE(bytes.empty() || box.health() == Outbox::Health::Up);
+                    const std::string bytes = pending.take_unsent(1 + random() % 100, now);
+                    ASSERT_TRUE(bytes.empty() || pending.health() == PendingRecords::Health::Up);
                     for (std::size_t at = 0; at < bytes.size(); at += 8) {
                         std::uint64_t sequence = 0;
                         std::copy_n(bytes.data() + at, 8, reinterpret_cast<char*>(&sequence));
@@ -330,19 +334,20 @@
                     break;
                 }
                 case 6:
-                    if (with_writer > durable && box.health() == Outbox::Health::Up) {
+                    if (with_writer > durable && pending.health() == PendingRecords::Health::Up) {
                         durable += 1 + random() % (with_writer - durable);
-                        box.acked(durable, now);
+                        pending.acknowledged(durable, now);
                     }
                     break;
                 default:
-                    if (box.hangs(now) || (random() % 10 == 0 && box.health() != Outbox::Health::Down)) {
-                        box.lost("chance", now);
+                    if (pending.is_unresponsive(now) ||
+                        (random() % 10 == 0 && pending.health() != PendingRecords::Health::Down)) {
+                        pending.writer_lost("chance", now);
                     }
             }
-            ASSERT_EQ(box.records(), next - durable);
-            ASSERT_EQ(box.acked_up_to(), durable);
-            ASSERT_LE(box.bytes(), options.most_bytes);
+            ASSERT_EQ(pending.records(), next - durable);
+            ASSERT_EQ(pending.acknowledged_up_to(), durable);
+            ASSERT_LE(pending.bytes(), options.max_bytes);
         }
     }
 }
--- a/tests/standins/faulty_disk.h
+++ b/tests/standins/faulty_disk.h
@@ -17,7 +17,7 @@
 class FaultyDisk {
   public:
     enum class Fault {
-        Power,  ///< from here on nothing is written, synced or read; power_back() decides what is left
+        Power,  ///< from here on nothing is written, synced or read; power_on() decides what is left
         Sync,   ///< this sync fails, and the kernel takes what it should have written for written
         Full,   ///< this write finds no room, once
         Torn,   ///< this write puts half of its bytes and fails
@@ -33,7 +33,7 @@
             auto* handle = reinterpret_cast<Handle*>(file);
             handle->base.pMethods = nullptr;
             FaultyDisk& disk = of(vfs);
-            if (disk.dark_) return SQLITE_CANTOPEN;
+            if (disk.powered_off_) return SQLITE_CANTOPEN;
             handle->disk = &disk;
             handle->name = new std::string(path ? path : "temporary");
             if (!(flags & SQLITE_OPEN_CREATE) && !disk.files_.contains(*handle->name)) {
@@ -47,7 +47,7 @@
         };
         vfs_.xDelete = [](sqlite3_vfs* vfs, const char* path, int) {
             FaultyDisk& disk = of(vfs);
-            if (disk.dark_) return SQLITE_IOERR_DELETE;
+            if (disk.powered_off_) return SQLITE_IOERR_DELETE;
             return disk.files_.erase(path) ? SQLITE_OK : SQLITE_IOERR_DELETE_NOENT;
         };
         vfs_.xAccess = [](sqlite3_vfs* vfs, const char* path, int, int* out) {
@@ -77,16 +77,16 @@
     const std::string& name() const { return name_; }
     /// The `at`th write, truncation or sync from now on (from 0) meets this.
     void fail_at(std::uint64_t at, Fault fault) {
-        left_ = at;
+        remaining_ = at;
         fault_ = fault;
         armed_ = true;
     }
     std::uint64_t operations() const { return operations_; }
-    bool dark() const { return dark_; }
-    bool struck() const { return !armed_; }
-    void power_off() { dark_ = true; }
+    bool powered_off() const { return powered_off_; }
+    bool fault_hit() const { return !armed_; }
+    void power_off() { powered_off_ = true; }
     /// What was synced is there; of the rest each sector is, or is not, by this seed.
-    void power_back(std::uint64_t seed) {
+    void power_on(std::uint64_t seed) {
         std::mt19937_64 random(seed);
         for (auto& [name, file] : files_) {
             auto pending = file.pending;
@@ -101,7 +101,7 @@
             }
             file = File{bytes, bytes, {}, false};
         }
-        dark_ = false;
+        powered_off_ = false;
         armed_ = false;
     }
 
@@ -130,11 +130,11 @@
         to.replace(offset, bytes.size(), bytes);
     }
     /// Whether this operation meets the fault.
-    bool strikes() {
+    bool hits_fault() {
         ++operations_;
-        if (!armed_ || left_-- > 0) return false;
+        if (!armed_ || remaining_-- > 0) return false;
         armed_ = false;
-        if (fault_ == Fault::Power) dark_ = true;
+        if (fault_ == Fault::Power) powered_off_ = true;
         return true;
     }
 
@@ -147,7 +147,7 @@
                 return SQLITE_OK;
             };
             m.xRead = [](sqlite3_file* file, void* to, int size, sqlite3_int64 offset) {
-                if (of(file).disk->dark_) return SQLITE_IOERR_READ;
+                if (of(file).disk->powered_off_) return SQLITE_IOERR_READ;
                 const std::string& bytes = file_of(file).cached;
                 const auto at = std::min(static_cast<std::size_t>(offset), bytes.size());
                 const auto there = std::min(static_cast<std::size_t>(size), bytes.size() - at);
@@ -157,10 +157,10 @@
             };
             m.xWrite = [](sqlite3_file* file, const void* from, int size, sqlite3_int64 offset) {
                 FaultyDisk& disk = *of(file).disk;
-                if (disk.dark_) return SQLITE_IOERR_WRITE;
+                if (disk.powered_off_) return SQLITE_IOERR_WRITE;
                 std::string bytes(static_cast<const char*>(from), static_cast<std::size_t>(size));
                 int result = SQLITE_OK;
-                if (disk.strikes()) {
+                if (disk.hits_fault()) {
                     if (disk.fault_ == Fault::Full) return SQLITE_FULL;
                     if (disk.fault_ == Fault::Power) return SQLITE_IOERR_WRITE;
                     if (disk.fault_ == Fault::Torn) {
@@ -175,17 +175,17 @@
             };
             m.xTruncate = [](sqlite3_file* file, sqlite3_int64 size) {
                 FaultyDisk& disk = *of(file).disk;
-                if (disk.dark_) return SQLITE_IOERR_TRUNCATE;
-                if (disk.strikes() && disk.fault_ != Fault::Sync) return SQLITE_IOERR_TRUNCATE;
+                if (disk.powered_off_) return SQLITE_IOERR_TRUNCATE;
+                if (disk.hits_fault() && disk.fault_ != Fault::Sync) return SQLITE_IOERR_TRUNCATE;
                 file_of(file).cached.resize(static_cast<std::size_t>(size));
                 file_of(file).truncated = true;
                 return SQLITE_OK;
             };
             m.xSync = [](sqlite3_file* file, int) {
                 FaultyDisk& disk = *of(file).disk;
-                if (disk.dark_) return SQLITE_IOERR_FSYNC;
+                if (disk.powered_off_) return SQLITE_IOERR_FSYNC;
                 File& it = file_of(file);
-                if (disk.strikes() && disk.fault_ != Fault::Full) {
+                if (disk.hits_fault() && disk.fault_ != Fault::Full) {
                     if (disk.fault_ == Fault::Sync)
                         it.pending.clear();  // clean for the kernel, and not on the disk
                     return SQLITE_IOERR_FSYNC;
@@ -218,9 +218,9 @@
     std::string name_;
     sqlite3_vfs vfs_{};
     std::map<std::string, File> files_;
-    std::uint64_t operations_ = 0, left_ = 0;
+    std::uint64_t operations_ = 0, remaining_ = 0;
     Fault fault_ = Fault::Power;
-    bool armed_ = false, dark_ = false;
+    bool armed_ = false, powered_off_ = false;
 };
 
 }  // namespace martenford::standins
--- a/tests/telemetry/telemetry_test.cpp
+++ b/tests/telemetry/telemetry_test.cpp
@@ -21,7 +21,7 @@
 
 // ---- sketches ---------------------------------------------------------------------------------------
 
-TEST(Sketch, KeepsItsBoundOnEveryQuantileOfManyShapes) {
+TEST(QuantileSketch, KeepsItsBoundOnEveryQuantileOfManyShapes) {
     std::mt19937_64 random(1);
     for (int seed = 0; seed < 30; ++seed) {
         std::vector<double> values;
@@ -32,7 +32,7 @@
                              : seed % 3 == 1 ? exponential(random)
                                              : 0.001 * std::pow(10.0, static_cast<double>(random() % 6)));
         }
-        Sketch one, first, second;
+        QuantileSketch one, first, second;
         for (std::size_t i = 0; i < values.size(); ++i) {
             one.add(values[i]);
             (i % 3 ? first : second).add(values[i]);
@@ -42,7 +42,7 @@
         for (const double share : {0.0, 0.01, 0.25, 0.5, 0.9, 0.99, 0.999, 1.0}) {
             const double exact =
                 std::max(values[static_cast<std::size_t>(share * static_cast<double>(values.size() - 1))],
-                         Sketch::kLeast);
+                         QuantileSketch::kMinValue);
             EXPECT_NEAR(one.quantile(share), exact, exact * 0.0101) << seed << " at " << share;
             EXPECT_EQ(first.quantile(share), one.quantile(share));  // merged is as if all had come to one
         }
@@ -50,20 +50,20 @@
     }
 }
 
-TEST(Sketch, IsBoundedWhateverComesAndKeepsTheHighQuantiles) {
-    Sketch sketch(0.01);
+TEST(QuantileSketch, IsBoundedWhateverComesAndKeepsTheHighQuantiles) {
+    QuantileSketch sketch(0.01);
     for (int exponent = -6; exponent <= 300; ++exponent) sketch.add(std::pow(10.0, exponent), 10);
-    EXPECT_LE(sketch.buckets(), Sketch::kMostBuckets);
+    EXPECT_LE(sketch.buckets(), QuantileSketch::kMaxBuckets);
     EXPECT_NEAR(sketch.quantile(1.0) / 1e300, 1.0, 0.0101);
     sketch.add(-1.0);
     sketch.add(std::nan(""));
     EXPECT_EQ(sketch.count(), 3071u);
-    Sketch low;
+    QuantileSketch low;
     low.add(1e-6, 5);
     sketch.merge(low);
-    EXPECT_LE(sketch.buckets(), Sketch::kMostBuckets);
+    EXPECT_LE(sketch.buckets(), QuantileSketch::kMaxBuckets);
     EXPECT_EQ(sketch.count(), 3076u);
-    EXPECT_THROW(sketch.merge(Sketch(0.02)), std::invalid_argument);
+    EXPECT_THROW(sketch.merge(QuantileSketch(0.02)), std::invalid_argument);
 }
 
 // ---- trace contexts -----------------------------------------------------------------------------------
@@ -111,21 +111,21 @@
 
 // ---- what is kept ---------------------------------------------------------------------------------------
 
-Story story(int number, Time taken, const char* answer, bool late = false,
-            std::vector<std::string> outcomes = {"ok"}) {
-    Story result;
+RequestTrace trace(int number, Time taken, const char* answer, bool late = false,
+                   std::vector<std::string> outcomes = {"ok"}) {
+    RequestTrace result;
     result.id = "r" + std::to_string(number);
     result.klass = "look";
-    result.taken = taken;
+    result.started = taken;
     result.answer = answer;
     result.late = late;
-    for (std::string& outcome : outcomes) result.steps.push_back({"s-1", 0ms, 1ms, std::move(outcome)});
+    for (std::string& outcome : outcomes) result.spans.push_back({"s-1", 0ms, 1ms, std::move(outcome)});
     return result;
 }
 
 TEST(TailSampler, KeepsEveryBadOneThatHasRoomAndASampleOfTheRestWithinItsBound) {
     TailSampler::Options options;
-    options.most = 200;
+    options.max_traces = 200;
     TailSampler sampler(options, 3);
     const Time start{1020s};
     std::set<std::string> failed;
@@ -133,32 +133,32 @@
         const Time at = start + i * 6ms;  // ten minutes
         const bool bad = i % 1000 == 7;
         if (bad) failed.insert("r" + std::to_string(i));
-        sampler.offer(story(i, at, bad ? "failed" : "served"));
+        sampler.offer(trace(i, at, bad ? "failed" : "served"));
     }
     std::size_t usual = 0;
     std::set<std::string> kept;
-    sampler.each([&](const Story& each, TailSampler::Reason reason) {
+    sampler.each([&](const RequestTrace& each, TailSampler::Reason reason) {
         if (reason == TailSampler::Reason::Failed) kept.insert(each.id);
-        usual += reason == TailSampler::Reason::Usual;
+        usual += reason == TailSampler::Reason::Normal;
         return true;
     });
     EXPECT_EQ(kept, failed);
-    EXPECT_EQ(usual, options.most);
-    EXPECT_LE(sampler.size(), options.most * TailSampler::kReasons);
+    EXPECT_EQ(usual, options.max_traces);
+    EXPECT_LE(sampler.size(), options.max_traces * TailSampler::kReasons);
     EXPECT_EQ(sampler.offered(TailSampler::Reason::Failed), failed.size());
     ASSERT_NE(sampler.find(*failed.begin()), nullptr);
     // Nothing is kept for longer than its stretches.
-    sampler.offer(story(0, start + 10h, "served"));
+    sampler.offer(trace(0, start + 10h, "served"));
     EXPECT_EQ(sampler.size(), 1u);
 }
 
 TEST(TailSampler, AFloodOfFailuresKeepsNeitherEarlierStretchesNorOtherReasonsOut) {
     TailSampler::Options options;
-    options.most = 100;
+    options.max_traces = 100;
     TailSampler sampler(options, 3);
-    sampler.offer(story(1, Time{600s}, "failed"));
-    sampler.offer(story(2, Time{661s}, "served", true));
-    for (int i = 10; i < 10'000; ++i) sampler.offer(story(i, Time{665s}, "failed"));
+    sampler.offer(trace(1, Time{600s}, "failed"));
+    sampler.offer(trace(2, Time{661s}, "served", true));
+    for (int i = 10; i < 10'000; ++i) sampler.offer(trace(i, Time{665s}, "failed"));
     EXPECT_NE(sampler.find("r1"), nullptr);
     EXPECT_NE(sampler.find("r2"), nullptr);
     EXPECT_LE(sampler.size(), 12u);
@@ -166,23 +166,23 @@
 
 TEST(TailSampler, ARarePathIsKeptBesideAMillionUsualOnes) {
     TailSampler sampler({}, 3);
-    for (int i = 0; i < 50'000; ++i) sampler.offer(story(i, Time{600s}, "served"));
-    sampler.offer(story(-1, Time{601s}, "served", false, {"full", "full", "ok"}));
-    for (int i = 0; i < 50'000; ++i) sampler.offer(story(i, Time{602s}, "served"));
-    const Story* rare = sampler.find("r-1");
+    for (int i = 0; i < 50'000; ++i) sampler.offer(trace(i, Time{600s}, "served"));
+    sampler.offer(trace(-1, Time{601s}, "served", false, {"full", "full", "ok"}));
+    for (int i = 0; i < 50'000; ++i) sampler.offer(trace(i, Time{602s}, "served"));
+    const RequestTrace* rare = sampler.find("r-1");
     ASSERT_NE(rare, nullptr);
     EXPECT_EQ(TailSampler::path_of(*rare), "look:served,full,full,ok");
 }
 
 TEST(TailSampler, TheReservoirIsFair) {
     TailSampler::Options options;
-    options.most = 100;
-    options.stretches = 1;
+    options.max_traces = 100;
+    options.windows = 1;
     std::vector<int> by_tenth(10, 0);
     for (std::uint64_t seed = 1; seed <= 200; ++seed) {
         TailSampler sampler(options, seed);
-        for (int i = 0; i < 1000; ++i) sampler.offer(story(i, Time{1s}, "failed"));
-        sampler.each([&](const Story& each, TailSampler::Reason) {
+        for (int i = 0; i < 1000; ++i) sampler.offer(trace(i, Time{1s}, "failed"));
+        sampler.each([&](const RequestTrace& each, TailSampler::Reason) {
             ++by_tenth[static_cast<std::size_t>(std::atoi(each.id.c_str() + 1) / 100)];
             return true;
         });
@@ -192,12 +192,12 @@
 
 // ---- what explains --------------------------------------------------------------------------------------
 
-TEST(Causes, TheChanceIsFishersExactOne) {
+TEST(CauseAnalyzer, TheChanceIsFishersExactOne) {
     // R: phyper(q - 1, K, N - K, n, lower.tail = FALSE)
-    EXPECT_NEAR(chance_of(3, 4, 4, 8), 17.0 / 70.0, 1e-12);
-    EXPECT_NEAR(chance_of(4, 4, 4, 8), 1.0 / 70.0, 1e-12);
-    EXPECT_EQ(chance_of(0, 4, 4, 8), 1.0);
-    EXPECT_EQ(chance_of(5, 4, 4, 8), 0.0);
+    EXPECT_NEAR(fisher_p_value(3, 4, 4, 8), 17.0 / 70.0, 1e-12);
+    EXPECT_NEAR(fisher_p_value(4, 4, 4, 8), 1.0 / 70.0, 1e-12);
+    EXPECT_EQ(fisher_p_value(0, 4, 4, 8), 1.0);
+    EXPECT_EQ(fisher_p_value(5, 4, 4, 8), 0.0);
     // Against the sum over all tables, for small ones.
     for (std::uint64_t total = 1; total <= 12; ++total) {
         for (std::uint64_t total_bad = 0; total_bad <= total; ++total_bad) {
@@ -216,7 +216,7 @@
                         sum += ways;
                         if (k >= bad) tail += ways;
                     }
-                    ASSERT_NEAR(chance_of(bad, all, total_bad, total), tail / sum, 1e-9);
+                    ASSERT_NEAR(fisher_p_value(bad, all, total_bad, total), tail / sum, 1e-9);
                 }
             }
         }
@@ -246,8 +246,8 @@
     {"a level that refuses", "level", "essential", 0.2},
 };
 
-std::vector<Causes::Cause> causes_of(const Fault* fault, unsigned seed, std::size_t most) {
-    Causes causes({"endpoint", "zone", "kind", "caller", "class", "version", "level"}, {});
+std::vector<CauseAnalyzer::Cause> causes_of(const Fault* fault, unsigned seed, std::size_t most) {
+    CauseAnalyzer causes({"endpoint", "zone", "kind", "caller", "class", "version", "level"}, {});
     std::mt19937_64 random(seed);
     std::uniform_real_distribution<double> unit;
     Time now{5000s};
@@ -272,17 +272,18 @@
             if (std::string_view(names[a]) == fault->attribute && values[a] == fault->value)
                 bad |= unit(random) < fault->share;
         }
-        causes.saw(now, {values[0], values[1], values[2], values[3], values[4], values[5], values[6]}, bad);
+        causes.observe(now, {values[0], values[1], values[2], values[3], values[4], values[5], values[6]},
+                       bad);
     }
     return causes.explain(now, 300s, most);
 }
 
-TEST(Causes, TheTrueOneIsAmongTheFirstThreeAndMostlyFirst) {
+TEST(CauseAnalyzer, TheTrueOneIsAmongTheFirstThreeAndMostlyFirst) {
     int first = 0, all = 0;
     for (const Fault& fault : kFaults) {
         for (unsigned seed = 1; seed <= 10; ++seed, ++all) {
             const auto found = causes_of(&fault, seed, 3);
-            const auto at = std::find_if(found.begin(), found.end(), [&](const Causes::Cause& each) {
+            const auto at = std::find_if(found.begin(), found.end(), [&](const CauseAnalyzer::Cause& each) {
                 return each.name == fault.attribute && each.value == fault.value;
             });
             EXPECT_NE(at, found.end()) << fault.name << ", seed " << seed;
@@ -292,31 +293,31 @@
     EXPECT_GE(first, all * 9 / 10) << "of " << all;
 }
 
-TEST(Causes, WithoutAFaultNothingIsNamedOrSeldom) {
+TEST(CauseAnalyzer, WithoutAFaultNothingIsNamedOrSeldom) {
     int named = 0;
     for (unsigned seed = 1; seed <= 50; ++seed) named += !causes_of(nullptr, seed, 3).empty();
     EXPECT_LE(named, 2);
 }
 
-TEST(Causes, OldCountsGoAndTenThousandNamesStayWithinTheBound) {
-    Causes::Options options;
-    options.most_values = 100;
-    Causes causes({"endpoint"}, options);
+TEST(CauseAnalyzer, OldCountsGoAndTenThousandNamesStayWithinTheBound) {
+    CauseAnalyzer::Options options;
+    options.max_values = 100;
+    CauseAnalyzer causes({"endpoint"}, options);
     Time now{10'000s};
     for (int i = 0; i < 1000; ++i)
-        causes.saw(now, {i % 10 == 0 ? "s-bad" : "s-" + std::to_string(i % 7)}, i % 10 == 0);
+        causes.observe(now, {i % 10 == 0 ? "s-bad" : "s-" + std::to_string(i % 7)}, i % 10 == 0);
     ASSERT_EQ(causes.explain(now, 60s, 3).size(), 1u);
     EXPECT_EQ(causes.explain(now, 60s, 3)[0].value, "s-bad");
     // Names that come once each: the frequent one stays, whatever they are.
     for (int i = 0; i < 10'000; ++i) {
-        causes.saw(now, {"x-" + std::to_string(i)}, false);
-        if (i % 20 == 0) causes.saw(now, {"s-bad"}, true);
+        causes.observe(now, {"x-" + std::to_string(i)}, false);
+        if (i % 20 == 0) causes.observe(now, {"s-bad"}, true);
     }
     EXPECT_GT(causes.evicted(), 9000u);
     ASSERT_FALSE(causes.explain(now, 60s, 3).empty());
     EXPECT_EQ(causes.explain(now, 60s, 3)[0].value, "s-bad");
     now += 400s;
-    causes.saw(now, {"s-1"}, false);
+    causes.observe(now, {"s-1"}, false);
     EXPECT_TRUE(causes.explain(now, 300s, 3).empty());
 }
 
