--- a/benchmarks/ledger_benchmark.cpp
+++ b/benchmarks/ledger_benchmark.cpp
@@ -17,8 +17,8 @@
 
 #include "fleet.h"
 #include "ledger/archive.h"
-#include "ledger/book.h"
 #include "ledger/frame.h"
+#include "ledger/journal_database.h"
 #include "ledger/story.pb.h"
 
 namespace {
--- a/src/command/ledger.cpp
+++ b/src/command/ledger.cpp
@@ -16,7 +16,7 @@
 
 #include "core/wall_clock.h"
 #include "ledger/archive.h"
-#include "ledger/book.h"
+#include "ledger/journal_database.h"
 #include "ledger/reconcile.h"
 #include "ledger/story.pb.h"
 #include "ledger/writer.h"
--- a/src/console/console.h
+++ b/src/console/console.h
@@ -6,7 +6,7 @@
 #include <list>
 #include <memory>
 
-#include "console/calls.h"
+#include "console/console_commands.h"
 #include "core/address.h"
 #include "core/counters.h"
 #include "core/loop.h"
--- a/src/console/calls.cpp
+++ b/src/console/console_commands.cpp
@@ -1,4 +1,4 @@
-#include "console/calls.h"
+#include "console/console_commands.h"
 
 namespace martenford {
 
--- a/src/ledger/archive.h
+++ b/src/ledger/archive.h
@@ -7,7 +7,7 @@
 #include <string>
 #include <vector>
 
-#include "ledger/book.h"
+#include "ledger/journal_database.h"
 
 namespace martenford::ledger {
 
--- a/src/ledger/book.cpp
+++ b/src/ledger/journal_database.cpp
@@ -1,4 +1,4 @@
-#include "ledger/book.h"
+#include "ledger/journal_database.h"
 
 #include <algorithm>
 #include <map>
--- a/src/ledger/book.h
+++ b/src/ledger/journal_database.h
@@ -11,7 +11,7 @@
 #include <vector>
 
 #include "ledger/frame.h"
-#include "ledger/life.h"
+#include "ledger/request_history.h"
 #include "store/database.h"
 
 namespace martenford::ledger {
--- a/src/ledger/options.h
+++ b/src/ledger/options.h
@@ -6,7 +6,7 @@
 
 #include "core/scheduler.h"
 #include "ledger/group_commit.h"
-#include "ledger/outbox.h"
+#include "ledger/pending_records.h"
 
 namespace martenford::ledger {
 
--- a/src/ledger/outbox.cpp
+++ b/src/ledger/pending_records.cpp
@@ -1,4 +1,4 @@
-#include "ledger/outbox.h"
+#include "ledger/pending_records.h"
 
 #include <algorithm>
 #include <utility>
--- a/src/ledger/reconcile.h
+++ b/src/ledger/reconcile.h
@@ -6,7 +6,7 @@
 #include <istream>
 #include <string>
 
-#include "ledger/book.h"
+#include "ledger/journal_database.h"
 
 namespace martenford::ledger {
 
--- a/src/ledger/life.cpp
+++ b/src/ledger/request_history.cpp
@@ -1,4 +1,4 @@
-#include "ledger/life.h"
+#include "ledger/request_history.h"
 
 #include <algorithm>
 #include <array>
--- a/src/ledger/writer.cpp
+++ b/src/ledger/writer.cpp
@@ -19,8 +19,8 @@
 
 #include "core/wall_clock.h"
 #include "ledger/archive.h"
-#include "ledger/book.h"
 #include "ledger/frame.h"
+#include "ledger/journal_database.h"
 
 namespace martenford::ledger {
 
--- a/src/ledger/writer_link.h
+++ b/src/ledger/writer_link.h
@@ -14,7 +14,7 @@
 #include "core/loop.h"
 #include "ledger/frame.h"
 #include "ledger/options.h"
-#include "ledger/outbox.h"
+#include "ledger/pending_records.h"
 
 namespace martenford::ledger {
 
--- a/tests/console/calls_test.cpp
+++ b/tests/console/console_commands_test.cpp
@@ -1,5 +1,5 @@
 // What operators' calls mean and how figures are written: no socket.
-#include "console/calls.h"
+#include "console/console_commands.h"
 
 #include <gtest/gtest.h>
 
--- a/tests/ledger/book_test.cpp
+++ b/tests/ledger/journal_database_test.cpp
@@ -1,5 +1,5 @@
 // The journal's file against a disk that fails at every step in turn, and what is asked of it.
-#include "ledger/book.h"
+#include "ledger/journal_database.h"
 
 #include <gtest/gtest.h>
 
--- a/tests/ledger/life_test.cpp
+++ b/tests/ledger/request_history_test.cpp
@@ -1,5 +1,5 @@
 // The pure half of the journal: lives, frames, batches and the outbox, each against a plain model.
-#include "ledger/life.h"
+#include "ledger/request_history.h"
 
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
@@ -11,7 +11,7 @@
 
 #include "ledger/frame.h"
 #include "ledger/group_commit.h"
-#include "ledger/outbox.h"
+#include "ledger/pending_records.h"
 
 namespace {
 
