--- a/src/ledger/recorder.cpp
+++ b/src/ledger/recorder.cpp
@@ -159,7 +159,7 @@
     }
     if (!options.key_file.empty()) digest_ = std::make_unique<BodyDigest>(options.key_file);
     back_.on_written([this](const Message& message, EndpointId endpoint) { written(message, endpoint); });
-    link_.on_change([this] { journal_changed(); });
+    link_.on_change([this] { on_journal_change(); });
 }
 Recorder::~Recorder() {
     back_.on_written(nullptr);
@@ -342,7 +342,7 @@
     }
 }
 
-void Recorder::journal_changed() {
+void Recorder::on_journal_change() {
     const PendingRecords& pending = link_.pending();
     std::erase_if(held_, [](const auto& each) { return !each.second->is_waiting(); });
     while (!held_.empty() && held_.front().first <= pending.acknowledged_up_to()) {
--- a/src/ledger/recorder.h
+++ b/src/ledger/recorder.h
@@ -81,7 +81,7 @@
     void append_written();
     void withhold(const decision::RequestId& id);
     void note_unjournaled();
-    void journal_changed();
+    void on_journal_change();
     void close_gap();
     void erase_if_finished(const decision::RequestId& id);
 
--- a/src/ledger/writer_link.cpp
+++ b/src/ledger/writer_link.cpp
@@ -45,7 +45,7 @@
       finish_timer_(loop),
       records_(counters.counter("ledger.records", "records handed to the journal")),
       restarts_(counters.counter("ledger.writer_starts", "starts of the journal's writer")),
-      troubles_(counters.counter("ledger.writer_troubles",
+      failures_(counters.counter("ledger.writer_troubles",
                                  "times that the writer died, hung or could keep nothing")) {
     counters.gauge("ledger.waiting", "records not yet durable",
                    [this] { return static_cast<double>(pending_.records()); });
@@ -69,16 +69,16 @@
 }
 
 void WriterLink::start_writer() {
-    int ends[2];
-    if (::socketpair(AF_UNIX, SOCK_STREAM | SOCK_CLOEXEC, 0, ends) != 0)
+    int socket_ends[2];
+    if (::socketpair(AF_UNIX, SOCK_STREAM | SOCK_CLOEXEC, 0, socket_ends) != 0)
         return writer_lost(std::string("no socket for a writer: ") + std::strerror(errno));
-    const bool spawned = spawn(ends[1]);
-    ::close(ends[1]);
+    const bool spawned = spawn(socket_ends[1]);
+    ::close(socket_ends[1]);
     if (!spawned) {
-        ::close(ends[0]);
+        ::close(socket_ends[0]);
         return writer_lost("no writer can be started");
     }
-    socket_ = std::make_shared<Socket>(loop_.io(), asio::local::stream_protocol(), ends[0]);
+    socket_ = std::make_shared<Socket>(loop_.io(), asio::local::stream_protocol(), socket_ends[0]);
     error_code ignored;
     socket_->non_blocking(true, ignored);
     reader_ = {};
@@ -175,7 +175,7 @@
     if (const auto* ack = std::get_if<Ack>(&message)) {
         pending_.acknowledged(ack->up_to, now);
     } else if (const auto* trouble = std::get_if<Trouble>(&message)) {
-        if (pending_.health() != PendingRecords::Health::Failing) troubles_.add();
+        if (pending_.health() != PendingRecords::Health::Failing) failures_.add();
         if (!std::exchange(outage_logged_, true))
             tell(Event::JournalLost, "the journal keeps nothing now: " + trouble->what);
         pending_.writer_failing(trouble->what, now);
@@ -190,7 +190,7 @@
 
 /// A line of log where that begins, none for each further start.
 void WriterLink::writer_lost(const std::string& why) {
-    troubles_.add();
+    failures_.add();
     if (!std::exchange(outage_logged_, true))
         tell(Event::JournalLost, "the journal's writer is lost, and started again: " + why);
     if (socket_) {
--- a/src/ledger/writer_link.h
+++ b/src/ledger/writer_link.h
@@ -66,7 +66,7 @@
     std::uint64_t sequence_ = 0;
     Timer restart_timer_, response_timer_, reap_timer_, finish_timer_;
     std::function<void()> on_change_, on_finished_;
-    Counter &records_, &restarts_, &troubles_;
+    Counter &records_, &restarts_, &failures_;
     char read_buffer_[16 * 1024];
 };
 
--- a/tests/ledger/journal_database_test.cpp
+++ b/tests/ledger/journal_database_test.cpp
@@ -40,7 +40,7 @@
 
 /// A day in batches: requests that are served, turned away and repeated, lost, refused; with large ids, so
 /// that the file grows by many pages and its log is checkpointed.
-std::vector<std::vector<Record>> scripted_day() {
+std::vector<std::vector<Record>> scripted_workload() {
     std::vector<std::vector<Record>> batches;
     std::uint64_t sequence = 0;
     std::mt19937_64 random(5);
@@ -82,15 +82,15 @@
 /// Plays the day as the writer does: a batch that fails is kept again, on a file that is opened anew where a
 /// sync failed. Gives what was acknowledged, and what was on its way.
 struct Outcome {
-    Histories kept, on_the_way;
+    Histories acknowledged, in_flight;
 };
-Outcome play_day(FaultyDisk& disk) {
+Outcome run_workload(FaultyDisk& disk) {
     Outcome outcome;
     std::unique_ptr<JournalDatabase> database;
     std::int64_t boot = 0;
-    for (const auto& batch : scripted_day()) {
-        outcome.on_the_way = outcome.kept;
-        merge(outcome.on_the_way, batch);
+    for (const auto& batch : scripted_workload()) {
+        outcome.in_flight = outcome.acknowledged;
+        merge(outcome.in_flight, batch);
         for (int tries = 0;; ++tries) {
             try {
                 if (!database) {
@@ -106,35 +106,35 @@
                 if (error.fault != store::Fault::Full) database.reset();
             }
         }
-        outcome.kept = outcome.on_the_way;
+        outcome.acknowledged = outcome.in_flight;
     }
     return outcome;
 }
 
-std::uint64_t operations_of_a_day() {
+std::uint64_t count_operations() {
     FaultyDisk disk("counting");
-    play_day(disk);
+    run_workload(disk);
     return disk.operations();
 }
 
-class EveryStep : public testing::TestWithParam<std::pair<FaultyDisk::Fault, const char*>> {};
+class FaultAtEveryStep : public testing::TestWithParam<std::pair<FaultyDisk::Fault, const char*>> {};
 
-TEST_P(EveryStep, WhatWasAcknowledgedIsThereAndBatchesAreWholeOrNotThere) {
-    const std::uint64_t all = operations_of_a_day();
+TEST_P(FaultAtEveryStep, WhatWasAcknowledgedIsThereAndBatchesAreWholeOrNotThere) {
+    const std::uint64_t all = count_operations();
     ASSERT_GT(all, 100u);
     for (std::uint64_t at = 0; at < all; ++at) {
         SCOPED_TRACE(std::string(GetParam().second) + " at operation " + std::to_string(at));
         FaultyDisk disk("faulty");
         disk.fail_at(at, GetParam().first);
-        const Outcome outcome = play_day(disk);
+        const Outcome outcome = run_workload(disk);
         ASSERT_TRUE(disk.fault_hit());
         disk.power_off();  // at the end too: what was acknowledged must not need the kernel's memory
         disk.power_on(at * 7 + 1);
         JournalDatabase database("", true, on(disk));
         ASSERT_EQ(database.verify(), std::vector<std::string>{});
         const Histories found = histories_in(database);
-        ASSERT_TRUE(found == outcome.kept || found == outcome.on_the_way)
-            << found.size() << " requests are there, " << outcome.kept.size() << " were acknowledged";
+        ASSERT_TRUE(found == outcome.acknowledged || found == outcome.in_flight)
+            << found.size() << " requests are there, " << outcome.acknowledged.size() << " were acknowledged";
         // A later start concludes once, and a second one changes nothing.
         const auto next = database.register_boot({kLinkVersion, 100, "n0", 2});
         while (!database.conclude_earlier_boots(next, 5, 4)) {
@@ -151,28 +151,28 @@
     }
 }
 
-INSTANTIATE_TEST_SUITE_P(Faults, EveryStep,
+INSTANTIATE_TEST_SUITE_P(Faults, FaultAtEveryStep,
                          testing::Values(std::pair(FaultyDisk::Fault::Power, "power"),
                                          std::pair(FaultyDisk::Fault::Sync, "sync"),
                                          std::pair(FaultyDisk::Fault::Full, "full"),
                                          std::pair(FaultyDisk::Fault::Torn, "torn")),
                          [](const auto& info) { return info.param.second; });
 
-class OnDisk : public testing::Test {
+class JournalOnDisk : public testing::Test {
   protected:
-    OnDisk() {
+    JournalOnDisk() {
         char path[] = "/tmp/martenford-book-XXXXXX";
         EXPECT_NE(mkdtemp(path), nullptr);
         directory = path;
     }
-    ~OnDisk() override {
+    ~JournalOnDisk() override {
         std::error_code ignored;
         std::filesystem::remove_all(directory, ignored);
     }
     std::string directory;
 };
 
-TEST_F(OnDisk, AFileOfALaterVersionIsRefusedAndAnOlderOneIsRead) {
+TEST_F(JournalOnDisk, AFileOfALaterVersionIsRefusedAndAnOlderOneIsRead) {
     {
         store::Database db(directory + "/ledger.db", {});
         db.execute("PRAGMA user_version=99");
@@ -199,29 +199,31 @@
     EXPECT_EQ(histories_in(newer).size(), 1u);
 }
 
-TEST_F(OnDisk, ABoundOnTheFileIsAFullDisk) {
+TEST_F(JournalOnDisk, ABoundOnTheFileIsAFullDisk) {
     store::Options options;
     options.most_bytes = 256 * 1024;
     JournalDatabase database(directory, true, options);
     const auto boot = database.register_boot(kHello);
-    std::uint64_t kept = 0;
+    std::uint64_t committed_batches = 0;
     try {
-        for (;; ++kept) {
+        for (;; ++committed_batches) {
             std::vector<Record> batch;
             for (std::uint64_t i = 1; i <= 50; ++i) {
-                batch.push_back(record(kept * 50 + i, kept * 50 + i, intent(kept * 50 + i)));
+                batch.push_back(record(committed_batches * 50 + i, committed_batches * 50 + i,
+                                       intent(committed_batches * 50 + i)));
             }
             database.write(boot, batch);
-            ASSERT_LT(kept, 1000u);
+            ASSERT_LT(committed_batches, 1000u);
         }
     } catch (const store::StoreError& error) {
         EXPECT_EQ(error.fault, store::Fault::Full) << error.what();
     }
-    EXPECT_EQ(database.stats().requests, kept * 50);  // the batch that failed is not there in part
-    EXPECT_GT(kept, 0u);
+    EXPECT_EQ(database.stats().requests,
+              committed_batches * 50);  // the batch that failed is not there in part
+    EXPECT_GT(committed_batches, 0u);
 }
 
-TEST_F(OnDisk, ArchivesHoldWhatTheFileHeldAndABrokenOneIsIsolated) {
+TEST_F(JournalOnDisk, ArchivesHoldWhatTheFileHeldAndABrokenOneIsIsolated) {
     JournalDatabase database(directory, true);
     const auto boot = database.register_boot(kHello);
     std::vector<Record> records;
@@ -262,21 +264,21 @@
     EXPECT_EQ(count("a name that is in none", false), 0);
     EXPECT_EQ(archives.archives_read(), read_before);  // the filters knew
     // Bit rot in the first: its requests are passed over, the second's are found.
-    std::string rotten;
+    std::string corrupted;
     for (const auto& file : std::filesystem::directory_iterator(directory)) {
         const std::string name = file.path().filename();
-        if (name.ends_with(".zst") && (rotten.empty() || name < rotten)) rotten = name;
+        if (name.ends_with(".zst") && (corrupted.empty() || name < corrupted)) corrupted = name;
     }
-    std::fstream(directory + "/" + rotten, std::ios::in | std::ios::out).seekp(40).put('x');
+    std::fstream(directory + "/" + corrupted, std::ios::in | std::ios::out).seekp(40).put('x');
     EXPECT_EQ(count("r299", false), 1);
     EXPECT_EQ(count("r1", false), 0);
     ASSERT_EQ(archives.verify().size(), 1u);
-    EXPECT_NE(archives.verify()[0].find(rotten), std::string::npos);
+    EXPECT_NE(archives.verify()[0].find(corrupted), std::string::npos);
     EXPECT_EQ(archives.prune(std::numeric_limits<std::int64_t>::max()), 2u);
     EXPECT_EQ(archives.totals().archives, 0u);
 }
 
-TEST_F(OnDisk, ReconcilingTellsAgreementsDoubtsAndContradictionsApart) {
+TEST_F(JournalOnDisk, ReconcilingTellsAgreementsDoubtsAndContradictionsApart) {
     JournalDatabase database(directory, true);
     const auto boot = database.register_boot(kHello);
     std::uint64_t sequence = 0;
--- a/tests/ledger/ledger_process_test.cpp
+++ b/tests/ledger/ledger_process_test.cpp
@@ -46,21 +46,21 @@
     std::string path_;
 };
 
-struct Said {
+struct CommandResult {
     int code = 0;
     std::string text;
 };
-Said ledger(const std::string& words) {
-    Said said;
-    FILE* pipe = popen((std::string(MARTENFORD) + "-ledger " + words + " 2>&1").c_str(), "r");
+CommandResult run_ledger(const std::string& arguments) {
+    CommandResult output;
+    FILE* pipe = popen((std::string(MARTENFORD) + "-ledger " + arguments + " 2>&1").c_str(), "r");
     std::array<char, 4096> chunk{};
     for (std::size_t n; (n = fread(chunk.data(), 1, chunk.size(), pipe)) > 0;)
-        said.text.append(chunk.data(), n);
-    said.code = WEXITSTATUS(pclose(pipe));
-    return said;
+        output.text.append(chunk.data(), n);
+    output.code = WEXITSTATUS(pclose(pipe));
+    return output;
 }
 
-std::string own(const Directory& directory, const std::string& more = "") {
+std::string own_config(const Directory& directory, const std::string& more = "") {
     return "[ledger]\ndirectory = \"" + directory.path() + "\"\n" + more;
 }
 
@@ -88,23 +88,23 @@
     std::string platform = with_console(config(discovery.address(), target("s-1", endpoint.address())));
 
     std::string find(const std::string& id) {
-        return ledger("find " + id + " --directory " + directory.path()).text;
+        return run_ledger("find " + id + " --directory " + directory.path()).text;
     }
     /// Asked until it says so: records reach the file a moment after the client has its answer.
-    std::string find_until(const std::string& id, const std::string& text) {
-        std::string said;
+    std::string wait_until_found(const std::string& id, const std::string& text) {
+        std::string output;
         for (int i = 0; i < 400; ++i) {
-            said = find(id);
-            if (has(said, text)) return said;
+            output = find(id);
+            if (has(output, text)) return output;
             std::this_thread::sleep_for(std::chrono::milliseconds(25));
         }
-        ADD_FAILURE() << id << " was never said to be: " << text << "\n" << said;
-        return said;
+        ADD_FAILURE() << id << " was never said to be: " << text << "\n" << output;
+        return output;
     }
 };
 
 TEST_F(Ledger, TellsWhereARequestWentAndWhatCameBack) {
-    Sidecar sidecar(platform, own(directory));
+    Sidecar sidecar(platform, own_config(directory));
     Peer client = sidecar.client();
     client.send(debit("r1"));
     Peer at_endpoint = endpoint.accept();
@@ -114,30 +114,30 @@
     EXPECT_TRUE(has(find("r1"), "possibly ran")) << find("r1");
     at_endpoint.send(answer(200, "done"));
     EXPECT_EQ(body_of(client.receive()), "done");
-    const std::string said = find_until("r1", "answer: served");
-    EXPECT_TRUE(has(said, "\n  ran: attempt 0 ended: served")) << said;
+    const std::string output = wait_until_found("r1", "answer: served");
+    EXPECT_TRUE(has(output, "\n  ran: attempt 0 ended: served")) << output;
     // A class that is safe to repeat is not in it.
     client.send(look("r2"));
     at_endpoint.receive();
     at_endpoint.send(answer(200, "look"));
     EXPECT_EQ(body_of(client.receive()), "look");
-    EXPECT_EQ(ledger("find r2 --directory " + directory.path()).code, 1);
-    EXPECT_EQ(ledger("verify --directory " + directory.path()).text, "nothing is wrong\n");
+    EXPECT_EQ(run_ledger("find r2 --directory " + directory.path()).code, 1);
+    EXPECT_EQ(run_ledger("verify --directory " + directory.path()).text, "nothing is wrong\n");
 }
 
 TEST_F(Ledger, WhatWasOpenWhenTheSidecarDiedPossiblyRan) {
-    std::optional<Sidecar> killed(std::in_place, platform, own(directory));
+    std::optional<Sidecar> killed(std::in_place, platform, own_config(directory));
     Peer client = killed->client();
     client.send(debit("r1"));
     Peer at_endpoint = endpoint.accept();
     at_endpoint.receive();
     killed.reset();  // while the endpoint's connection and the client's are open
-    Sidecar next(platform, own(directory));
+    Sidecar next(platform, own_config(directory));
     next.port();
     EXPECT_FALSE(has(find("r1"), "never ran")) << find("r1");
     std::string open;
     for (int i = 0; i < 400 && !has(open, "r1  debit"); ++i) {
-        open = ledger("open --directory " + directory.path()).text;
+        open = run_ledger("open --directory " + directory.path()).text;
         std::this_thread::sleep_for(std::chrono::milliseconds(25));
     }
     EXPECT_TRUE(has(open, "r1  debit")) << open;
@@ -145,7 +145,7 @@
 }
 
 TEST_F(Ledger, AWriterThatIsKilledIsStartedAgainAndNothingIsLost) {
-    Sidecar sidecar(platform, own(directory));
+    Sidecar sidecar(platform, own_config(directory));
     Peer client = sidecar.client();
     client.send(debit("r1"));
     Peer at_endpoint = endpoint.accept();
@@ -155,17 +155,17 @@
     kill(writer, SIGKILL);
     at_endpoint.send(answer(200, "1"));
     EXPECT_EQ(body_of(client.receive()), "1");
-    find_until("r1", "answer: served");  // by the next writer
+    wait_until_found("r1", "answer: served");  // by the next writer
     EXPECT_NE(writer_of(directory), writer);
     client.send(debit("r2"));
     at_endpoint.receive();
     at_endpoint.send(answer(200, "2"));
     EXPECT_EQ(body_of(client.receive()), "2");
-    find_until("r2", "answer: served");
+    wait_until_found("r2", "answer: served");
 }
 
 TEST_F(Ledger, AWriterThatOutlivesItsSidecarHoldsNothingOfIts) {
-    auto sidecar = std::make_unique<Sidecar>(platform, own(directory));
+    auto sidecar = std::make_unique<Sidecar>(platform, own_config(directory));
     Peer client = sidecar->client();
     client.send(debit("r1"));
     Peer at_endpoint = endpoint.accept();
@@ -182,7 +182,7 @@
 
 TEST_F(Ledger, WithoutAWriterUnsafeRequestsAreRefusedAtOnceAndOthersServed) {
     std::ofstream(directory.path() + "/no-writer") << "";
-    Sidecar sidecar(platform, own(directory, "helper = \"" + directory.path() + "/no-writer\"\n"));
+    Sidecar sidecar(platform, own_config(directory, "helper = \"" + directory.path() + "/no-writer\"\n"));
     Peer client = sidecar.client();
     client.send(debit("r1"));
     EXPECT_EQ(status_of(client.receive()), 503);
@@ -195,14 +195,14 @@
 }
 
 TEST_F(Ledger, AWriterThatHangsHoldsARequestNoLongerThanIsSaid) {
-    Sidecar sidecar(platform, own(directory, "hold = \"150ms\"\nack_within = \"400ms\"\n"));
+    Sidecar sidecar(platform, own_config(directory, "hold = \"150ms\"\nack_within = \"400ms\"\n"));
     Peer client = sidecar.client();
     client.send(debit("r1"));
     Peer at_endpoint = endpoint.accept();
     at_endpoint.receive();
     at_endpoint.send(answer(200, "1"));
     EXPECT_EQ(body_of(client.receive()), "1");
-    find_until("r1", "answer: served");
+    wait_until_found("r1", "answer: served");
     const pid_t writer = writer_of(directory);
     kill(writer, SIGSTOP);
     client.send(debit("r2"));
@@ -220,11 +220,11 @@
     }
     // Its intent may have reached the writer that hung; it is not said to have run.
     EXPECT_FALSE(has(find("r2"), "\n  ran:")) << find("r2");
-    find_until("r2", "never ran");
+    wait_until_found("r2", "never ran");
 }
 
 TEST_F(Ledger, AClassThatGoesOnIsSentUnjournaledAndLoudly) {
-    Sidecar sidecar(platform, own(directory, "helper = \"/nonexistent\"\noutage = \"go-on\"\n"));
+    Sidecar sidecar(platform, own_config(directory, "helper = \"/nonexistent\"\noutage = \"go-on\"\n"));
     Peer client = sidecar.client();
     client.send(debit("r1"));
     Peer at_endpoint = endpoint.accept();
@@ -235,12 +235,12 @@
 }
 
 TEST_F(Ledger, ASecondSidecarOnOneDirectoryRefusesAndTheFirstGoesOn) {
-    Sidecar first(platform, own(directory));
+    Sidecar first(platform, own_config(directory));
     Peer client = first.client();
     client.send(debit("r1"));
     Peer at_endpoint = endpoint.accept();
     at_endpoint.receive();
-    Sidecar second(platform, own(directory, "hold = \"100ms\"\n"));
+    Sidecar second(platform, own_config(directory, "hold = \"100ms\"\n"));
     Peer other = second.client();
     other.send(debit("r2"));
     EXPECT_EQ(status_of(other.receive()), 503);
@@ -250,7 +250,7 @@
     EXPECT_TRUE(endpoint.untouched());
     at_endpoint.send(answer(200, "1"));
     EXPECT_EQ(body_of(client.receive()), "1");
-    find_until("r1", "answer: served");
+    wait_until_found("r1", "answer: served");
 }
 
 TEST_F(Ledger, AnUpgradesSuccessorWritesBesideItsElderAndConcludesOnceThatHasEnded) {
@@ -265,8 +265,8 @@
     };
     const std::string automatic =
         with_console(config(discovery.address(), target("s-1", endpoint.address()), "automatic"));
-    auto elder = std::make_unique<Sidecar>(automatic, own(directory), environment);
-    const int port = elder->port();
+    auto predecessor = std::make_unique<Sidecar>(automatic, own_config(directory), environment);
+    const int port = predecessor->port();
     const Peer watch = answer_watch();
     Peer slow = Peer::to(port), lost = Peer::to(port);
     slow.send(debit("r1"));
@@ -275,10 +275,10 @@
     lost.send(debit("r2"));
     Peer never_answered = endpoint.accept();
     EXPECT_TRUE(has(never_answered.receive(), "X-Request-ID: r2"));
-    Sidecar heir(automatic, own(directory), environment);
+    Sidecar successor(automatic, own_config(directory), environment);
     const Peer next_watch = answer_watch();
-    EXPECT_EQ(heir.port(), port);
-    elder->terminate();
+    EXPECT_EQ(successor.port(), port);
+    predecessor->terminate();
     // The heir's own requests are kept while the elder's are under way.
     Peer client = Peer::to(port);
     client.send(debit("r3"));
@@ -289,21 +289,21 @@
     EXPECT_EQ(body_of(client.receive()), "3");
     at_endpoint.send(answer(200, "1"));
     EXPECT_EQ(body_of(slow.receive()), "1");
-    find_until("r1", "answer: served");
+    wait_until_found("r1", "answer: served");
     EXPECT_TRUE(has(find("r2"), "(under way)")) << find("r2");
-    elder.reset();  // killed before r2 has ended: its heir concludes what that was
+    predecessor.reset();  // killed before r2 has ended: its heir concludes what that was
     std::string open;
     for (int i = 0; i < 400 && !has(open, "r2  debit"); ++i) {
-        open = ledger("open --directory " + directory.path()).text;
+        open = run_ledger("open --directory " + directory.path()).text;
         std::this_thread::sleep_for(std::chrono::milliseconds(25));
     }
     EXPECT_TRUE(has(open, "r2  debit")) << open;
     EXPECT_FALSE(has(open, "r1  debit") || has(open, "r3  debit")) << open;
-    find_until("r3", "answer: served");
+    wait_until_found("r3", "answer: served");
 }
 
 TEST_F(Ledger, AFullFileRefusesUnsafeRequestsAndServesOthersAndTheJournalStaysTrue) {
-    Sidecar sidecar(platform, own(directory, "most_mb = 1\nlevel = \"sync\"\n"));
+    Sidecar sidecar(platform, own_config(directory, "most_mb = 1\nlevel = \"sync\"\n"));
     Peer client = sidecar.client();
     Peer at_endpoint = [&] {
         client.send(look("first"));
@@ -336,7 +336,7 @@
     client.send(debit("refused"));
     EXPECT_EQ(status_of(client.receive()), 503);
     EXPECT_TRUE(at_endpoint.silent());
-    EXPECT_EQ(ledger("verify --directory " + directory.path()).text, "nothing is wrong\n");
+    EXPECT_EQ(run_ledger("verify --directory " + directory.path()).text, "nothing is wrong\n");
     const std::string early = find(padding + "0");
     EXPECT_TRUE(has(early, "answer: served")) << early;
 }
@@ -387,15 +387,15 @@
         const auto from = connection.read.find("X-Request-ID: ") + 14;
         const std::string id = connection.read.substr(from, connection.read.find("\r\n", from) - from);
         connection.read.clear();
-        const auto way = safe ? 19 : random_() % 20;
+        const auto outcome = safe ? 19 : random_() % 20;
         std::string reply = answer(200, id);
-        if (way == 0) reply = answer(503, "", "X-Not-Processed: 1\r\n");
-        if (way != 0 && !safe) {
+        if (outcome == 0) reply = answer(503, "", "X-Not-Processed: 1\r\n");
+        if (outcome != 0 && !safe) {
             const std::lock_guard lock(mutex_);
             ++effects_[id];
         }
-        if (way == 1) return false;  // it ran, and its answer is lost
-        if (way == 2) reply = answer(500);
+        if (outcome == 1) return false;  // it ran, and its answer is lost
+        if (outcome == 2) reply = answer(500);
         send(connection.fd.get(), reply.data(), reply.size(), MSG_NOSIGNAL);
         return true;
     }
@@ -412,57 +412,57 @@
 /// of each.
 std::map<std::string, int> send_requests(int port, const std::string& prefix, bool safe,
                                          const std::atomic<bool>* stop) {
-    std::map<std::string, int> told;
+    std::map<std::string, int> statuses;
     const Descriptor fd(socket(AF_INET, SOCK_STREAM, 0));
     sockaddr_in address{};
     address.sin_family = AF_INET;
     address.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
     address.sin_port = htons(static_cast<std::uint16_t>(port));
-    if (connect(fd.get(), reinterpret_cast<sockaddr*>(&address), sizeof address) != 0) return told;
+    if (connect(fd.get(), reinterpret_cast<sockaddr*>(&address), sizeof address) != 0) return statuses;
     for (int i = 0; !stop || !*stop; ++i) {
         const std::string id = prefix + std::to_string(i), request = safe ? look(id, 2000) : debit(id, 2000);
-        told[id] = 0;
-        if (send(fd.get(), request.data(), request.size(), MSG_NOSIGNAL) < 0) return told;
+        statuses[id] = 0;
+        if (send(fd.get(), request.data(), request.size(), MSG_NOSIGNAL) < 0) return statuses;
         std::string read;
         while (read.find("\r\n\r\n") == std::string::npos) {
             char chunk[1024];
-            if (!fd.readable(5000)) return told;
+            if (!fd.readable(5000)) return statuses;
             const auto n = recv(fd.get(), chunk, sizeof chunk, 0);
-            if (n <= 0) return told;
+            if (n <= 0) return statuses;
             read.append(chunk, static_cast<std::size_t>(n));
         }
-        told[id] = status_of(read);
+        statuses[id] = status_of(read);
     }
-    return told;
+    return statuses;
 }
 
-struct Kept {
+struct JournaledRequest {
     std::string effect, answer;
 };
-std::map<std::string, Kept> kept_in(const Directory& directory) {
-    std::map<std::string, Kept> kept;
-    std::istringstream lines(ledger("export --form csv --directory " + directory.path()).text);
+std::map<std::string, JournaledRequest> journaled_in(const Directory& directory) {
+    std::map<std::string, JournaledRequest> journaled;
+    std::istringstream lines(run_ledger("export --form csv --directory " + directory.path()).text);
     for (std::string line; std::getline(lines, line);) {
         std::vector<std::string> fields(1);
         for (const char c : line) c == ',' ? fields.emplace_back() : fields.back() += std::string(1, c);
-        if (fields.size() > 8 && fields[0] != "id") kept[fields[0]] = {fields[7], fields[5]};
+        if (fields.size() > 8 && fields[0] != "id") journaled[fields[0]] = {fields[7], fields[5]};
     }
-    return kept;
+    return journaled;
 }
 
 TEST(LedgerKills, WhatRanIsNeverShownAsUnsentAndNoAnswerIsRecordedThatWasNotSent) {
-    const char* asked = std::getenv("MARTENFORD_KILLS");  // tests/long/ledger_kills.sh plays more
-    const int kills = asked ? std::atoi(asked) : 20;
+    const char* configured = std::getenv("MARTENFORD_KILLS");  // tests/long/ledger_kills.sh plays more
+    const int kills = configured ? std::atoi(configured) : 20;
     constexpr int kClients = 8;
     LedgerTier tier(1);
     Listener discovery;
     Directory directory;
     std::mt19937 random(24);
-    std::map<std::string, int> told;
+    std::map<std::string, int> statuses;
     for (int round = 0; round < kills; ++round) {
         const std::string level = std::array{"group", "sync"}[random() % 2];
         auto sidecar = std::make_unique<Sidecar>(config(discovery.address(), target("s-1", tier.address())),
-                                                 own(directory, "level = \"" + level + "\"\n"));
+                                                 own_config(directory, "level = \"" + level + "\"\n"));
         const int port = sidecar->port();
         std::vector<std::map<std::string, int>> each(kClients);
         std::vector<std::thread> clients;
@@ -473,34 +473,34 @@
             });
         }
         std::this_thread::sleep_for(std::chrono::milliseconds(40 + random() % 100));
-        const auto whom = random() % 3;  // the sidecar, its writer some time before it, both at once
-        const pid_t writer = whom > 0 ? writer_of(directory) : 0;
-        if (whom == 2) sidecar->stop();
+        const auto victim = random() % 3;  // the sidecar, its writer some time before it, both at once
+        const pid_t writer = victim > 0 ? writer_of(directory) : 0;
+        if (victim == 2) sidecar->stop();
         if (writer > 0) kill(writer, SIGKILL);
-        if (whom == 1) std::this_thread::sleep_for(std::chrono::milliseconds(random() % 200));
+        if (victim == 1) std::this_thread::sleep_for(std::chrono::milliseconds(random() % 200));
         sidecar.reset();
         for (std::thread& client : clients) client.join();
-        for (const auto& all : each) told.insert(all.begin(), all.end());
+        for (const auto& all : each) statuses.insert(all.begin(), all.end());
     }
     // One more start concludes what is open.
-    Sidecar last(config(discovery.address(), target("s-1", tier.address())), own(directory));
+    Sidecar last(config(discovery.address(), target("s-1", tier.address())), own_config(directory));
     last.port();
     for (int i = 0;
-         i < 400 && has(ledger("stats --directory " + directory.path()).text, "under way 0\n") == false;
+         i < 400 && has(run_ledger("stats --directory " + directory.path()).text, "under way 0\n") == false;
          ++i) {
         std::this_thread::sleep_for(std::chrono::milliseconds(25));
     }
     const auto effects = tier.effects();
-    const auto kept = kept_in(directory);
+    const auto journaled = journaled_in(directory);
     int possibly = 0, possibly_ran = 0, answered = 0;
     for (const auto& [id, times] : effects) {
         EXPECT_EQ(times, 1) << id << " took effect twice";
-        ASSERT_TRUE(kept.contains(id)) << id << " ran, and the journal does not know it";
-        EXPECT_NE(kept.at(id).effect, "never ran") << id;
+        ASSERT_TRUE(journaled.contains(id)) << id << " ran, and the journal does not know it";
+        EXPECT_NE(journaled.at(id).effect, "never ran") << id;
     }
-    for (const auto& [id, entry] : kept) {
-        ASSERT_TRUE(told.contains(id)) << id;
-        const int status = told.at(id);
+    for (const auto& [id, entry] : journaled) {
+        ASSERT_TRUE(statuses.contains(id)) << id;
+        const int status = statuses.at(id);
         if (entry.answer == "served") {
             EXPECT_EQ(status, 200) << id;
         }
@@ -517,26 +517,26 @@
         possibly += entry.effect == "possibly ran";
         possibly_ran += entry.effect == "possibly ran" && effects.contains(id);
     }
-    for (const auto& [id, status] : told) {
+    for (const auto& [id, status] : statuses) {
         if (status == 503) {
             EXPECT_FALSE(effects.contains(id)) << id << " was refused, and ran";
         }
     }
-    EXPECT_EQ(ledger("verify --directory " + directory.path()).text, "nothing is wrong\n");
+    EXPECT_EQ(run_ledger("verify --directory " + directory.path()).text, "nothing is wrong\n");
     std::printf(
         "%d kills: %zu requests, %zu ran, %zu in the journal, %d answered there, %d possibly ran, of them %d "
         "did\n",
-        kills, told.size(), effects.size(), kept.size(), answered, possibly, possibly_ran);
+        kills, statuses.size(), effects.size(), journaled.size(), answered, possibly, possibly_ran);
     EXPECT_GT(answered, kills);
 }
 
 // ---- a disk that fails ------------------------------------------------------------------------------
 
 TEST_F(Ledger, ADiskThatFailsForAWhileRefusesUnsafeRequestsAloneAndItGoesOnByItself) {
-    const char* asked = std::getenv("MARTENFORD_OUTAGE_MS");  // tests/long/ledger_kills.sh plays 10 s
-    const std::chrono::milliseconds outage(asked ? std::atoi(asked) : 600);
+    const char* configured = std::getenv("MARTENFORD_OUTAGE_MS");  // tests/long/ledger_kills.sh plays 10 s
+    const std::chrono::milliseconds outage(configured ? std::atoi(configured) : 600);
     LedgerTier tier(2);
-    Sidecar sidecar(config(discovery.address(), target("s-1", tier.address())), own(directory));
+    Sidecar sidecar(config(discovery.address(), target("s-1", tier.address())), own_config(directory));
     std::atomic<bool> stop{false};
     std::map<std::string, int> debits, looks;
     std::thread unsafe([&, port = sidecar.port()] { debits = send_requests(port, "d", false, &stop); });
@@ -573,18 +573,18 @@
     EXPECT_GT(by_status[503], 10);
     for (const auto& [id, status] : looks) EXPECT_EQ(status, 200) << id;
     EXPECT_EQ(writer_of(directory), writer);  // it got over it without a new one
-    await([&] { return has(ledger("stats --directory " + directory.path()).text, "under way 0\n"); });
-    const auto kept = kept_in(directory);
+    await([&] { return has(run_ledger("stats --directory " + directory.path()).text, "under way 0\n"); });
+    const auto journaled = journaled_in(directory);
     for (const auto& [id, times] : tier.effects()) {
-        ASSERT_TRUE(kept.contains(id)) << id;
-        EXPECT_NE(kept.at(id).effect, "never ran") << id;
+        ASSERT_TRUE(journaled.contains(id)) << id;
+        EXPECT_NE(journaled.at(id).effect, "never ran") << id;
     }
     for (const auto& [id, status] : debits) {
-        if (status == 503 && kept.contains(id)) {
-            EXPECT_EQ(kept.at(id).effect, "never ran") << id;
+        if (status == 503 && journaled.contains(id)) {
+            EXPECT_EQ(journaled.at(id).effect, "never ran") << id;
         }
     }
-    EXPECT_EQ(ledger("verify --directory " + directory.path()).text, "nothing is wrong\n");
+    EXPECT_EQ(run_ledger("verify --directory " + directory.path()).text, "nothing is wrong\n");
 }
 
 }  // namespace
--- a/tests/ledger/request_history_test.cpp
+++ b/tests/ledger/request_history_test.cpp
@@ -68,57 +68,57 @@
 }
 
 /// A sidecar's own story of one request, in order, as the recorder tells it; and what truly happened.
-struct Played {
+struct SimulatedRequest {
     std::vector<Record> records;
     std::vector<bool> may_have_run;  // truly, by the time that the first i records were durable and no more
 };
 
-Played play(std::mt19937_64& random) {
-    Played played;
+SimulatedRequest simulate(std::mt19937_64& random) {
+    SimulatedRequest simulated;
     std::int64_t at = 1;
     bool ran = false;
-    const auto tell = [&](decltype(Record::payload) what) {
-        played.records.push_back(record_of(played.records.size() + 1, at++, std::move(what)));
+    const auto append = [&](decltype(Record::payload) what) {
+        simulated.records.push_back(record_of(simulated.records.size() + 1, at++, std::move(what)));
     };
     const auto attempts = 1 + random() % 3;
     for (std::uint32_t n = 0; n < attempts; ++n) {
-        tell(Intent{n, "r", "debit", "", "", "s", "a"});
+        append(Intent{n, "r", "debit", "", "", "s", "a"});
         const auto ending = static_cast<Ending>(1 + random() % (kEndingCount - 1));
         const bool out = effect_of(ending) != Effect::NeverRan;
-        played.may_have_run.resize(played.records.size(), ran);
+        simulated.may_have_run.resize(simulated.records.size(), ran);
         ran |= out;  // from here on bytes may be out, whatever is told of it
-        played.may_have_run.back() = ran;
-        if (out && random() % 2) tell(Written{n});
-        tell(Ended{n, ending});
-        played.may_have_run.resize(played.records.size(), ran);
+        simulated.may_have_run.back() = ran;
+        if (out && random() % 2) append(Written{n});
+        append(Ended{n, ending});
+        simulated.may_have_run.resize(simulated.records.size(), ran);
         if (out) break;  // an unsafe call goes again only after proof that it never ran
     }
-    tell(Answered{ran ? FinalAnswer::Failed : FinalAnswer::Refused});
-    played.may_have_run.resize(played.records.size(), ran);
-    return played;
+    append(Answered{ran ? FinalAnswer::Failed : FinalAnswer::Refused});
+    simulated.may_have_run.resize(simulated.records.size(), ran);
+    return simulated;
 }
 
 TEST(RequestHistory, WhatPossiblyRanIsNeverConcludedAsNeverRunAtAnyCut) {
     std::mt19937_64 random(24);
     for (int round = 0; round < 200'000; ++round) {
-        const Played played = play(random);
+        const SimulatedRequest simulated = simulate(random);
         RequestHistory history;
-        for (std::size_t cut = 0; cut < played.records.size(); ++cut) {
-            history.merge(played.records[cut]);
-            if (played.may_have_run[cut]) {
+        for (std::size_t cut = 0; cut < simulated.records.size(); ++cut) {
+            history.merge(simulated.records[cut]);
+            if (simulated.may_have_run[cut]) {
                 ASSERT_NE(history.effect(), Effect::NeverRan)
                     << "round " << round << " cut after " << cut + 1;
             }
         }
         ASSERT_TRUE(history.is_complete());
         ASSERT_FALSE(history.contradicts_itself()) << history.reason();
-        ASSERT_EQ(history.effect() == Effect::NeverRan, !played.may_have_run.back());
+        ASSERT_EQ(history.effect() == Effect::NeverRan, !simulated.may_have_run.back());
     }
 }
 
 TEST(RequestHistory, GivesTheReasonThatDecides) {
     struct Case {
-        std::vector<decltype(Record::payload)> told;
+        std::vector<decltype(Record::payload)> payloads;
         Effect effect;
         const char* reason;
     };
@@ -146,7 +146,7 @@
     for (const Case& each : cases) {
         RequestHistory history;
         std::int64_t at = 1;
-        for (const auto& what : each.told) history.merge(record_of(1, at++, what));
+        for (const auto& what : each.payloads) history.merge(record_of(1, at++, what));
         EXPECT_EQ(history.effect(), each.effect) << each.reason;
         EXPECT_EQ(history.reason(), each.reason);
     }
@@ -235,35 +235,36 @@
 // ---- the outbox -------------------------------------------------------------------------------------
 
 TEST(PendingRecords, DecidesByLevelPolicyAndTheWritersHealth) {
-    using V = PendingRecords::SendDecision;
+    using Decision = PendingRecords::SendDecision;
     PendingRecords::Options options;
     PendingRecords pending(options);
     const Time t{100s};
-    const auto expect = [&](const char* when, V sync, V async, V go_on) {
+    const auto expect = [&](const char* when, Decision sync, Decision async, Decision send_on_outage) {
         EXPECT_EQ(pending.decide(Durability::Sync, OutagePolicy::Refuse), sync) << when;
         EXPECT_EQ(pending.decide(Durability::Group, OutagePolicy::Refuse), sync) << when;
         EXPECT_EQ(pending.decide(Durability::Async, OutagePolicy::Refuse), async) << when;
-        EXPECT_EQ(pending.decide(Durability::Group, OutagePolicy::SendUnjournaled), go_on) << when;
-        EXPECT_EQ(pending.decide(Durability::Off, OutagePolicy::Refuse), V::Send) << when;
+        EXPECT_EQ(pending.decide(Durability::Group, OutagePolicy::SendUnjournaled), send_on_outage) << when;
+        EXPECT_EQ(pending.decide(Durability::Off, OutagePolicy::Refuse), Decision::Send) << when;
     };
-    expect("before a start", V::Hold, V::Send, V::Hold);
+    expect("before a start", Decision::Hold, Decision::Send, Decision::Hold);
     pending.writer_started(t);
-    expect("while it starts", V::Hold, V::Send, V::Hold);
+    expect("while it starts", Decision::Hold, Decision::Send, Decision::Hold);
     pending.writer_ready(t);
-    expect("up", V::Hold, V::Send, V::Hold);
+    expect("up", Decision::Hold, Decision::Send, Decision::Hold);
     pending.writer_failing("full", t);
-    expect("in trouble", V::Refuse, V::Refuse, V::SendUnjournaled);
+    expect("in trouble", Decision::Refuse, Decision::Refuse, Decision::SendUnjournaled);
     pending.acknowledged(0, t);
-    expect("up again", V::Hold, V::Send, V::Hold);
+    expect("up again", Decision::Hold, Decision::Send, Decision::Hold);
     pending.writer_lost("killed", t + options.stable_after);
-    expect("lost after a steady run", V::Hold, V::Send, V::Hold);
+    expect("lost after a steady run", Decision::Hold, Decision::Send, Decision::Hold);
     EXPECT_EQ(*pending.restart_at(), t + options.stable_after);  // it had run for long: at once
     pending.writer_started(t + options.stable_after);
-    expect("started again", V::Hold, V::Send, V::Hold);
+    expect("started again", Decision::Hold, Decision::Send, Decision::Hold);
     pending.writer_lost("dies young", t + options.stable_after);
-    expect("it died young", V::Refuse, V::Refuse, V::SendUnjournaled);
+    expect("it died young", Decision::Refuse, Decision::Refuse, Decision::SendUnjournaled);
     pending.writer_started(t + options.stable_after);
-    expect("started again after it died young", V::Refuse, V::Refuse, V::SendUnjournaled);
+    expect("started again after it died young", Decision::Refuse, Decision::Refuse,
+           Decision::SendUnjournaled);
 }
 
 TEST(PendingRecords, ABackoffGrowsToItsBoundAndIsForgottenAfterASteadyRun) {
--- a/tests/telemetry/telemetry_process_test.cpp
+++ b/tests/telemetry/telemetry_process_test.cpp
@@ -11,16 +11,16 @@
 
 using namespace martenford::standins;
 
-std::string why(Sidecar& sidecar, const std::string& words) {
+std::string why(Sidecar& sidecar, const std::string& arguments) {
     const std::string command = std::string(MARTENFORD) +
                                 " why --console 127.0.0.1:" + std::to_string(sidecar.console_port()) + " " +
-                                words + " 2>&1";
+                                arguments + " 2>&1";
     FILE* pipe = popen(command.c_str(), "r");
     std::array<char, 4096> chunk{};
-    std::string said;
-    for (std::size_t n; (n = fread(chunk.data(), 1, chunk.size(), pipe)) > 0;) said.append(chunk.data(), n);
+    std::string output;
+    for (std::size_t n; (n = fread(chunk.data(), 1, chunk.size(), pipe)) > 0;) output.append(chunk.data(), n);
     pclose(pipe);
-    return said;
+    return output;
 }
 
 TEST(Telemetry, TellsTheStoryOfARequestAndWhatExplainsTheBadOnes) {
--- a/tests/telemetry/telemetry_test.cpp
+++ b/tests/telemetry/telemetry_test.cpp
@@ -246,7 +246,7 @@
     {"a level that refuses", "level", "essential", 0.2},
 };
 
-std::vector<CauseAnalyzer::Cause> causes_of(const Fault* fault, unsigned seed, std::size_t most) {
+std::vector<CauseAnalyzer::Cause> causes_of(const Fault* fault, unsigned seed, std::size_t max_causes) {
     CauseAnalyzer causes({"endpoint", "zone", "kind", "caller", "class", "version", "level"}, {});
     std::mt19937_64 random(seed);
     std::uniform_real_distribution<double> unit;
@@ -275,7 +275,7 @@
         causes.observe(now, {values[0], values[1], values[2], values[3], values[4], values[5], values[6]},
                        bad);
     }
-    return causes.explain(now, 300s, most);
+    return causes.explain(now, 300s, max_causes);
 }
 
 TEST(CauseAnalyzer, TheTrueOneIsAmongTheFirstThreeAndMostlyFirst) {
