--- a/src/replica/snapshot_client.cpp
+++ b/src/replica/snapshot_client.cpp
@@ -33,7 +33,7 @@
 SnapshotClient::SnapshotClient(EventLoop& loop, std::string helper, std::string directory, std::string fleet,
                                Duration tombstone_ttl, Callbacks callbacks)
     : loop_(loop),
-      helper_(helper.empty() ? helper_beside_this_program() : std::move(helper)),
+      helper_(helper.empty() ? default_helper_path() : std::move(helper)),
       directory_(std::move(directory)),
       fleet_(std::move(fleet)),
       tombstone_ttl_(tombstone_ttl),
