--- a/src/discovery/discovery.h
+++ b/src/discovery/discovery.h
@@ -11,9 +11,9 @@
 
 #include "config/config.h"
 #include "core/counters.h"
+#include "core/endpoint_table.h"
 #include "core/engine.h"
 #include "core/loop.h"
-#include "core/placement.h"
 #include "membership/membership.h"
 #include "membership/staleness.h"
 
@@ -21,7 +21,7 @@
 
 class Discovery {
   public:
-    Discovery(Loop& loop, Placement& placement, Engine& engine, const Config& config,
+    Discovery(EventLoop& loop, EndpointTable& placement, Engine& engine, const Config& config,
               const Membership::Options& options, Counters& counters);
     ~Discovery();
 
@@ -62,8 +62,8 @@
     void apply(Membership::Update&& update);
     void restart_request();
 
-    Loop& loop_;
-    Placement& placement_;
+    EventLoop& loop_;
+    EndpointTable& placement_;
     Engine& engine_;
     const Config& config_;
     Address address_;
--- a/src/fleet/wire.cpp
+++ b/src/fleet/wire.cpp
@@ -57,7 +57,7 @@
     to.set_oldest(hello.oldest);
     to.set_newest(hello.newest);
     to.set_version(hello.version);
-    return framing::framed(out);
+    return framing::encode_message(out);
 }
 
 std::string frame_of(const Message& message) {
@@ -72,17 +72,17 @@
     to.set_want(message.want_list);
     to.set_stalled_ms(message.stalled_ms);
     for (const MemberUpdate& update : message.updates) fill(*to.add_claims(), update);
-    return framing::framed(out);
+    return framing::encode_message(out);
 }
 
 std::string frame_of(const Payload& payload) {
     wire::Frame out;
     out.set_state(payload.bytes);
-    return framing::framed(out);
+    return framing::encode_message(out);
 }
 
 FrameBody parse_frame_body(std::string_view bytes) {
-    const auto in = framing::parsed<wire::Frame>(bytes);
+    const auto in = framing::decode_message<wire::Frame>(bytes);
     if (in.has_hello()) {
         const auto& from = in.hello();
         if (from.boot() == 0) throw FrameError("hello without a boot id");
--- a/src/peers/peers.cpp
+++ b/src/peers/peers.cpp
@@ -45,21 +45,24 @@
 
 void log_event(const fleet::FleetEvent& fleet_event, const std::string& line) {
     using Kind = fleet::FleetEvent::Kind;
-    constexpr std::pair<Kind, Event> kEvents[] = {
-        {Kind::Joined, Event::FleetJoined},     {Kind::Left, Event::FleetLeft},
-        {Kind::Died, Event::FleetDied},         {Kind::MassLoss, Event::FleetLostAtOnce},
-        {Kind::Returned, Event::FleetReturned}, {Kind::NameConflict, Event::FleetDoubled},
-        {Kind::OwnStall, Event::FleetStood},    {Kind::OwnSuspicion, Event::FleetAccused}};
+    constexpr std::pair<Kind, Event> kEvents[] = {{Kind::Joined, Event::FleetJoined},
+                                                  {Kind::Left, Event::FleetLeft},
+                                                  {Kind::Died, Event::FleetDied},
+                                                  {Kind::MassLoss, Event::FleetMassLoss},
+                                                  {Kind::Returned, Event::FleetReturned},
+                                                  {Kind::NameConflict, Event::FleetDuplicateName},
+                                                  {Kind::OwnStall, Event::FleetProcessPaused},
+                                                  {Kind::OwnSuspicion, Event::FleetSuspicionRefuted}};
     const Event event = std::find_if(std::begin(kEvents), std::end(kEvents), [&](const auto& e) {
                             return e.first == fleet_event.kind;
                         })->second;
     if (fleet_event.subjects.size() == 1)
-        return tell(event, line,
-                    {{"member", fleet_event.subjects[0].name},
-                     {"boot", fmt::format("{:016x}", fleet_event.subjects[0].boot)}});
-    tell(event, line,
-         {{"members", std::to_string(fleet_event.subjects.size())},
-          {"of", std::to_string(fleet_event.live_before)}});
+        return log_event(event, line,
+                         {{"member", fleet_event.subjects[0].name},
+                          {"boot", fmt::format("{:016x}", fleet_event.subjects[0].boot)}});
+    log_event(event, line,
+              {{"members", std::to_string(fleet_event.subjects.size())},
+               {"of", std::to_string(fleet_event.live_before)}});
 }
 
 std::uint64_t random_id() {
@@ -289,7 +292,7 @@
     std::array<char, 16 * 1024> chunk_{};
 };
 
-Peers::Peers(Loop& loop, const fleet::Options& options, std::string name, std::string zone,
+Peers::Peers(EventLoop& loop, const fleet::Options& options, std::string name, std::string zone,
              std::string version, Counters& counters)
     : loop_(loop),
       options_(options),
@@ -345,8 +348,8 @@
     if (error) {
         // Not fatal: requests are served without a fleet too.
         if (!std::exchange(listen_failure_logged_, true))
-            martenford::tell(Event::FleetNoPlace,
-                             fmt::format("fleet: can't listen at {}: {}", options_.listen, error.message()));
+            martenford::log_event(Event::FleetCannotListen, fmt::format("fleet: can't listen at {}: {}",
+                                                                        options_.listen, error.message()));
         error_code ignored;
         acceptor_.close(ignored);
         return listen_retry_.set(loop_.now() + kListenRetryDelay, [this] { listen(); });
@@ -359,8 +362,8 @@
     if (const auto advertised = parse_address(options_.advertise))
         address = text_of(
             {advertised->address(), advertised->port() == 0 || moved ? at.port() : advertised->port()});
-    martenford::tell(Event::FleetListens,
-                     fmt::format("fleet '{}': listens at {} as {}", options_.name, text_of(at), address));
+    martenford::log_event(Event::FleetListening, fmt::format("fleet '{}': listens at {} as {}", options_.name,
+                                                             text_of(at), address));
     fleet_.emplace(options_.protocol, options_.seeds,
                    fleet::LocalMember{{name_, random_id()}, address, zone_, version_, successor_},
                    random_id());
--- a/src/peers/peers.h
+++ b/src/peers/peers.h
@@ -30,8 +30,8 @@
     static constexpr std::size_t kOtherSockets = 2;
 
     /// `name`, `zone` and `version` are this sidecar's. `options` must outlive this object.
-    Peers(Loop& loop, const fleet::Options& options, std::string name, std::string zone, std::string version,
-          Counters& counters);
+    Peers(EventLoop& loop, const fleet::Options& options, std::string name, std::string zone,
+          std::string version, Counters& counters);
     ~Peers();
 
     void start(bool successor);
@@ -75,7 +75,7 @@
     std::string events(std::uint64_t since) const;
     std::string state_changes(std::uint64_t since) const;
 
-    Loop& loop_;
+    EventLoop& loop_;
     const fleet::Options& options_;
     const std::string name_, zone_, version_;
     bool successor_ = false, listens_on_any_address_ = false, listen_failure_logged_ = false;
--- a/tests/fleet/wire_test.cpp
+++ b/tests/fleet/wire_test.cpp
@@ -79,7 +79,7 @@
 /// Damages the body behind the frame's checksum, so that the damage reaches the decoder.
 RC_GTEST_PROP(FleetWire, DamagedMessagesAreRejectedOrWithinLimits, ()) {
     std::string frame = frame_of(any_message());
-    std::string bytes = frame.substr(framing::kFrameHead);
+    std::string bytes = frame.substr(framing::kFrameHeaderBytes);
     const auto times = *rc::gen::inRange(1, 6);
     for (int i = 0; i < times && !bytes.empty(); ++i) {
         const auto at = *rc::gen::inRange<std::size_t>(0, bytes.size());
@@ -109,7 +109,7 @@
             fleet.tick(Time{1100ms});
             RC_ASSERT(fleet.members().size() <= 1 + kMaxUpdates);
             for (const auto& send : fleet.take_outgoing())
-                RC_ASSERT(frame_of(send.message).size() <= framing::kMostFrame);
+                RC_ASSERT(frame_of(send.message).size() <= framing::kMaxFrameBytes);
         }
     } catch (const framing::FrameError&) {
     }
--- a/tests/handover/handover_test.cpp
+++ b/tests/handover/handover_test.cpp
@@ -54,7 +54,7 @@
     EXPECT_EQ(body_of(client.receive()), id);
 }
 
-TEST_F(Upgrade, LaterProcessServesOnTheSameAddressOnceDiscoveryHasToldItsList) {
+TEST_F(Upgrade, LaterProcessServesOnTheSameAddressOnceDiscoveryHasAnswered) {
     Sidecar earlier(platform(), "", environment());
     const int port = earlier.port();
     Peer watch = answer_watch(target("s-1", endpoint.address()));
@@ -67,10 +67,10 @@
     earlier.terminate();
     EXPECT_EQ(earlier.exit_code(), 0);
     for (int i = 0; i < 20; ++i) expect_served(port, endpoint, "r" + std::to_string(i));
-    EXPECT_EQ(later.figure("success.look"), 20.0);
+    EXPECT_EQ(later.metric("success.look"), 20.0);
 }
 
-TEST_F(Upgrade, NoConnectionIsRefusedOrLeftUnreadWhileProcessesFollowOneAnother) {
+TEST_F(Upgrade, SuccessiveUpgradesRefuseNoConnection) {
     auto current = std::make_unique<Sidecar>(platform(), "", environment());
     const int port = current->port();
     Peer watch = answer_watch(target("s-1", endpoint.address()));
@@ -86,7 +86,7 @@
         for (std::size_t i = 0; i < clients.size(); ++i) {
             clients[i].send(look("g" + std::to_string(generation) + "-" + std::to_string(i)));
             ASSERT_EQ(first_of({endpoint.poll_for(), clients[i].poll_for()}), 0u)
-                << "generation " << generation << ", client " << i << ": " << clients[i].rest();
+                << "generation " << generation << ", client " << i << ": " << clients[i].receive_all();
             Peer at_endpoint = endpoint.accept();
             at_endpoint.receive();
             at_endpoint.send(answer(200, "here", "Connection: close\r\n"));
@@ -99,7 +99,7 @@
     }
 }
 
-TEST_F(Upgrade, EarlierProcessAnswersWhatItHasAndTellsClientsToComeBack) {
+TEST_F(Upgrade, EarlierProcessFinishesItsRequestsAndClosesConnections) {
     Sidecar earlier(platform(), "", environment());
     Peer watch = answer_watch(target("s-1", endpoint.address()));
     Peer client = earlier.client();
@@ -116,10 +116,10 @@
     const std::string reply = client.receive();
     EXPECT_EQ(body_of(reply), "1");
     EXPECT_TRUE(has(reply, "Connection: close\r\n")) << reply;
-    EXPECT_TRUE(client.ends());
+    EXPECT_TRUE(client.is_closed());
 }
 
-TEST_F(Upgrade, WhatACrashedProcessLeftBehindHindersNoStart) {
+TEST_F(Upgrade, SocketLeftByACrashedProcessDoesNotPreventAStart) {
     int port = 0;
     {
         Sidecar earlier(platform(), "", environment());
@@ -132,7 +132,7 @@
     (void)port;
 }
 
-TEST_F(Upgrade, LaterProcessThatDiesLeavesTheEarlierOneServing) {
+TEST_F(Upgrade, EarlierProcessKeepsServingWhenTheLaterOneDies) {
     Sidecar earlier(platform(), "", environment());
     const int port = earlier.port();
     Peer watch = answer_watch(target("s-1", endpoint.address()));
@@ -144,13 +144,14 @@
     for (int i = 0; i < 5; ++i) expect_served(port, endpoint, "r" + std::to_string(i));
 }
 
-TEST_F(Upgrade, TwoThatDoNotFindEachOtherListenSideBySideAndLoseOneConnectionAtMost) {
+TEST_F(Upgrade, ProcessesWithoutAHandoverShareThePortAndLoseAtMostOneConnection) {
     Sidecar earlier(platform(), "", environment());
     const int port = earlier.port();
-    std::string beside = platform();
+    std::string second_config = platform();
     const std::string any = "\"listen\":\"127.0.0.1:0\"";
-    beside.replace(beside.find(any), any.size(), "\"listen\":\"127.0.0.1:" + std::to_string(port) + "\"");
-    Sidecar later(beside, "", {"TMPDIR=" + directory + "/none"});
+    second_config.replace(second_config.find(any), any.size(),
+                          "\"listen\":\"127.0.0.1:" + std::to_string(port) + "\"");
+    Sidecar later(second_config, "", {"TMPDIR=" + directory + "/none"});
     EXPECT_EQ(later.port(), port);
     EXPECT_EQ(later.call("readyz"), "YES\n");
     int served = 0, lost = 0;
@@ -158,7 +159,7 @@
         Peer client = Peer::to(port);
         client.send(look("r" + std::to_string(served + lost)));
         if (first_of({endpoint.poll_for(), client.poll_for()}) == 1) {
-            EXPECT_TRUE(client.ends());  // closed unread, nothing sent on
+            EXPECT_TRUE(client.is_closed());  // closed unread, nothing sent on
             ++lost;
             return;
         }
@@ -170,8 +171,8 @@
     };
     // New clients throughout: while both listen, while the earlier one ends, and after it.
     while (served < 50) ask();
-    EXPECT_GT(earlier.figure("success.look"), 0.0);
-    EXPECT_GT(later.figure("success.look"), 0.0);
+    EXPECT_GT(earlier.metric("success.look"), 0.0);
+    EXPECT_GT(later.metric("success.look"), 0.0);
     earlier.terminate();
     auto ended = std::async(std::launch::async, [&] { return earlier.exit_code(); });
     while (ended.wait_for(std::chrono::seconds(0)) != std::future_status::ready) ask();
@@ -180,7 +181,7 @@
     EXPECT_LE(lost, 1);
 }
 
-TEST_F(Upgrade, DirectoryThatIsNotThereCostsTheHandoverAlone) {
+TEST_F(Upgrade, MissingDirectoryOnlyDisablesTheHandover) {
     Sidecar sidecar(platform(), "", {"TMPDIR=" + directory + "/none"});
     EXPECT_EQ(sidecar.call("readyz"), "YES\n");
     expect_served(sidecar.port(), endpoint, "r1");
--- a/tests/ledger/book_test.cpp
+++ b/tests/ledger/journal_database_test.cpp
@@ -1,5 +1,5 @@
 // The journal's file against a disk that fails at every step in turn, and what is asked of it.
-#include "ledger/book.h"
+#include "ledger/journal_database.h"
 
 #include <gtest/gtest.h>
 
@@ -20,7 +20,7 @@
 using martenford::standins::FaultyDisk;
 namespace store = martenford::store;
 
-Record record(std::uint64_t sequence, std::uint64_t serial, decltype(Record::what) what) {
+Record record(std::uint64_t sequence, std::uint64_t serial, decltype(Record::payload) what) {
     const auto at = static_cast<std::int64_t>(sequence) * 1000;
     return Record{sequence, serial, at, at * 1'000'000, false, std::move(what)};
 }
@@ -40,7 +40,7 @@
 
 /// A day in batches: requests that are served, turned away and repeated, lost, refused; with large ids, so
 /// that the file grows by many pages and its log is checkpointed.
-std::vector<std::vector<Record>> scripted_day() {
+std::vector<std::vector<Record>> scripted_workload() {
     std::vector<std::vector<Record>> batches;
     std::uint64_t sequence = 0;
     std::mt19937_64 random(5);
@@ -54,7 +54,8 @@
                 second.push_back(record(++sequence, s, intent(s, 1)));
             } else if (s % 7 != 0) {  // one in seven never ends
                 second.push_back(record(++sequence, s, Ended{0, s % 4 ? Ending::Served : Ending::Reset}));
-                second.push_back(record(++sequence, s, Answered{s % 4 ? Final::Served : Final::Failed}));
+                second.push_back(
+                    record(++sequence, s, Answered{s % 4 ? FinalAnswer::Served : FinalAnswer::Failed}));
             }
         }
         batches.push_back(std::move(first));
@@ -63,14 +64,14 @@
     return batches;
 }
 
-using Lives = std::map<std::uint64_t, Life>;
-void join(Lives& lives, const std::vector<Record>& records) {
-    for (const Record& each : records) lives[each.serial].join(each);
+using Histories = std::map<std::uint64_t, RequestHistory>;
+void merge(Histories& histories, const std::vector<Record>& records) {
+    for (const Record& each : records) histories[each.serial].merge(each);
 }
-Lives lives_in(Book& book) {
-    Lives found;
-    book.by_time(0, std::numeric_limits<std::int64_t>::max(), [&](const Entry& entry) {
-        found.emplace(entry.serial, entry.life);
+Histories histories_in(JournalDatabase& database) {
+    Histories found;
+    database.by_time(0, std::numeric_limits<std::int64_t>::max(), [&](const Entry& entry) {
+        found.emplace(entry.serial, entry.history);
         return true;
     });
     return found;
@@ -81,173 +82,175 @@
 /// Plays the day as the writer does: a batch that fails is kept again, on a file that is opened anew where a
 /// sync failed. Gives what was acknowledged, and what was on its way.
 struct Outcome {
-    Lives kept, on_the_way;
+    Histories acknowledged, in_flight;
 };
-Outcome play_day(FaultyDisk& disk) {
+Outcome run_workload(FaultyDisk& disk) {
     Outcome outcome;
-    std::unique_ptr<Book> book;
+    std::unique_ptr<JournalDatabase> database;
     std::int64_t boot = 0;
-    for (const auto& batch : scripted_day()) {
-        outcome.on_the_way = outcome.kept;
-        join(outcome.on_the_way, batch);
+    for (const auto& batch : scripted_workload()) {
+        outcome.in_flight = outcome.acknowledged;
+        merge(outcome.in_flight, batch);
         for (int tries = 0;; ++tries) {
             try {
-                if (!book) {
-                    auto fresh = std::make_unique<Book>("", true, on(disk));
-                    boot = fresh->open_boot(kHello);
-                    book = std::move(fresh);
+                if (!database) {
+                    auto fresh = std::make_unique<JournalDatabase>("", true, on(disk));
+                    boot = fresh->register_boot(kHello);
+                    database = std::move(fresh);
                 }
-                book->write(boot, batch);
+                database->write(boot, batch);
                 break;
             } catch (const store::StoreError& error) {
-                if (disk.dark()) return outcome;
+                if (disk.powered_off()) return outcome;
                 if (tries > 3) throw;
-                if (error.fault != store::Fault::Full) book.reset();
+                if (error.kind != store::ErrorKind::Full) database.reset();
             }
         }
-        outcome.kept = outcome.on_the_way;
+        outcome.acknowledged = outcome.in_flight;
     }
     return outcome;
 }
 
-std::uint64_t operations_of_a_day() {
+std::uint64_t count_operations() {
     FaultyDisk disk("counting");
-    play_day(disk);
+    run_workload(disk);
     return disk.operations();
 }
 
-class EveryStep : public testing::TestWithParam<std::pair<FaultyDisk::Fault, const char*>> {};
+class FaultAtEveryStep : public testing::TestWithParam<std::pair<FaultyDisk::Fault, const char*>> {};
 
-TEST_P(EveryStep, WhatWasAcknowledgedIsThereAndBatchesAreWholeOrNotThere) {
-    const std::uint64_t all = operations_of_a_day();
+TEST_P(FaultAtEveryStep, WhatWasAcknowledgedIsThereAndBatchesAreWholeOrNotThere) {
+    const std::uint64_t all = count_operations();
     ASSERT_GT(all, 100u);
     for (std::uint64_t at = 0; at < all; ++at) {
         SCOPED_TRACE(std::string(GetParam().second) + " at operation " + std::to_string(at));
         FaultyDisk disk("faulty");
         disk.fail_at(at, GetParam().first);
-        const Outcome outcome = play_day(disk);
-        ASSERT_TRUE(disk.struck());
+        const Outcome outcome = run_workload(disk);
+        ASSERT_TRUE(disk.fault_hit());
         disk.power_off();  // at the end too: what was acknowledged must not need the kernel's memory
-        disk.power_back(at * 7 + 1);
-        Book book("", true, on(disk));
-        ASSERT_EQ(book.verify(), std::vector<std::string>{});
-        const Lives found = lives_in(book);
-        ASSERT_TRUE(found == outcome.kept || found == outcome.on_the_way)
-            << found.size() << " requests are there, " << outcome.kept.size() << " were acknowledged";
+        disk.power_on(at * 7 + 1);
+        JournalDatabase database("", true, on(disk));
+        ASSERT_EQ(database.verify(), std::vector<std::string>{});
+        const Histories found = histories_in(database);
+        ASSERT_TRUE(found == outcome.acknowledged || found == outcome.in_flight)
+            << found.size() << " requests are there, " << outcome.acknowledged.size() << " were acknowledged";
         // A later start concludes once, and a second one changes nothing.
-        const auto next = book.open_boot({kLinkVersion, 100, "n0", 2});
-        while (!book.conclude_before(next, 5, 4)) {
+        const auto next = database.register_boot({kLinkVersion, 100, "n0", 2});
+        while (!database.conclude_earlier_boots(next, 5, 4)) {
         }
         std::size_t concluded = 0;
-        book.by_time(0, 1'000'000, [&](const Entry& entry) {
+        database.by_time(0, 1'000'000, [&](const Entry& entry) {
             EXPECT_TRUE(entry.concluded);
-            EXPECT_EQ(*entry.concluded, entry.life.effect());
+            EXPECT_EQ(*entry.concluded, entry.history.effect());
             ++concluded;
             return true;
         });
         ASSERT_EQ(concluded, found.size());
-        ASSERT_TRUE(book.conclude_before(next, 6, 4));
+        ASSERT_TRUE(database.conclude_earlier_boots(next, 6, 4));
     }
 }
 
-INSTANTIATE_TEST_SUITE_P(Faults, EveryStep,
+INSTANTIATE_TEST_SUITE_P(Faults, FaultAtEveryStep,
                          testing::Values(std::pair(FaultyDisk::Fault::Power, "power"),
                                          std::pair(FaultyDisk::Fault::Sync, "sync"),
                                          std::pair(FaultyDisk::Fault::Full, "full"),
                                          std::pair(FaultyDisk::Fault::Torn, "torn")),
                          [](const auto& info) { return info.param.second; });
 
-class OnDisk : public testing::Test {
+class JournalOnDisk : public testing::Test {
   protected:
-    OnDisk() {
+    JournalOnDisk() {
         char path[] = "/tmp/martenford-book-XXXXXX";
         EXPECT_NE(mkdtemp(path), nullptr);
         directory = path;
     }
-    ~OnDisk() override {
+    ~JournalOnDisk() override {
         std::error_code ignored;
         std::filesystem::remove_all(directory, ignored);
     }
     std::string directory;
 };
 
-TEST_F(OnDisk, AFileOfALaterVersionIsRefusedAndAnOlderOneIsRead) {
+TEST_F(JournalOnDisk, AFileOfALaterVersionIsRefusedAndAnOlderOneIsRead) {
     {
         store::Database db(directory + "/ledger.db", {});
         db.execute("PRAGMA user_version=99");
     }
     for (const bool writing : {true, false}) {
         try {
-            Book book(directory, writing);
+            JournalDatabase database(directory, writing);
             FAIL();
         } catch (const store::StoreError& error) {
-            EXPECT_EQ(error.fault, store::Fault::Newer) << error.what();
+            EXPECT_EQ(error.kind, store::ErrorKind::Newer) << error.what();
         }
     }
     std::filesystem::remove(directory + "/ledger.db");
     {
-        Book book(directory, true);
-        book.write(book.open_boot(kHello), {record(1, 1, intent(1))});
-        book.database().execute("DROP INDEX request_doubt; PRAGMA user_version=1");
+        JournalDatabase database(directory, true);
+        database.write(database.register_boot(kHello), {record(1, 1, intent(1))});
+        database.database().execute("DROP INDEX request_doubt; PRAGMA user_version=1");
     }
-    Book older(directory, false);
+    JournalDatabase older(directory, false);
     EXPECT_EQ(older.version(), 1);
-    EXPECT_EQ(lives_in(older).size(), 1u);
-    Book newer(directory, true);
+    EXPECT_EQ(histories_in(older).size(), 1u);
+    JournalDatabase newer(directory, true);
     EXPECT_EQ(newer.version(), 2);
-    EXPECT_EQ(lives_in(newer).size(), 1u);
+    EXPECT_EQ(histories_in(newer).size(), 1u);
 }
 
-TEST_F(OnDisk, ABoundOnTheFileIsAFullDisk) {
+TEST_F(JournalOnDisk, ABoundOnTheFileIsAFullDisk) {
     store::Options options;
-    options.most_bytes = 256 * 1024;
-    Book book(directory, true, options);
-    const auto boot = book.open_boot(kHello);
-    std::uint64_t kept = 0;
+    options.max_bytes = 256 * 1024;
+    JournalDatabase database(directory, true, options);
+    const auto boot = database.register_boot(kHello);
+    std::uint64_t committed_batches = 0;
     try {
-        for (;; ++kept) {
+        for (;; ++committed_batches) {
             std::vector<Record> batch;
             for (std::uint64_t i = 1; i <= 50; ++i) {
-                batch.push_back(record(kept * 50 + i, kept * 50 + i, intent(kept * 50 + i)));
+                batch.push_back(record(committed_batches * 50 + i, committed_batches * 50 + i,
+                                       intent(committed_batches * 50 + i)));
             }
-            book.write(boot, batch);
-            ASSERT_LT(kept, 1000u);
+            database.write(boot, batch);
+            ASSERT_LT(committed_batches, 1000u);
         }
     } catch (const store::StoreError& error) {
-        EXPECT_EQ(error.fault, store::Fault::Full) << error.what();
+        EXPECT_EQ(error.kind, store::ErrorKind::Full) << error.what();
     }
-    EXPECT_EQ(book.stats().requests, kept * 50);  // the batch that failed is not there in part
-    EXPECT_GT(kept, 0u);
+    EXPECT_EQ(database.stats().requests,
+              committed_batches * 50);  // the batch that failed is not there in part
+    EXPECT_GT(committed_batches, 0u);
 }
 
-TEST_F(OnDisk, ArchivesHoldWhatTheFileHeldAndABrokenOneIsIsolated) {
-    Book book(directory, true);
-    const auto boot = book.open_boot(kHello);
+TEST_F(JournalOnDisk, ArchivesHoldWhatTheFileHeldAndABrokenOneIsIsolated) {
+    JournalDatabase database(directory, true);
+    const auto boot = database.register_boot(kHello);
     std::vector<Record> records;
     std::uint64_t sequence = 0;
     for (std::uint64_t s = 1; s <= 300; ++s) {
         records.push_back(record(++sequence, s, intent(s)));
         if (s % 10 == 0) continue;  // possibly ran
         records.push_back(record(++sequence, s, Ended{0, Ending::Served}));
-        records.push_back(record(++sequence, s, Answered{Final::Served}));
+        records.push_back(record(++sequence, s, Answered{FinalAnswer::Served}));
     }
-    book.write(boot, records);
-    const auto next = book.open_boot({kLinkVersion, 100, "n0", 2});
-    while (!book.conclude_before(next, 1, 1000)) {
+    database.write(boot, records);
+    const auto next = database.register_boot({kLinkVersion, 100, "n0", 2});
+    while (!database.conclude_earlier_boots(next, 1, 1000)) {
     }
     const auto cut = records[records.size() / 2].wall_ms;
     Archives archives(directory);
-    const std::size_t first = archives.move_settled(book, cut, 1);
-    const std::size_t second = archives.move_settled(book, std::numeric_limits<std::int64_t>::max(), 1);
+    const std::size_t first = archives.move_settled(database, cut, 1);
+    const std::size_t second = archives.move_settled(database, std::numeric_limits<std::int64_t>::max(), 1);
     EXPECT_EQ(first + second, 270u);
-    EXPECT_EQ(archives.move_settled(book, std::numeric_limits<std::int64_t>::max(), 1), 0u);
-    EXPECT_EQ(book.stats().requests, 30u);  // what possibly ran is never moved
-    EXPECT_EQ(book.stats().attempts, 30u);
+    EXPECT_EQ(archives.move_settled(database, std::numeric_limits<std::int64_t>::max(), 1), 0u);
+    EXPECT_EQ(database.stats().requests, 30u);  // what possibly ran is never moved
+    EXPECT_EQ(database.stats().attempts, 30u);
     EXPECT_EQ(archives.totals().archives, 2u);
     EXPECT_EQ(archives.verify(), std::vector<std::string>{});
     const auto count = [&](const std::string& name, bool key) {
         int found = 0;
-        archives.by_name(name, key, [&](const story::Story& story) {
+        archives.by_id_or_key(name, key, [&](const story::Story& story) {
             EXPECT_EQ(story.effect(), "ran");
             return ++found > 0;
         });
@@ -261,54 +264,54 @@
     EXPECT_EQ(count("a name that is in none", false), 0);
     EXPECT_EQ(archives.archives_read(), read_before);  // the filters knew
     // Bit rot in the first: its requests are passed over, the second's are found.
-    std::string rotten;
+    std::string corrupted;
     for (const auto& file : std::filesystem::directory_iterator(directory)) {
         const std::string name = file.path().filename();
-        if (name.ends_with(".zst") && (rotten.empty() || name < rotten)) rotten = name;
+        if (name.ends_with(".zst") && (corrupted.empty() || name < corrupted)) corrupted = name;
     }
-    std::fstream(directory + "/" + rotten, std::ios::in | std::ios::out).seekp(40).put('x');
+    std::fstream(directory + "/" + corrupted, std::ios::in | std::ios::out).seekp(40).put('x');
     EXPECT_EQ(count("r299", false), 1);
     EXPECT_EQ(count("r1", false), 0);
     ASSERT_EQ(archives.verify().size(), 1u);
-    EXPECT_NE(archives.verify()[0].find(rotten), std::string::npos);
+    EXPECT_NE(archives.verify()[0].find(corrupted), std::string::npos);
     EXPECT_EQ(archives.prune(std::numeric_limits<std::int64_t>::max()), 2u);
     EXPECT_EQ(archives.totals().archives, 0u);
 }
 
-TEST_F(OnDisk, ReconcilingTellsAgreementsDoubtsAndContradictionsApart) {
-    Book book(directory, true);
-    const auto boot = book.open_boot(kHello);
+TEST_F(JournalOnDisk, ReconcilingTellsAgreementsDoubtsAndContradictionsApart) {
+    JournalDatabase database(directory, true);
+    const auto boot = database.register_boot(kHello);
     std::uint64_t sequence = 0;
-    const auto request = [&](std::uint64_t serial, Ending ending, Final answer) {
+    const auto request = [&](std::uint64_t serial, Ending ending, FinalAnswer answer) {
         std::vector<Record> records{record(++sequence, serial, intent(serial))};
         if (ending != Ending::Open) records.push_back(record(++sequence, serial, Ended{0, ending}));
-        if (answer != Final::None) records.push_back(record(++sequence, serial, Answered{answer}));
-        book.write(boot, records);
+        if (answer != FinalAnswer::None) records.push_back(record(++sequence, serial, Answered{answer}));
+        database.write(boot, records);
     };
-    request(1, Ending::Served, Final::Served);    // agrees
-    request(2, Ending::Full, Final::Refused);     // agrees: not in the record
-    request(3, Ending::Reset, Final::Failed);     // possibly ran: it did
-    request(4, Ending::Timeout, Final::Failed);   // possibly ran: it did not
-    request(5, Ending::Served, Final::Served);    // ran, and is not recorded
-    request(6, Ending::NotSent, Final::Refused);  // never ran, and is recorded
-    request(7, Ending::Served, Final::Served);    // twice
-    request(8, Ending::Open, Final::None);        // under way
+    request(1, Ending::Served, FinalAnswer::Served);    // agrees
+    request(2, Ending::Full, FinalAnswer::Refused);     // agrees: not in the record
+    request(3, Ending::Reset, FinalAnswer::Failed);     // possibly ran: it did
+    request(4, Ending::Timeout, FinalAnswer::Failed);   // possibly ran: it did not
+    request(5, Ending::Served, FinalAnswer::Served);    // ran, and is not recorded
+    request(6, Ending::NotSent, FinalAnswer::Refused);  // never ran, and is recorded
+    request(7, Ending::Served, FinalAnswer::Served);    // twice
+    request(8, Ending::Open, FinalAnswer::None);        // under way
     std::istringstream file(
         "uid,id\r\ns-1,r1\r\ns-1,\"r3\"\r\ns-1,r6\r\ns-1,r7\ns-2,r7\r\n\"a,\"\"b\",stranger\r\n");
     std::map<std::string, std::string> findings;
-    Book reader(directory, false);
+    JournalDatabase reader(directory, false);
     const auto r = reconcile(reader, file, 0, std::numeric_limits<std::int64_t>::max(),
                              [&](const char* what, const std::string& id) { findings[id] += what; });
     EXPECT_EQ(r.lines, 6u);
     EXPECT_EQ(r.agree_ran, 2u);
-    EXPECT_EQ(r.agree_never, 1u);
+    EXPECT_EQ(r.agree_never_ran, 1u);
     EXPECT_EQ(r.possibly_ran, 1u);
-    EXPECT_EQ(r.possibly_not, 1u);
+    EXPECT_EQ(r.possibly_did_not_run, 1u);
     EXPECT_EQ(r.ran_unrecorded, 1u);
     EXPECT_EQ(r.never_but_ran, 1u);
-    EXPECT_EQ(r.twice, 1u);
+    EXPECT_EQ(r.duplicates, 1u);
     EXPECT_EQ(r.under_way, 1u);
-    EXPECT_EQ(r.unknown, 1u);
+    EXPECT_EQ(r.not_in_journal, 1u);
     EXPECT_EQ(findings.size(), 6u);
     EXPECT_NE(findings["r6"].find("never ran"), std::string::npos);
     for (const char* broken : {"", "uid\nx\n", "id,uid\nr1\n", "id\n\"r1\n"}) {
--- a/tests/peers/fleet_process_test.cpp
+++ b/tests/peers/fleet_process_test.cpp
@@ -86,7 +86,7 @@
     }
 
     Folder folder;  // outlives the processes, which have files in it
-    Loop loop;
+    EventLoop loop;
     FleetRig rig;
 };
 
