--- a/src/handover/handover.cpp
+++ b/src/handover/handover.cpp
@@ -21,10 +21,10 @@
 
 namespace {
 
-constexpr Duration kAnswerTimeout = 1s;  // for an earlier process to hand over its listener
+constexpr Duration kAnswerTimeout = 1s;  // for an earlier process to send its listener
 constexpr char kListenerMessage = 'L', kReadyMessage = 'R';
 
-/// Guards against a stranger's process where the directory is not as private as it should be.
+/// Rejects processes of other users, in case the directory is not as private as it should be.
 bool is_same_user(int socket) {
     ucred peer{};
     socklen_t size = sizeof peer;
@@ -74,7 +74,7 @@
       directory_(::open(directory.c_str(), O_PATH | O_DIRECTORY | O_CLOEXEC)),
       name_("martenford-" + name),
       timer_(loop) {
-    // It names a file, whatever the configuration says.
+    // The name becomes a file name, so all other characters are replaced.
     std::replace_if(
         name_.begin(), name_.end(), [](char c) { return !std::isalnum(static_cast<unsigned char>(c)); }, '-');
 }
@@ -83,8 +83,8 @@
     if (directory_ >= 0) ::close(directory_);
 }
 
-/// Through the open directory: the address of a local socket has room for 107 characters, a path may be
-/// longer.
+/// Returns a path through the open directory: the address of a local socket holds only 107 characters, and
+/// the directory's own path may be longer.
 std::string Handover::path(const std::string& name) const {
     return "/proc/self/fd/" + std::to_string(directory_) + "/" + name;
 }
@@ -122,7 +122,7 @@
     if (listener && on_changed_) on_changed_(true);
 }
 
-/// It says nothing more: the connection ends with it.
+/// The earlier process sends nothing more. The connection ends when it exits.
 void Handover::await_earlier() {
     earlier_->async_read_some(asio::buffer(&earlier_byte_, 1),
                               [this, socket = earlier_](const error_code& error, std::size_t) {
@@ -140,7 +140,7 @@
         earlier_->write_some(asio::buffer(&kReadyMessage, 1), ignored);
     }
     if (directory_ < 0) return;
-    // Under another name first: the name is never without a socket while one is replaced by the next.
+    // Binds to a temporary name and renames it, so that there is always a socket under the name.
     const std::string temporary_name = name_ + "." + std::to_string(::getpid());
     try {
         ::unlinkat(directory_, temporary_name.c_str(), 0);
@@ -151,7 +151,8 @@
         accept();
     } catch (const boost::system::system_error& error) {
         acceptor_.reset();
-        tell(Event::NoHeir, "no later process can take over from this one: " + std::string(error.what()));
+        tell(Event::NoHeir,
+             "a later process cannot take over the listener of this one: " + std::string(error.what()));
     }
 }
 
@@ -159,7 +160,7 @@
     acceptor_->async_accept([this](const error_code& error, Local::socket socket) {
         if (error == asio::error::operation_aborted) return;
         if (!error) hand_over_to(std::move(socket));
-        // Guards against spinning where there is no descriptor for it: it is asked for again in time.
+        // Retries after a while: without a free descriptor, accept() would fail in a busy loop.
         if (error) return timer_.set(Loop::monotonic() + kAnswerTimeout, [this] { accept(); });
         accept();
     });
@@ -169,7 +170,7 @@
     if (!is_same_user(socket.native_handle())) return;
     const int listener = listener_();
     if (listener < 0 || !send_descriptor(socket.native_handle(), listener)) return;
-    // A second later process takes the place of the first, which must have failed.
+    // A second later process replaces the first one, which must have failed.
     later_ = std::make_shared<Local::socket>(std::move(socket));
     later_ready_ = false;
     if (on_changed_) on_changed_(true);
--- a/src/handover/handover.h
+++ b/src/handover/handover.h
@@ -1,6 +1,6 @@
-// Two processes of one sidecar, one after the other: the later takes over the earlier's listening socket
-// through a local socket in a directory that both see, and each knows for how long the other is there.
-// docs/upgrades.md has the reasons.
+// Graceful restart of a sidecar: a later process takes over the listening socket of an earlier one through a
+// local socket in a directory that both can access, and each process knows how long the other one exists. The
+// reasons are in docs/upgrades.md.
 #pragma once
 
 #include <boost/asio/local/stream_protocol.hpp>
@@ -15,21 +15,23 @@
 
 class Handover {
   public:
-    /// `directory`: private to this sidecar; `name`: the sidecar's, the same for each of its processes.
+    /// @param directory private to this sidecar
+    /// @param name of the sidecar, the same for all of its processes
     Handover(Loop& loop, const std::string& directory, const std::string& name);
     ~Handover();
 
-    /// Looks for an earlier process and calls `found` once: with a descriptor of its listener, which is the
-    /// callee's to close, or with nothing where none answers.
+    /// Looks for an earlier process and calls `found` once: with a descriptor of its listener, which the
+    /// callee has to close, or with nothing if no process answers.
     void find_earlier(std::function<void(std::optional<int>)> found);
-    /// Lets a later process find this one, which listens at `listener`, and tells the earlier one to go by
-    /// that.
+    /// Makes this process available to a later one, and tells the earlier one that this process now accepts.
+    /// @param listener returns the descriptor of the listening socket, -1 if there is none
     void announce(std::function<int()> listener);
-    /// Called whenever the other process comes or goes.
+    /// Sets the callback for the other process appearing (true) or exiting. The argument is whether any other
+    /// process of this sidecar exists.
     void on_other_process_changed(std::function<void(bool)> changed) { on_changed_ = std::move(changed); }
-    /// Whether another process of this sidecar is there.
+    /// Whether another process of this sidecar exists.
     bool has_other_process() const { return earlier_ || later_; }
-    /// Whether a later process accepts from the same listener.
+    /// Whether a later process accepts connections from the same listener.
     bool replaced() const { return later_ && later_ready_; }
 
   private:
--- a/src/replica/digests.h
+++ b/src/replica/digests.h
@@ -1,6 +1,7 @@
-// Sums over ranges of places, from which two copies find where they differ: a tree of 16 branches a level, as
-// Merkle's, whose sums add, so that a change costs one addition a level. Against the plain version vector, it
-// also sees what a disk or a defect has lost. Pure.
+// Digest tree over hash positions, with which two replicas find where they differ. It is like a Merkle tree
+// with 16 branches per level, but the digest of a range is the sum over its entries, so that a change costs
+// one addition per level. Unlike a plain version vector it also detects entries that a disk or a defect has
+// lost. Does no I/O.
 #pragma once
 
 #include <array>
@@ -12,7 +13,7 @@
 class Digests {
   public:
     static constexpr std::uint32_t kBranchBits = 4, kBranches = 1 << kBranchBits;
-    /// 16 to the fifth: at 100,000 entries a range of the last level holds one in ten.
+    /// 16^5 ranges at the lowest level: with 100,000 entries about one in ten of them holds an entry.
     static constexpr std::uint32_t kLevels = 5;
 
     struct Sum {
@@ -32,7 +33,7 @@
     static std::uint64_t prefix_of(std::uint32_t level, std::uint64_t position) {
         return level == 0 ? 0 : position >> (64 - kBranchBits * level);
     }
-    /// The first and the last place of a range.
+    /// The first and the last hash position of a range.
     static std::uint64_t first_of(std::uint32_t level, std::uint64_t prefix) {
         return level == 0 ? 0 : prefix << (64 - kBranchBits * level);
     }
@@ -41,10 +42,10 @@
     }
 
   private:
-    /// So that two entries that swapped their hashes do not add up to the same.
+    /// Mixes the position into the hash, so that two entries that swapped their hashes change the sum.
     static std::uint64_t mix(std::uint64_t position, std::uint64_t hash) {
         std::uint64_t x =
-            (position ^ (hash << 31 | hash >> 33)) * 0x9e3779b97f4a7c15ull;  // as splitmix64 does
+            (position ^ (hash << 31 | hash >> 33)) * 0x9e3779b97f4a7c15ull;  // the finalizer of splitmix64
         x = (x ^ (x >> 30)) * 0xbf58476d1ce4e5b9ull;
         x = (x ^ (x >> 27)) * 0x94d049bb133111ebull;
         return x ^ (x >> 31);
--- a/src/replica/endpoint_overrides.cpp
+++ b/src/replica/endpoint_overrides.cpp
@@ -19,7 +19,7 @@
     return std::nullopt;
 }
 
-/// One witness alone may be wrong, or lie; where there is only one other sidecar, there is no second.
+/// A single witness may be wrong or lie. If there is only one other sidecar, it is enough.
 std::size_t EndpointOverrides::required_witnesses(std::size_t live) {
     const std::size_t others = std::max<std::size_t>(live, 2) - 1;
     return std::min(kMinWitnesses, others);
@@ -41,8 +41,8 @@
     return result;
 }
 
-/// Of the lowest revision that its witnesses tell: one that makes up a high revision would outlast what this
-/// sidecar's own discovery says.
+/// Returns the drain with the lowest revision that its witnesses report: a made-up high revision would
+/// otherwise outlast what this sidecar's own discovery reports.
 std::optional<Drain> EndpointOverrides::confirmed_drain(const std::string& uid, WallTime wall_time,
                                                         std::size_t live,
                                                         std::optional<WallTime>& expires) const {
@@ -136,8 +136,8 @@
     return result;
 }
 
-/// A witness checks its slot again after each write: another may have written to the same slot concurrently,
-/// and then the later entry alone stands.
+/// A witness checks its slot again after each write: another one may have written to the same slot
+/// concurrently, and then only the later entry wins.
 std::vector<Write> EndpointOverrides::writes(Time now, WallTime wall_time) {
     std::vector<Write> result;
     for (auto it = observations_.begin(); it != observations_.end();) {
--- a/src/replica/endpoint_overrides.h
+++ b/src/replica/endpoint_overrides.h
@@ -1,4 +1,4 @@
-// What the shared tables say of an endpoint, and what this sidecar adds to them. Pure.
+// What the shared tables say about an endpoint, and what this sidecar writes to them. Does no I/O.
 #pragma once
 
 #include <cstddef>
@@ -15,58 +15,58 @@
 
 namespace martenford::replica {
 
-/// What operators and other sidecars say of an endpoint.
+/// What operators and other sidecars say about an endpoint.
 struct EndpointOverride {
     bool excluded = false;        ///< an operator has excluded it
-    double weight = 1.0;          ///< an operator's, beside discovery's
-    std::optional<Drain> drains;  ///< enough other sidecars were told that it drains
+    double weight = 1.0;          ///< set by an operator, in addition to discovery's weight
+    std::optional<Drain> drains;  ///< set if enough sidecars were told that it drains
 };
 
-/// Reads the tables "overrides", "drains" and "verdicts", and says what this sidecar writes there. Each entry
-/// of "drains" stands in one of kDrainSlots slots of its endpoint; its writer is a witness.
+/// Reads the tables "overrides", "drains" and "verdicts", and returns what this sidecar writes to them. Each
+/// entry of "drains" occupies one of kDrainSlots slots of its endpoint; its writer is a witness of the drain.
 class EndpointOverrides {
   public:
-    /// Slots for the witnesses of one drain: more say nothing new, and 300 sidecars see the same list.
+    /// Slots for the witnesses of one drain. More would add nothing, as up to 300 sidecars see the same list.
     static constexpr std::size_t kDrainSlots = 3;
-    /// Witnesses with different names that a drain or an ejection needs, where there are so many sidecars.
+    /// Witnesses with different names that a drain or an ejection needs, if there are as many other sidecars.
     static constexpr std::size_t kMinWitnesses = 2;
-    /// By then discovery has told all sidecars that it reaches.
+    /// After this time discovery has told all sidecars that it reaches.
     static constexpr Duration kDrainTtl = 60s;
-    /// As long as an endpoint is ejected the first time.
+    /// Equals the duration of an endpoint's first ejection.
     static constexpr Duration kVerdictTtl = 60s;
-    /// Witnesses write after a random delay up to this one, so that most find the slots taken.
+    /// Witnesses write after a random delay of up to this, so that most of them find the slots taken.
     static constexpr Duration kMaxWriteDelay = 100ms;
-    /// After a write, until concurrent writes of others to the same slot have arrived: two pushes.
+    /// Time after a write until concurrent writes of others to the same slot have arrived: two push rounds.
     static constexpr Duration kSettleTime = 200ms;
-    /// Writes of one drain by one witness, the first among them.
+    /// Writes of one drain by one witness, including the first.
     static constexpr int kMaxWrites = 8;
 
-    /// @param name this sidecar's
-    /// @param source the discovery that it asks; drains of another source are ignored
+    /// @param name of this sidecar
+    /// @param source the registry that its discovery asks; drains of another source are ignored
     EndpointOverrides(const Replica& replica, std::string name, std::string source, std::uint64_t seed)
         : replica_(replica), name_(std::move(name)), source_(std::move(source)), random_(seed) {}
 
-    /// Returns the endpoint that an entry of this name is about, if its table is one of endpoints.
+    /// Returns the endpoint of an entry of the tables "overrides" and "drains"; nothing for other tables.
     static std::optional<std::string> endpoint_of(const EntryName& name);
-    /// Returns what holds of an endpoint now, and notes when that changes without a further entry.
+    /// Returns the current override of an endpoint, and remembers when it expires for take_expired().
     /// @param live members of the fleet, this one among them
     EndpointOverride override_of(const std::string& uid, WallTime wall_time, std::size_t live);
-    /// Whether enough other sidecars have ejected the endpoint of late.
+    /// Whether enough other sidecars have ejected the endpoint recently.
     bool ejected_by_others(const std::string& uid, WallTime wall_time, std::size_t live) const;
-    /// Returns the entry by which this sidecar tells that it has ejected the endpoint.
+    /// Returns the entry that publishes that this sidecar has ejected the endpoint.
     Write verdict(const std::string& uid, std::uint32_t failed, WallTime wall_time) const;
-    /// Returns the endpoints of which an entry has expired since the last call.
+    /// Returns the endpoints that had an entry expire since the last call.
     std::vector<std::string> take_expired(WallTime wall_time);
 
-    /// This sidecar's discovery says that the endpoint drains. writes() tells what is to be written.
+    /// Records that this sidecar's discovery reports the endpoint as draining. writes() then returns entries.
     void drained(const std::string& uid, const Drain& drain, Time now);
-    /// When writes() is to be called next.
+    /// Returns when writes() is due; nothing if no drain is being observed.
     std::optional<Time> next() const;
-    /// Returns the entries that this sidecar, as a witness of drains, is to write now.
+    /// Returns the entries that this sidecar has to write now as a witness of drains.
     std::vector<Write> writes(Time now, WallTime wall_time);
 
   private:
-    /// What this sidecar's discovery has told of a drain, until it needs no further writes.
+    /// A drain that this sidecar's discovery has reported, until it needs no further writes.
     struct Observation {
         Drain drain;
         Time check_at{};
@@ -74,10 +74,10 @@
     };
     /// The slots of an observed drain.
     struct Slots {
-        bool has_own = false;  ///< this sidecar's entry stands in one
+        bool has_own = false;  ///< one of them holds this sidecar's entry
         std::optional<std::size_t> free;
     };
-    /// Witnesses of a drain in one life of the endpoint.
+    /// Witnesses of a drain of one instance of the endpoint, identified by its boot time.
     struct Witnesses {
         std::set<std::string> names;
         std::optional<Drain> oldest;  ///< of the lowest revision
@@ -95,7 +95,7 @@
     const Replica& replica_;
     const std::string name_, source_;
     std::mt19937_64 random_;
-    // The next expiry of each endpoint, once: entries that are written anew with other expiries add nothing.
+    // At most one expiry per endpoint, so that entries rewritten with new expiries do not accumulate.
     std::set<std::pair<WallTime, std::string>> expiries_;
     std::map<std::string, WallTime> expiry_of_;
     std::map<std::string, Observation> observations_;  // by the endpoint's uid
--- a/src/replica/entry.cpp
+++ b/src/replica/entry.cpp
@@ -42,7 +42,7 @@
             return std::any_of(entry.versions.begin(), entry.versions.end(),
                                [&](const Version& v) { return v.dot.writer == k.dot.writer; });
         };
-        // kMostVersions is the less: there is one that backs none.
+        // kMaxVersions is less than kMaxContextItems, so at least one item belongs to no version.
         auto oldest = entry.context.end();
         for (auto it = entry.context.begin(); it != entry.context.end(); ++it) {
             if (!is_in_use(*it) &&
@@ -54,7 +54,7 @@
     }
 }
 
-/// Which of those beside each other has the word.
+/// Whether `a` wins over the concurrent version `b`.
 bool takes_precedence(ConflictRule rule, const Version& a, const Version& b) {
     switch (rule) {
         case ConflictRule::Safer:
@@ -114,7 +114,7 @@
 }
 
 bool Entry::purge_before(Timestamp horizon) {
-    // A tombstone goes with its entry alone: beside a sibling it still has something to say.
+    // A tombstone is only purged together with the whole entry: its siblings are still concurrent with it.
     const bool all_dead = std::all_of(versions.begin(), versions.end(), [&](const Version& version) {
         return version.dead_since() <= horizon;
     });
@@ -129,8 +129,9 @@
 
 namespace {
 
-/// What one side knows, without what is so old that the other must have known of it and does not: that was
-/// written by one that was away for too long, and what it overwrote stands.
+/// Returns the context of `entry` without the items that `other` must have seen if they were valid: those
+/// older than the greater horizon of `other` and unknown to it. They were written by a member that was away
+/// for too long, so what they overwrote stays.
 std::vector<ContextItem> trusted_context(const Entry& entry, Timestamp horizon, const Entry& other,
                                          Timestamp other_horizon) {
     std::vector<ContextItem> result;
@@ -141,7 +142,7 @@
     return result;
 }
 
-/// Whether the other's horizon has the word on this version, and the other does not hold it.
+/// Whether the version is older than the greater horizon of `other` and `other` does not hold it.
 bool purged_by_other(const Version& version, Timestamp horizon, const Entry& other, Timestamp other_horizon) {
     return other_horizon > horizon && version.timestamp <= other_horizon && !other.find(version.dot);
 }
@@ -153,7 +154,7 @@
            });
 }
 
-/// Of one side's versions those that stand against the other's.
+/// Adds those versions of `entry` to `survivors` that `other` has neither overwritten nor purged.
 void collect_survivors(const Entry& entry, Timestamp horizon, const Entry& other, Timestamp other_horizon,
                        const std::vector<ContextItem>& other_context, std::vector<Version>& survivors) {
     for (const Version& version : entry.versions) {
@@ -168,7 +169,8 @@
 }  // namespace
 
 bool merge(Entry& local, const Entry& remote, const Horizons& horizons) {
-    // With all that one side holds goes what it overwrote by it.
+    // If all versions of one side were purged by the other, so was everything that they had overwritten: the
+    // context of that side is dropped with them.
     if (all_purged_by_other(remote, horizons.remote, local, horizons.local)) return false;
     if (all_purged_by_other(local, horizons.local, remote, horizons.remote)) {
         local.versions = remote.versions;
--- a/src/replica/entry.h
+++ b/src/replica/entry.h
@@ -1,8 +1,9 @@
-// One key's state and how two copies of it become one. Pure values.
+// The state of one key, and how two replicas of it are merged. Plain values, no I/O.
 //
-// Versions carry dots (writer, count), and an entry the dots that it knows of, so that "knew of it and wrote
-// over it" and "wrote beside it" differ: Preguica, Baquero, Almeida, Fonte, Goncalves, "Dotted Version
-// Vectors" (2010). What was written beside stays, as a sibling, until a writer that knows both writes again.
+// Each version has a dot (writer, count), and an entry has a causal context: the dots that it has seen. This
+// tells an overwrite, whose writer had seen the old version, from a concurrent write: Preguica, Baquero,
+// Almeida, Fonte, Goncalves, "Dotted Version Vectors" (2010). Concurrent versions are kept as siblings until
+// a writer that has seen them all writes again.
 #pragma once
 
 #include <compare>
@@ -16,24 +17,29 @@
 
 namespace martenford::replica {
 
-constexpr std::size_t kMaxTableNameBytes = 32;    ///< bytes of a table's name
-constexpr std::size_t kMaxKeyBytes = 200;         ///< bytes
-constexpr std::size_t kMaxValueBytes = 8 * 1024;  ///< bytes; with all siblings an entry fits a frame
-constexpr std::size_t kMaxReasonBytes = 200;      ///< bytes of a reason
-constexpr std::size_t kMaxVersions = 6;           ///< siblings; over it the oldest are counted as overwritten
-/// Writers of one key within the life of a tombstone; over it the one that wrote longest ago is forgotten.
+constexpr std::size_t kMaxTableNameBytes = 32;
+constexpr std::size_t kMaxKeyBytes = 200;
+constexpr std::size_t kMaxValueBytes = 8 * 1024;  ///< an entry with all its siblings fits in a frame
+constexpr std::size_t kMaxReasonBytes = 200;
+/// Siblings of an entry. When there are more, those that the rule prefers least are dropped as if
+/// overwritten.
+constexpr std::size_t kMaxVersions = 6;
+/// Writers of one key within the lifetime of a tombstone. When there are more, the one that wrote longest ago
+/// and has no version left is forgotten.
 constexpr std::size_t kMaxContextItems = 64;
 
+/// Which of several concurrent versions wins.
 enum class ConflictRule : std::uint8_t {
-    Latest,    ///< of versions beside each other the one with the greatest stamp
-    Safer,     ///< the one of the greatest rank, then of the greatest stamp
-    Greatest,  ///< the greatest rank alone; what is less is no sibling but gone
-    Present,   ///< a removal takes away only what it saw: an addition beside it wins
+    Latest,    ///< last writer wins: the greatest timestamp
+    Safer,     ///< the greatest rank, then the greatest timestamp
+    Greatest,  ///< the greatest rank; versions of lower rank are dropped and not kept as siblings
+    Present,   ///< add wins: a deletion removes only versions that its writer had seen
 };
 constexpr std::uint32_t kRuleCount = 4;
 const char* name_of(ConflictRule rule);
 
-/// A write. Its writer is a process, not a name: a count never goes back, whatever disk is restored.
+/// Identifies a write. The writer is a process and not a sidecar's name, so no dot is used twice, even after
+/// a disk was restored from a backup.
 struct Dot {
     std::uint64_t writer = 0, count = 0;
     auto operator<=>(const Dot&) const = default;
@@ -45,53 +51,57 @@
     WallTime expires = 0;  ///< 0: never
     std::uint64_t rank = 0;
     bool deleted = false;
-    std::string value;           ///< a protobuf message that its table knows; passed on as it came
-    std::string written_by;      ///< the sidecar's name
-    std::string reason;          ///< in a person's words, or empty
-    std::string unknown_fields;  ///< fields that this build doesn't know, as they came
+    std::string value;           ///< a protobuf message of the table's type, forwarded unchanged
+    std::string written_by;      ///< name of the sidecar
+    std::string reason;          ///< free text of an operator, or empty
+    std::string unknown_fields;  ///< serialized fields that this build doesn't know, forwarded unchanged
     bool operator==(const Version&) const = default;
 
     bool expired(WallTime wall_time) const { return expires != 0 && expires <= wall_time; }
-    /// From when on it is of no use but to keep what it overwrote from coming back.
+    /// Since when the version is a tombstone or expired: it only keeps what it overwrote from coming back.
     Timestamp dead_since() const {
         return deleted ? timestamp : expires ? std::max(timestamp, timestamp_of(expires)) : ~Timestamp{0};
     }
 };
 
+/// An element of the causal context, which is a version vector with timestamps.
 struct ContextItem {
-    Dot dot;  ///< all of this writer's up to it
-    Timestamp timestamp = 0;
+    Dot dot;                  ///< this and all earlier dots of its writer have been seen
+    Timestamp timestamp = 0;  ///< of the write with this dot
     bool operator==(const ContextItem&) const = default;
 };
 
-/// Up to when each side has dropped tombstones (0: none). The greater has the word on what is older than it:
-/// what the other holds of that, and it does not, was deleted there while the other was away.
+/// The time up to which each replica has purged its tombstones (0: it has purged none). For entries older
+/// than its horizon, the replica with the greater horizon decides: what only the other one holds was deleted
+/// while the other was away.
 struct Horizons {
     Timestamp local = 0, remote = 0;
 };
 
 struct Entry {
     ConflictRule rule = ConflictRule::Latest;
-    std::vector<Version> versions;     ///< by dot
-    std::vector<ContextItem> context;  ///< by writer; covers the versions too
+    std::vector<Version> versions;     ///< ordered by dot; more than one: siblings
+    std::vector<ContextItem> context;  ///< ordered by writer; includes the dots of the versions
     bool operator==(const Entry&) const = default;
 
     bool has_seen(const Dot& dot) const;
     const Version* find(const Dot& dot) const;
-    /// What it is worth at this time; nothing where it is deleted or expired.
+    /// Returns the winning version, or null if there is none or the winner is a deletion. Expired versions do
+    /// not take part.
     const Version* resolve(WallTime wall_time) const;
-    /// More than one that is still worth something, by this rule.
+    /// Whether there are several versions that have not expired. Never true under ConflictRule::Greatest.
     bool conflicting(WallTime wall_time) const;
-    /// Of its writes the latest.
+    /// Returns the greatest timestamp of the versions, 0 if there are none.
     Timestamp latest_timestamp() const;
-    /// This version over all that stand.
+    /// Replaces all versions by this one and adds its dot to the context.
     void write(Version version);
-    /// Of what stood before `horizon`, forgets what is overwritten. True: nothing is left.
+    /// Removes all versions if each is a tombstone or expired since `horizon` or earlier, and context items
+    /// up to `horizon` that belong to no version. Returns whether no version is left.
     bool purge_before(Timestamp horizon);
 };
 
-/// Makes `mine` what both know. Commutative, associative and idempotent while the horizons are equal to 0 and
-/// kMostVersions is not reached. True: `mine` changed.
+/// Merges `remote` into `local` and returns whether `local` changed. Commutative, associative and idempotent
+/// as long as both horizons are 0 and kMaxVersions is not exceeded.
 bool merge(Entry& local, const Entry& remote, const Horizons& horizons = {});
 
 }  // namespace martenford::replica
--- a/src/replica/entry_store.h
+++ b/src/replica/entry_store.h
@@ -1,4 +1,4 @@
-// The entries of one copy, by name and by place, with their sums. Pure.
+// The entries of one replica, indexed by name and by hash position, with their digest tree. Does no I/O.
 #pragma once
 
 #include <cstddef>
@@ -29,7 +29,8 @@
     }
     EntryStore& operator=(const EntryStore&) = delete;
 
-    /// `entry` has versions, and its place is free or its own.
+    /// Inserts or replaces an entry. `entry` must have versions, and no other entry may have its hash
+    /// position.
     void put(const EntryName& name, Entry entry) {
         const auto [it, inserted] = entries_.try_emplace(name);
         StoredEntry& stored = it->second;
@@ -52,7 +53,7 @@
         if (--sizes_[name.table] == 0) sizes_.erase(name.table);
         entries_.erase(it);
     }
-    /// Only what is overwritten is forgotten: the sums stay.
+    /// Replaces an entry by one that has the same versions and another context. The digests stay valid.
     void replace_context(const EntryName& name, Entry entry) { entries_.at(name).entry = std::move(entry); }
 
     const StoredEntry* find(const EntryName& name) const {
--- a/src/replica/hybrid_clock.h
+++ b/src/replica/hybrid_clock.h
@@ -1,5 +1,6 @@
-// Stamps that order what different machines write. After Kulkarni, Demirbas, Madappa, Avva, Leone, "Logical
-// Physical Clocks" (2014): the wall clock where it runs ahead, a count where it does not. Pure.
+// Hybrid logical clock: timestamps that order writes of different machines. After Kulkarni, Demirbas,
+// Madappa, Avva, Leone, "Logical Physical Clocks" (2014). The physical part follows the wall clock, and a
+// counter orders events while the wall clock stands still or is behind. Does no I/O.
 #pragma once
 
 #include <algorithm>
@@ -8,7 +9,7 @@
 
 namespace martenford::replica {
 
-/// Milliseconds since 1970 in the upper 48 bits, a count in the lower 16.
+/// Milliseconds since 1970 in the upper 48 bits, a counter in the lower 16.
 using Timestamp = std::uint64_t;
 /// Wall clock, in milliseconds since 1970.
 using WallTime = std::uint64_t;
@@ -23,12 +24,12 @@
 
 class HybridClock {
   public:
-    /// Ahead of the own wall clock by more, a stamp is refused: one clock that is an hour ahead would win
-    /// each question of which copy is the later, and pull all other clocks along.
+    /// Timestamps further ahead of the local wall clock are rejected. Otherwise one clock that is an hour
+    /// ahead would win every conflict that the later write decides, and would pull all other clocks along.
     static constexpr std::chrono::milliseconds kMaxAhead{10'000};
 
-    /// A stamp greater than all that it gave or saw. 0: the own wall clock went back by more than
-    /// kMostAhead, and what is stamped now would be refused by others.
+    /// Returns a timestamp greater than all that this clock issued or observed. Returns 0 when the local wall
+    /// clock went back by more than kMaxAhead: other members would reject what is written now.
     Timestamp next(WallTime wall_time) {
         if (!is_acceptable(last_, wall_time)) return 0;
         return last_ = std::max(last_ + 1, timestamp_of(wall_time));
@@ -36,7 +37,7 @@
     static bool is_acceptable(Timestamp timestamp, WallTime wall_time) {
         return wall_time_of(timestamp) <= wall_time + static_cast<WallTime>(kMaxAhead.count());
     }
-    /// False: it is refused, and nothing has changed.
+    /// Advances the clock to a received timestamp. Returns false, and changes nothing, if it is rejected.
     bool observe(Timestamp timestamp, WallTime wall_time) {
         if (!is_acceptable(timestamp, wall_time)) return false;
         last_ = std::max(last_, timestamp);
--- a/src/replica/message.cpp
+++ b/src/replica/message.cpp
@@ -15,11 +15,11 @@
 
 using framing::FrameError;
 
-constexpr int kCompressionLevel = 1;  // pages are made while requests are served
-/// What a page may unpack to: a page is cut by its unpacked size.
+constexpr int kCompressionLevel = 1;  // fastest: pages are compressed on the loop that serves requests
+/// Limit of a decompressed page. Pages are split by their uncompressed size.
 constexpr std::size_t kMaxUncompressedBytes = 2 * framing::kMostFrame;
-constexpr std::size_t kOverheadBytes = 48;          // of an entry or a version beside its texts, on the wire
-constexpr std::size_t kMaxUnknownFieldBytes = 512;  // bytes of fields that this build does not know
+constexpr std::size_t kOverheadBytes = 48;  // of an entry or a version in addition to its texts
+constexpr std::size_t kMaxUnknownFieldBytes = 512;
 
 void fill(wire::Version& to, const Version& from) {
     if (!from.unknown_fields.empty()) to.ParseFromString(from.unknown_fields);
@@ -49,18 +49,19 @@
 
 template <class Text>
 const Text& checked_length(const Text& text, std::size_t max_bytes) {
-    if (text.size() > max_bytes) throw FrameError("a text of an entry is too long");
+    if (text.size() > max_bytes) throw FrameError("a text field of an entry is too long");
     return text;
 }
 
-/// Shown to operators and written to logs: no control bytes, in whatever language.
+/// Rejects control characters, since the text is shown to operators and written to logs. All other UTF-8 is
+/// accepted.
 const std::string& checked_printable(const std::string& text, std::size_t max_bytes) {
     if (std::any_of(text.begin(), text.end(), [](char c) { return static_cast<unsigned char>(c) < ' '; }))
-        throw FrameError("a text of an entry can't be shown");
+        throw FrameError("a text field of an entry has control characters");
     return checked_length(text, max_bytes);
 }
 
-/// What is left when all that is known is taken away.
+/// Serializes the fields of the version that this build does not know.
 std::string unknown_fields_of(wire::Version version) {
     version.clear_writer();
     version.clear_count();
@@ -76,7 +77,7 @@
 
 Version read_version(const wire::Version& from) {
     if (from.writer() == 0 || from.count() == 0 || from.stamp() == 0)
-        throw FrameError("a version without its writer");
+        throw FrameError("a version has no writer, count or timestamp");
     Version to;
     to.dot = {from.writer(), from.count()};
     to.timestamp = from.stamp();
@@ -94,7 +95,7 @@
     if (from.table().empty() || from.key().empty() || from.rule() >= kRuleCount ||
         from.versions_size() == 0 || static_cast<std::size_t>(from.versions_size()) > kMaxVersions ||
         static_cast<std::size_t>(from.context_size()) > kMaxContextItems)
-        throw FrameError("an entry can't be used");
+        throw FrameError("an entry has no table, key or version, an unknown rule, or too many versions");
     NamedEntry to;
     to.name.table = checked_printable(from.table(), kMaxTableNameBytes);
     to.name.key = checked_printable(from.key(), kMaxKeyBytes);
@@ -112,7 +113,8 @@
         std::adjacent_find(entry.context.begin(), entry.context.end(), same_writer) == entry.context.end() &&
         std::all_of(entry.versions.begin(), entry.versions.end(),
                     [&](const Version& version) { return entry.has_seen(version.dot); });
-    if (!is_valid) throw FrameError("an entry does not know its own versions");
+    if (!is_valid)
+        throw FrameError("the versions or the context of an entry are out of order or inconsistent");
     return to;
 }
 
@@ -130,11 +132,11 @@
 }
 
 std::string decompress(const std::string& compressed, std::size_t size) {
-    if (size > kMaxUncompressedBytes) throw FrameError("a page is too long");
+    if (size > kMaxUncompressedBytes) throw FrameError("a page is too large when decompressed");
     std::string bytes(size, '\0');
     const std::size_t actual_size =
         ZSTD_decompress(bytes.data(), bytes.size(), compressed.data(), compressed.size());
-    if (ZSTD_isError(actual_size) || actual_size != size) throw FrameError("a page can't be unpacked");
+    if (ZSTD_isError(actual_size) || actual_size != size) throw FrameError("a page can't be decompressed");
     return bytes;
 }
 
@@ -180,11 +182,11 @@
 
 Message read_message(std::string_view bytes) {
     const auto in = framing::parsed<wire::Message>(bytes);
-    if (in.kind() >= kKindCount) throw FrameError("a message of state is of no known kind");
+    if (in.kind() >= kKindCount) throw FrameError("a replication message has an unknown kind");
     if (static_cast<std::size_t>(in.ranges_size()) > kMaxRanges ||
         static_cast<std::size_t>(in.heads_size()) > kMaxSummaries ||
         static_cast<std::size_t>(in.want_size()) > kMaxRequested)
-        throw FrameError("a message of state is over a bound");
+        throw FrameError("a replication message has too many ranges, summaries or requests");
     Message message;
     message.kind = static_cast<Message::Kind>(in.kind());
     message.sent_at = in.sent();
@@ -195,7 +197,7 @@
         read_entries(framing::parsed<wire::Entries>(decompress(in.packed(), in.size())), message.entries);
     for (const auto& range : in.ranges()) {
         if (range.level() > 16 || (range.parts_size() != 0 && range.parts_size() != 16))
-            throw FrameError("a range can't be used");
+            throw FrameError("a range has an invalid level or number of subranges");
         message.ranges.push_back({range.level(),
                                   range.prefix(),
                                   range.sum(),
--- a/src/replica/options.h
+++ b/src/replica/options.h
@@ -1,4 +1,4 @@
-// The section [state] of our own configuration.
+// Options of the section [state] of the sidecar's own configuration.
 #pragma once
 
 #include <cstddef>
@@ -9,21 +9,24 @@
 namespace martenford::replica {
 
 struct ReplicationSettings {
-    Duration push_every = 50ms;  ///< what is new is told together
-    std::size_t push_to = 3;
-    std::size_t push_times = 2;                  ///< by each that it is new to: six in all miss one in 400
-    Duration compare_every = 1s;                 ///< with one other
-    Duration tombstones = 24h;                   ///< a member away for longer starts anew on what is older
-    std::size_t bytes_per_second = 1024 * 1024;  ///< to all others together
+    Duration push_every = 50ms;  ///< new entries are collected and sent together
+    std::size_t push_to = 3;     ///< members that receive a push
+    /// Rounds in which each member pushes an entry that is new to it. With 3 receivers in each of 2 rounds,
+    /// six pushes by every member, one member in 400 is missed (e^-6).
+    std::size_t push_times = 2;
+    Duration compare_every = 1s;  ///< with one other member
+    /// Lifetime of tombstones. A member that was away for longer drops older entries that the others lack.
+    Duration tombstones = 24h;
+    std::size_t bytes_per_second = 1024 * 1024;  ///< to all other members together
 };
 
 struct Options {
     ReplicationSettings replication;
-    /// Of the registry whose lists the sidecars are told, by whichever agents: revisions of two can't be
-    /// compared, and hints among those of another name say nothing.
+    /// Name of the registry whose endpoint lists the sidecars receive, through any agent. Revisions of
+    /// different registries can't be compared, so drain hints of another registry are ignored.
     std::string registry;
-    std::string directory;  ///< where this sidecar's copy is kept; empty: nowhere
-    std::string helper;     ///< empty: martenford-ledger beside this program
+    std::string directory;  ///< of this sidecar's snapshot; empty: no snapshot is stored
+    std::string helper;     ///< path; empty: martenford-ledger in the directory of this program
 };
 
 }  // namespace martenford::replica
--- a/src/replica/replica.cpp
+++ b/src/replica/replica.cpp
@@ -6,27 +6,33 @@
 
 namespace {
 
-constexpr std::size_t kMaxListedEntries =
-    16;  // entries in a range whose heads are listed, not its parts' sums
+/// A range with at most this many entries is compared by their summaries, a larger one by its subranges'
+/// digests.
+constexpr std::size_t kMaxListedEntries = 16;
 constexpr std::size_t kRangeBytes = 32, kSummaryBytes = 30;  // on the wire
-constexpr Duration kCompareRetryDelay = 50ms;                // after an answer that was cut short
-constexpr std::size_t kMaxPageBytes = 16 * 1024;  // bytes before packing: some 2 ms of the loop at the taker
-constexpr std::size_t kPagesPerSource = 8;        // then another gives
-constexpr Duration kPageTimeout = 500ms;          // then another is asked
-constexpr Duration kBusyRetryDelay = 200ms;       // after a giver that has no bytes left to give
-constexpr std::size_t kFetchMinMissing = 64,
-                      kFetchMissingDivisor = 20;  // a twentieth and so many less: pages, not ranges
-constexpr std::size_t kMaxQueuedPushes = 20'000;  // entries to be pushed; over it comparing has to find them
-constexpr std::size_t kMaxPendingWrites = 256;    // writes that wait for others
-constexpr Duration kAckRetryInterval = 250ms;     // others, for a write that has not got far enough
-constexpr std::size_t kExtraAckRequests = 2;      // above what is wanted, at once
-constexpr int kHorizonSteps = 8;                  // of a tombstone's life: so that copies drop them in step
+constexpr Duration kCompareRetryDelay = 50ms;                // after a comparison that exceeded one message
+/// Before compression. The receiver merges a page of this size in some 2 ms of its loop.
+constexpr std::size_t kMaxPageBytes = 16 * 1024;
+constexpr std::size_t kPagesPerSource = 8;   // then another member is asked
+constexpr Duration kPageTimeout = 500ms;     // then another member is asked
+constexpr Duration kBusyRetryDelay = 200ms;  // after the source has used up its send budget
+/// All entries are fetched in pages, instead of comparing ranges, if more than this many and in addition a
+/// twentieth of the peer's entries are missing here.
+constexpr std::size_t kFetchMinMissing = 64, kFetchMissingDivisor = 20;
+/// Entries that wait to be pushed. Those beyond it are left to the comparisons.
+constexpr std::size_t kMaxQueuedPushes = 20'000;
+constexpr std::size_t kMaxPendingWrites = 256;  // writes that wait for acknowledgements
+constexpr Duration kAckRetryInterval = 250ms;   // until further members are asked to acknowledge a write
+constexpr std::size_t kExtraAckRequests = 2;    // members asked at once beyond the number required
+/// Steps per tombstone lifetime in which the horizon advances, so that all replicas purge at the same time.
+constexpr int kHorizonSteps = 8;
 constexpr Duration kHorizonInterval = 1s;
-constexpr std::size_t kPurgeBatchEntries = 500;  // entries looked at in one tick
-constexpr Duration kPurgeDelay = 1ms;
-constexpr std::size_t kRemoteOverfillFactor = 2;  // copies may hold so many times a table's bound: both sides
-                                                  // of a partition wrote up to it
-constexpr std::size_t kMessageOverheadBytes = 64;  // bytes beside entries
+constexpr std::size_t kPurgeBatchEntries = 500;  // examined in one tick
+constexpr Duration kPurgeDelay = 1ms;            // between two batches
+/// Remote entries are merged up to this many times a table's limit: both sides of a partition may have filled
+/// it.
+constexpr std::size_t kRemoteOverfillFactor = 2;
+constexpr std::size_t kMessageOverheadBytes = 64;  // of a message in addition to its entries
 
 WallTime milliseconds(Duration d) {
     return static_cast<WallTime>(d / 1ms);
@@ -37,13 +43,13 @@
 const char* text_of(WriteError error) {
     constexpr const char* kTexts[] = {
         "",
-        "no table of that name",
-        "too long",
+        "the table does not exist",
+        "the key is empty, or the key, value or reason is too long",
         "the table is full",
-        "this machine's clock went back, or is behind the fleet's",
-        "not greater than what stands",
-        "entries of this table are not deleted",
-        "there is no such entry",
+        "this machine's clock went back or is behind the clocks of the fleet",
+        "the value is not greater than the current one",
+        "entries of this table cannot be deleted",
+        "the entry does not exist",
     };
     return kTexts[static_cast<std::size_t>(error)];
 }
@@ -150,7 +156,7 @@
     for (const Peer& other : peers_.sample(pending.asked.size() + missing + kExtraAckRequests)) {
         if (requests >= missing + kExtraAckRequests) break;
         if (pending.acked.contains(other.id)) continue;
-        // One that was asked and said nothing is asked again only where there is nobody else.
+        // A member that was asked and has not answered is asked again only if all others were asked too.
         if (pending.asked.contains(other.id) && pending.asked.size() + 1 < peers_.live_count()) continue;
         pending.asked.insert(other.id);
         ++requests;
@@ -161,7 +167,7 @@
         spend_budget(now, replica::size_of(push.entries.back()), false);
         send(other, std::move(push));
     }
-    if (requests == 0) pending.asked = pending.acked;  // all anew
+    if (requests == 0) pending.asked = pending.acked;  // start again with all members
 }
 
 void Replica::put(const EntryName& name, Entry entry) {
@@ -186,7 +192,7 @@
     push_order_.emplace(queued.serial, name);
 }
 
-// ---- what others hold ---------------------------------------------------------------------------------
+// ---- receiving ------------------------------------------------------------------------------------------
 
 bool Replica::merge_remote(WallTime wall_time, const NamedEntry& remote, Timestamp horizon, Source source) {
     const auto* stored = store_.find(remote.name);
@@ -201,7 +207,7 @@
         Entry entry{table ? table->rule : remote.entry.rule, {}, {}};
         merge(entry, remote.entry, horizons);
         const auto is_dead = [this](const Version& version) { return version.dead_since() <= horizon_; };
-        // A tombstone whose time is over has nothing left to say here.
+        // Tombstones that this replica would purge at once are not stored.
         if (std::all_of(entry.versions.begin(), entry.versions.end(), is_dead)) return false;
         record_changes(wall_time, remote.name, entry, nullptr);
         put(remote.name, std::move(entry));
@@ -215,7 +221,7 @@
         }
         if (entry.versions == stored->entry.versions) {
             store_.replace_context(remote.name,
-                                   std::move(entry));  // it only knows more of what is overwritten
+                                   std::move(entry));  // only the context has grown
             return false;
         }
         record_changes(wall_time, remote.name, entry, &stored->entry);
@@ -249,7 +255,7 @@
                            [&](const Version& version) { return version.timestamp <= message.sent_at; });
     };
     if (!std::all_of(message.entries.begin(), message.entries.end(), is_valid)) {
-        ++stats_.invalid;  // who tells of a stamp has seen it
+        ++stats_.invalid;  // a sender's clock is never behind a timestamp that it has seen
         return;
     }
     if (!clock_.observe(message.sent_at, wall_time)) {
@@ -307,7 +313,7 @@
     }
 }
 
-// ---- telling what is new ------------------------------------------------------------------------------
+// ---- pushing new entries --------------------------------------------------------------------------------
 
 void Replica::flush(Time now) {
     if (push_queue_.empty()) return;
@@ -328,7 +334,7 @@
     }
     const auto to = peers_.sample(settings_.push_to);
     if (to.empty()) {
-        // Nobody is there: whoever comes compares.
+        // No other member is alive. Members that come back find the entries by comparing.
         push_queue_.clear();
         push_order_.clear();
         return;
@@ -355,7 +361,7 @@
     const double elapsed_s = static_cast<double>((now - budget_updated_at_) / 1us) / 1e6;
     budget_updated_at_ = now;
     send_budget_ = std::min(max_budget, send_budget_ + elapsed_s * max_budget);
-    // What repairs leaves half to what is new.
+    // Repairs and pages leave half of the budget to new entries.
     if (send_budget_ < (bulk ? max_budget / 2 : 0.0)) {
         ++stats_.throttled;
         return false;
@@ -366,13 +372,13 @@
 }
 
 void Replica::send(const Peer& to, Message message) {
-    // A member that has written and seen nothing has no stamp: nor has what it says.
+    // 0 as long as this member has neither written nor received anything; its messages then have no entries.
     message.sent_at = clock_.last();
     message.horizon = horizon_;
     outgoing_.push_back({to, std::move(message)});
 }
 
-// ---- finding differences --------------------------------------------------------------------------------
+// ---- comparing replicas ---------------------------------------------------------------------------------
 
 void Replica::start_comparison(Time now) {
     const auto jitter =
@@ -391,7 +397,8 @@
     send(*with, std::move(message));
 }
 
-/// The reply's bytes so far are counted, and what finds no room is left for the next time.
+/// Collects the reply to a Ranges message within the limit of one message. What does not fit is left to the
+/// next comparison.
 struct Replica::ComparisonReply {
     Message reply;
     std::size_t bytes = 0;
@@ -427,7 +434,8 @@
             } else if (local.count + range.count / kFetchMissingDivisor + kFetchMinMissing < range.count) {
                 start_fetch(now, from);
             } else if (range.count + local.count / kFetchMissingDivisor + kFetchMinMissing < local.count) {
-                out.reply.ranges.push_back({0, 0, local.sum, local.count, false, {}});  // it will fetch
+                out.reply.ranges.push_back(
+                    {0, 0, local.sum, local.count, false, {}});  // the peer will fetch pages
             } else {
                 descend(0, 0, out);
             }
@@ -440,7 +448,7 @@
     if (!request.requested.empty()) send(from, std::move(request));
     send_repairs(now, from, out.repairs);
     if (!out.cut_short) return;
-    // What found no room is looked for once these are repaired.
+    // Compares again soon with the same peer for what did not fit, once these entries are repaired.
     compare_with_ = from;
     compare_at_ = std::min(compare_at_, now + kCompareRetryDelay);
 }
@@ -471,7 +479,7 @@
             {it->first, it->second->second.hash, it->second->second.entry.latest_timestamp()});
 }
 
-/// `range` as the other has it, with all heads.
+/// Compares a range of the peer, which sent the summaries of all its entries, with the local entries.
 void Replica::compare_summaries(WallTime wall_time, const Message& message, const Range& range,
                                 ComparisonReply& out) {
     const std::uint64_t first = Digests::first_of(range.level, range.prefix);
@@ -509,8 +517,7 @@
     }
     for (const EntryName& name : drop) {
         ++stats_.dropped;
-        add_to_history(
-            {wall_time, name, HistoryRecord::Kind::Dropped, {}, {}, "older than what others keep"});
+        add_to_history({wall_time, name, HistoryRecord::Kind::Dropped, {}, {}, "purged by other members"});
         erase(name);
     }
     const std::size_t summaries = store_.digests().sum_of(range.level, range.prefix).count;
@@ -554,7 +561,7 @@
 }
 
 void Replica::request_page(Time now) {
-    // The giver may be gone, or another's turn has come.
+    // Changes the source if it does not answer or has sent enough pages.
     if (fetch_->asked_at != Time{} && (fetch_->retry_at <= now || fetch_->pages >= kPagesPerSource)) {
         fetch_->pages = 0;
         if (const auto others = peers_.sample(1); !others.empty()) fetch_->source = others[0];
@@ -593,8 +600,8 @@
     send(to, std::move(page));
 }
 
-/// Each page is whole by itself: what was taken stays true whatever becomes of the rest, and the next giver
-/// goes on from the same place.
+/// Each page is complete in itself: merged entries stay valid if the rest never arrives, and the next source
+/// continues at the same hash position.
 void Replica::handle_page(Time now, WallTime wall_time, const Peer& from, const Message& message) {
     if (!fetch_ || message.from_position != fetch_->cursor || from.id != fetch_->source.id) return;
     if (message.busy) {
@@ -617,7 +624,7 @@
 
 void Replica::advance_horizon(Time now, WallTime wall_time) {
     if (peers_.live_count() < 2) caught_up_ = true;
-    // A side that has no majority keeps all: it may be the one that missed something.
+    // The minority side of a partition keeps all tombstones: it may have missed writes.
     if (2 * peers_.live_count() <= peers_.known_count()) {
         majority_since_.reset();
         return;
@@ -653,7 +660,7 @@
     }
 }
 
-// ---- small things -------------------------------------------------------------------------------------
+// ---- access and snapshots -------------------------------------------------------------------------------
 
 const Entry* Replica::find(const EntryName& name) const {
     const auto* stored = store_.find(name);
--- a/src/replica/replica.h
+++ b/src/replica/replica.h
@@ -1,6 +1,7 @@
-// One sidecar's copy of what all of a fleet know: writes, what others say, how copies find where they differ,
-// how one that was away catches up, and when tombstones may go. Pure: time and messages come in, messages
-// and changes go out; no socket, clock, disk or thread. The ways weighed are in docs/state.md.
+// One sidecar's replica of the state that all sidecars of a fleet share: local writes, gossip of new entries,
+// anti-entropy with digests, catching up after an absence, and garbage collection of tombstones. Does no I/O:
+// time and messages are passed in, messages and changes are taken out; no socket, clock, disk or thread. The
+// alternatives that were considered are in docs/state.md.
 #pragma once
 
 #include <cstddef>
@@ -25,38 +26,40 @@
 
 namespace martenford::replica {
 
+/// Another sidecar of the fleet.
 struct Peer {
     fleet::Id id;
     std::string address;
 };
 
-/// Who else there is, as the fleet has it.
+/// The other members, as the fleet's membership protocol knows them.
 class PeerDirectory {
   public:
     PeerDirectory() = default;
     PeerDirectory(const PeerDirectory&) = delete;
     PeerDirectory& operator=(const PeerDirectory&) = delete;
     virtual ~PeerDirectory() = default;
-    /// Up to so many live others, by chance, those with a link first.
+    /// Returns up to `count` random live peers, those with an open link first.
     virtual std::vector<Peer> sample(std::size_t count) = 0;
-    /// Live members, this one among them.
+    /// Returns the number of live members, including this one.
     virtual std::size_t live_count() const = 0;
-    /// The same with those that are gone and may return.
+    /// Returns the number of live members and of those that are gone and may return.
     virtual std::size_t known_count() const = 0;
 };
 
-/// How far a write must have got before its writer is told that it has.
+/// How many other members must acknowledge a write before it is reported as reached.
 struct WriteConcern {
     std::size_t acks = 0;
-    bool majority = false;  ///< of those alive, instead of `others`
+    bool majority = false;  ///< of the live members, instead of `acks`
     Duration timeout = 2s;
 };
 
+/// A write or, if `deleted`, a deletion of one entry by this sidecar.
 struct Write {
     EntryName name;
     bool deleted = false;
     Value value;
-    WallTime expires = 0;
+    WallTime expires = 0;  ///< 0: never
     std::string reason;
 };
 
@@ -70,6 +73,7 @@
     NotDeletable,
     NotFound
 };
+/// The error as operators see it.
 const char* text_of(WriteError error);
 
 class Replica {
@@ -78,17 +82,18 @@
         Peer to;
         Message message;
     };
+    /// The immediate result of a write.
     struct Ticket {
         WriteError error = WriteError::None;
-        std::uint64_t number = 0;  ///< of the outcome that will come
+        std::uint64_t number = 0;  ///< identifies the Outcome that follows
     };
-    /// How far a write is known to have got.
+    /// Reports whether a write met its write concern in time.
     struct Outcome {
         std::uint64_t ticket = 0;
-        std::size_t acks = 0, acks_required = 0;  ///< others
-        bool reached = false;                     ///< not so: it may have got further than is known
+        std::size_t acks = 0, acks_required = 0;  ///< of other members
+        bool reached = false;  ///< if false, more members than `acks` may still have the write
     };
-    /// What this copy learnt.
+    /// A change of an entry in this replica.
     struct HistoryRecord {
         WallTime at = 0;
         EntryName name;
@@ -99,22 +104,25 @@
         std::uint64_t writes = 0, merged = 0, pushes = 0, repairs = 0, pages = 0, ahead = 0, invalid = 0,
                       table_full = 0, purged = 0, dropped = 0, bytes = 0, throttled = 0;
     };
-    /// Kept to be shown: `history`.
+    /// History records that are kept for the operator's command `history`.
     static constexpr std::size_t kMaxHistory = 2'000;
 
     Replica(const ReplicationSettings& settings, fleet::Id self, PeerDirectory& peers, std::uint64_t seed);
 
+    /// Returns when tick() is due.
     Time next() const;
     void tick(Time now, WallTime wall_time);
-    /// From a member whose name and address its link gives.
+    /// Handles a message of the member that the link identified.
     void receive(Time now, WallTime wall_time, const Peer& from, const Message& message);
 
+    /// Writes an entry here and sends it to others. An Outcome follows unless the write was refused.
     Ticket write(Time now, WallTime wall_time, Write write, const WriteConcern& concern = {});
 
     const Entry* find(const EntryName& name) const;
-    /// What stands under the name; nothing where it is absent, deleted or expired.
+    /// Returns the winning version of an entry; null if it is absent, deleted or expired.
     const Version* get(const EntryName& name, WallTime wall_time) const;
-    /// All of a table, by key; empty `table`: of all.
+    /// Calls `visit(name, entry)` for all entries of a table, ordered by key; for all tables if `table` is
+    /// empty.
     template <class Each>
     void for_each(const std::string& table, Each&& visit) const {
         const auto& all = store_.entries();
@@ -123,7 +131,8 @@
             visit(it->first, it->second.entry);
         }
     }
-    /// Of a table, those whose key begins so.
+    /// Calls `visit(name, entry)` for the entries of the table `first.table` whose key starts with
+    /// `first.key`.
     template <class Each>
     void for_each_with_prefix(const EntryName& first, Each&& visit) const {
         const auto& all = store_.entries();
@@ -134,38 +143,40 @@
     }
     std::size_t size() const { return store_.entries().size(); }
     std::size_t size_of(const std::string& table) const { return store_.size_of(table); }
+    /// Entries that are still to be pushed to other members.
     std::size_t queued_pushes() const { return push_queue_.size(); }
     const std::deque<HistoryRecord>& history() const { return history_; }
-    /// Whether it has, since its start, had all that another had.
+    /// Whether this replica has, at some time since its start, had all entries that another one had.
     bool caught_up() const { return caught_up_; }
     bool fetching() const { return fetch_.has_value(); }
     Timestamp horizon() const { return horizon_; }
-    /// Alike where two copies hold the same.
+    /// Digest of all entries: equal for two replicas that hold the same versions.
     Digests::Sum digest() const { return store_.digests().sum_of(0, 0); }
     const Stats& stats() const { return stats_; }
-    /// The last whose clock was too far ahead, and by how much.
+    /// The last member whose clock was too far ahead, and by how much.
     const std::optional<std::pair<std::string, Duration>>& ahead() const { return ahead_; }
     const fleet::Id& self() const { return self_; }
 
     std::vector<Outgoing> take_outgoing() { return std::exchange(outgoing_, {}); }
     std::vector<Outcome> take_outcomes() { return std::exchange(outcomes_, {}); }
-    /// Names whose worth may have changed.
+    /// Names of entries whose value may have changed.
     std::set<EntryName> take_changed_names() { return std::exchange(changed_names_, {}); }
 
-    /// As a disk kept it, before the first tick. Dots are not reused: the writer is this process.
-    /// The same when it has begun.
+    /// Merges a snapshot that could only be loaded after this replica had started.
     void merge_from_disk(WallTime wall_time, Timestamp horizon, const std::vector<NamedEntry>& entries);
+    /// Loads a snapshot before the first tick. No dot is reused, because the writer of new dots is this
+    /// process.
     void restore(Timestamp horizon, std::vector<NamedEntry> entries, WallTime wall_time);
 
   private:
-    struct PendingWrite {  ///< a write that has to get somewhere
+    struct PendingWrite {  ///< a write that waits for acknowledgements
         EntryName name;
         std::size_t acks_required = 0;
         std::set<fleet::Id> asked, acked;
         Time deadline{}, retry_at{};
     };
-    struct Fetch {
-        std::uint64_t cursor = 0;
+    struct Fetch {                 ///< of all entries, page by page
+        std::uint64_t cursor = 0;  ///< hash position where the next page begins
         Peer source;
         Time asked_at{};
         Time retry_at{};
@@ -211,8 +222,8 @@
     EntryStore store_;
 
     struct QueuedPush {
-        std::size_t rounds = 0;
-        std::uint64_t serial = 0;
+        std::size_t rounds = 0;    ///< in which it has been pushed
+        std::uint64_t serial = 0;  ///< its place in push_order_
     };
     std::map<EntryName, QueuedPush> push_queue_;
     std::set<std::pair<std::uint64_t, EntryName>> push_order_;
--- a/src/replica/replication_service.cpp
+++ b/src/replica/replication_service.cpp
@@ -15,13 +15,16 @@
 
 namespace {
 
-constexpr Duration kStartRetryInterval = 50ms;  // until there is a place in the fleet
-constexpr Duration kPeriodicInterval = 500ms;   // for the roster, and for what expires
+/// Until this sidecar is in the fleet and the snapshot is loaded.
+constexpr Duration kStartRetryInterval = 50ms;
+constexpr Duration kPeriodicInterval = 500ms;  // updates last_alive_ and reports expired overrides
 constexpr std::size_t kMaxOutcomes = 256;
-constexpr WallTime kMinTtlMs = 10'000;          // milliseconds: an operator's word lasts so long at least,
-constexpr WallTime kMaxTtlMs = 24 * 3'600'000;  // and at most: what is forgotten ends by itself
-constexpr std::int64_t kMaxTimeoutMs = 60'000;  // milliseconds that a write may wait for others
-constexpr std::size_t kMaxDeferred = 4096;  // answers that wait for the disk; the oldest then are not given
+/// Bounds of the lifetime that an operator gives an entry. The maximum ends entries that are forgotten.
+constexpr WallTime kMinTtlMs = 10'000;
+constexpr WallTime kMaxTtlMs = 24 * 3'600'000;
+constexpr std::int64_t kMaxTimeoutMs = 60'000;  // that a write may wait for acknowledgements
+/// Actions that wait for the disk. When there are more, the oldest are dropped.
+constexpr std::size_t kMaxDeferred = 4096;
 constexpr std::size_t kMaxKnownMembers = 20'000;
 
 std::uint64_t random_seed() {
@@ -53,27 +56,27 @@
       peers_(peers),
       replica_timer_(loop),
       periodic_timer_(loop),
-      bytes_out_(counters.counter("state.bytes_out", "bytes of shared state given to other sidecars")),
+      bytes_out_(counters.counter("state.bytes_out", "bytes of shared state sent to other sidecars")),
       unreadable_(counters.counter("state.bad", "messages of shared state that could not be read")) {
     const auto add_gauge = [&](const char* name, const char* help, auto read) {
         counters.gauge(name, help,
                        [this, read] { return replica_ ? static_cast<double>(read(*replica_)) : 0.0; });
     };
     using Copy = const Replica&;
-    add_gauge("state.entries", "entries held, of all tables", [](Copy c) { return c.size(); });
-    add_gauge("state.caught_up", "1: it has had all that another had",
+    add_gauge("state.entries", "entries of all tables in this replica", [](Copy c) { return c.size(); });
+    add_gauge("state.caught_up", "1 once this replica has had all entries that another one had",
               [](Copy c) { return c.caught_up() ? 1 : 0; });
-    add_gauge("state.writes", "writes of this sidecar", [](Copy c) { return c.stats().writes; });
-    add_gauge("state.merged", "entries that others brought", [](Copy c) { return c.stats().merged; });
-    add_gauge("state.repairs", "entries given to one that lacked them",
+    add_gauge("state.writes", "entries written by this sidecar", [](Copy c) { return c.stats().writes; });
+    add_gauge("state.merged", "entries merged from other sidecars", [](Copy c) { return c.stats().merged; });
+    add_gauge("state.repairs", "entries sent to sidecars that lacked them",
               [](Copy c) { return c.stats().repairs; });
     add_gauge("state.full", "entries refused because a table was full",
               [](Copy c) { return c.stats().table_full; });
     add_gauge("state.ahead", "messages refused because a clock was ahead",
               [](Copy c) { return c.stats().ahead; });
-    add_gauge("state.skipped", "messages that had to wait for bytes",
+    add_gauge("state.skipped", "messages delayed by the send rate limit",
               [](Copy c) { return c.stats().throttled; });
-    counters.gauge("state.kept", "1 while what is written here is made durable",
+    counters.gauge("state.kept", "1 while writes of this sidecar are stored on disk",
                    [this] { return snapshot_ && snapshot_->available() ? 1.0 : 0.0; });
     peers_.on_carried([this](const fleet::Id& from, const std::string& address, const std::string& bytes) {
         handle_message(from, address, bytes);
@@ -123,7 +126,8 @@
         from_disk_ = !loaded_->entries.empty();
         replica_->restore(loaded_->horizon, std::move(loaded_->entries), wall_time_now());
         loaded_.reset();
-        if (snapshot_->available()) persist_all();  // without what was damaged, or is over
+        if (snapshot_->available())
+            persist_all();  // replaces the stored snapshot: damaged and expired entries are gone
     }
     replica_->tick(started_at_, wall_time_now());
     return true;
@@ -153,7 +157,7 @@
 void ReplicationService::handle_message(const fleet::Id& from, const std::string& address,
                                         const std::string& bytes) {
     if (!start_replica()) return;
-    const Message message = read_message(bytes);  // what can't be read ends the link
+    const Message message = read_message(bytes);  // throws on invalid bytes, which closes the link
     replica_->receive(loop_.now(), wall_time_now(), {from, address}, message);
     run_replica();
 }
@@ -165,7 +169,7 @@
     if (const auto due = endpoint_overrides_->next(); due && *due <= now) {
         for (Write& write : endpoint_overrides_->writes(now, wall_time_now()))
             replica_->write(now, wall_time_now(), std::move(write));
-        replica_->tick(now, wall_time_now());  // what is new goes out at once
+        replica_->tick(now, wall_time_now());  // pushes the new entries at once
     }
     const std::set<EntryName> changes = replica_->take_changed_names();
     if (snapshot_) persist(changes);
@@ -180,7 +184,7 @@
             bytes_out_.add(bytes.size());
             peers_.carry(address, bytes);
         };
-        // Whoever is told that it is held here may count on it after a crash.
+        // An acknowledgement promises that the entry survives a crash of this sidecar.
         send.message.kind == Message::Kind::Ack ? when_persisted(send_bytes) : send_bytes();
     }
     for (const Replica::Outcome& outcome : replica_->take_outcomes()) {
@@ -191,7 +195,8 @@
     }
     notify_endpoint_overrides(changes);
     if (replica_->caught_up() && !std::exchange(reported_caught_up_, true))
-        tell(Event::StateCaughtUp, fmt::format("state: caught up, {} entries", replica_->size()),
+        tell(Event::StateCaughtUp,
+             fmt::format("state: caught up with the fleet, {} entries", replica_->size()),
              {{"ms", std::to_string((loop_.now() - started_at_) / 1ms)}});
     running_ = false;
     Time when = replica_->next();
@@ -213,14 +218,14 @@
     last_persist_ = snapshot_->persist(replica_->horizon(), entries, erased);
 }
 
-/// A helper was lost and is there again, or is there for the first time after all.
+/// The helper works after the replica has started: it was restarted, or works for the first time.
 void ReplicationService::merge_loaded(SnapshotClient::Loaded&& loaded) {
     replica_->merge_from_disk(wall_time_now(), loaded.horizon, loaded.entries);
     persist_all();
     run_replica();
 }
 
-/// The helper is new, or what it has is not all that is here.
+/// Replaces the stored snapshot by all entries: the helper is new, or its snapshot is incomplete.
 void ReplicationService::persist_all() {
     if (!replica_) return;
     std::vector<NamedEntry> entries;
@@ -271,11 +276,11 @@
     run_replica();
 }
 
-// ---- what operators ask ---------------------------------------------------------------------------------
+// ---- operators' commands --------------------------------------------------------------------------------
 
 std::optional<std::string> ReplicationService::answer(std::string_view line) {
     if (!line.starts_with("state ")) return std::nullopt;
-    if (!start_replica()) return refused("no place in the fleet yet");
+    if (!start_replica()) return refused("the replica has not started yet");
     const auto [verb, rest] = first_word(line.substr(6));
     if (verb == "put" || verb == "delete") return put(rest, verb == "delete");
     if (verb == "tables") return tables();
@@ -287,7 +292,8 @@
     return std::nullopt;
 }
 
-/// TABLE KEY VALUE [others=N|majority] [within=MS] [expires=MS] [reason=TEXT]; a deletion has no value.
+/// Arguments: TABLE KEY VALUE [others=N|majority] [within=MS] [expires=MS] [reason=TEXT]. A deletion has no
+/// VALUE.
 std::string ReplicationService::put(std::string_view words, bool deleted) {
     Write write;
     WriteConcern concern;
@@ -296,7 +302,7 @@
         const auto [word, rest] = first_word(words);
         words = rest;
         const auto text = unescaped(word);
-        if (!text) return refused("a word can't be read");
+        if (!text) return refused("an argument has an invalid escape sequence");
         if (positional.size() < (deleted ? 2 : 3)) {
             positional.push_back(*text);
             continue;
@@ -317,10 +323,11 @@
         } else if (name == "reason") {
             write.reason = value;
         } else {
-            return refused(fmt::format("'{}' says nothing here", *text));
+            return refused(fmt::format("unknown or invalid option '{}'", *text));
         }
     }
-    if (positional.size() < (deleted ? 2 : 3)) return refused("a table, a key and a value are wanted");
+    if (positional.size() < (deleted ? 2 : 3))
+        return refused("a table, a key and, unless it is a deletion, a value are required");
     write.name = {positional[0], positional[1]};
     write.deleted = deleted;
     if (!deleted) {
@@ -329,7 +336,7 @@
         if (!value) return refused(error);
         write.value = *value;
         if (positional[0] == "overrides" && write.expires == 0)
-            return refused("an override has an end: expires=MILLISECONDS");
+            return refused("an override needs an expiry: expires=MILLISECONDS");
     }
     const auto ticket = replica_->write(loop_.now(), wall_time_now(), std::move(write), concern);
     if (ticket.error != WriteError::None) return refused(text_of(ticket.error));
--- a/src/replica/replication_service.h
+++ b/src/replica/replication_service.h
@@ -1,5 +1,6 @@
-// This sidecar's copy of the shared state on the loop: its time, its links, its operators' calls, and what it
-// says of endpoints. What is decided is replica::Replica's and replica::EndpointOverrides's.
+// Runs this sidecar's replica of the shared state on the event loop: timers, links to other sidecars, the
+// snapshot on disk, operators' commands, and what the state says about endpoints. The decisions are made in
+// replica::Replica and replica::EndpointOverrides.
 #pragma once
 
 #include <deque>
@@ -22,29 +23,31 @@
 
 class ReplicationService : private PeerDirectory {
   public:
-    /// `fleet`: its name. `options` and `peers` outlive it.
+    /// @param fleet name of the fleet
+    /// `options` and `peers` must outlive this object.
     ReplicationService(Loop& loop, const Options& options, peers::Peers& peers, const std::string& fleet,
                        Counters& counters);
     ~ReplicationService() override;
 
-    /// Called for endpoints of which something else may hold than before.
+    /// Sets the callback for endpoints whose override may have changed.
     void on_endpoint_override(std::function<void(const std::string& uid, const EndpointOverride&)> call) {
         on_endpoint_override_ = std::move(call);
     }
-    /// Called for endpoints that enough others have ejected.
+    /// Sets the callback for endpoints that enough other sidecars have ejected.
     void on_ejected_by_others(std::function<void(const std::string& uid)> call) {
         on_ejected_by_others_ = std::move(call);
     }
-    /// This sidecar has ejected it, after so many failures.
+    /// Publishes that this sidecar has ejected the endpoint after `failed` failures.
     void ejected(const std::string& uid, std::uint32_t failed);
-    /// This sidecar's discovery says so.
+    /// Publishes that this sidecar's discovery reports the endpoint as draining.
     void drained(const std::string& uid, const Drain& drain);
-    /// Calls of operators: "state tables", "state get TABLE", "state put ...", "state outcome N",
-    /// "state history", "state self". Words are escaped, as core/words.h has it. Nothing where it is none.
+    /// Answers an operator's command: "state tables", "state get TABLE", "state conflicts", "state put ...",
+    /// "state delete ...", "state outcome N", "state history", "state self". Words are escaped as in
+    /// core/words.h. Returns nothing if `line` is no such command.
     std::optional<std::string> answer(std::string_view line);
 
   private:
-    /// A member that is gone may come back within it; then it is no longer counted on.
+    /// A member that has been gone for longer no longer counts as known.
     static constexpr Duration kMaxAbsence = 7 * 24h;
 
     std::vector<Peer> sample(std::size_t count) override;
@@ -75,13 +78,13 @@
     std::optional<EndpointOverrides> endpoint_overrides_;
     std::function<void(const std::string&, const EndpointOverride&)> on_endpoint_override_;
     std::function<void(const std::string&)> on_ejected_by_others_;
-    std::map<std::string, Time> last_alive_;  ///< names, with when they were last alive
+    std::map<std::string, Time> last_alive_;  ///< by name of the member
     std::map<std::uint64_t, Replica::Outcome> outcomes_;
     std::optional<SnapshotClient> snapshot_;
-    std::optional<SnapshotClient::Loaded> loaded_;  ///< until the copy is there
+    std::optional<SnapshotClient::Loaded> loaded_;  ///< until the replica has started
     bool from_disk_ = false;
     std::uint64_t last_persist_ = 0, persisted_ = 0;
-    /// What must not be said before so much is kept.
+    /// Actions that must wait until the snapshot has stored the request with this number.
     std::deque<std::pair<std::uint64_t, std::function<void()>>> deferred_;
     Timer replica_timer_, periodic_timer_;
     Time started_at_{};
--- a/src/replica/snapshot_client.cpp
+++ b/src/replica/snapshot_client.cpp
@@ -23,10 +23,10 @@
 namespace {
 
 constexpr Duration kRestartDelay = 1s;
-constexpr Duration kReapInterval = 50ms;  // a killed helper may hang in the kernel: it is not waited for
-constexpr int kMaxLoadAttempts = 3;       // to read what is kept; then the sidecar starts without
-constexpr std::size_t kMaxChunkBytes =
-    32 * 1024;  // bytes of entries in one message: a frame holds twice as much
+constexpr Duration kReapInterval = 50ms;  // a killed helper may hang in the kernel, so it is polled for
+constexpr int kMaxLoadAttempts = 3;       // then the sidecar starts without the stored entries
+/// Bytes of entries in one message: a frame holds twice as much.
+constexpr std::size_t kMaxChunkBytes = 32 * 1024;
 
 }  // namespace
 
@@ -44,18 +44,18 @@
 SnapshotClient::~SnapshotClient() {
     if (!socket_) return;
     error_code ignored;
-    socket_->close(ignored);  // the helper keeps what it was sent, and ends
+    socket_->close(ignored);  // the helper stores what it has received and exits
 }
 
 void SnapshotClient::start() {
     int ends[2];
     if (::socketpair(AF_UNIX, SOCK_STREAM | SOCK_CLOEXEC, 0, ends) != 0)
-        return fail(std::string("no socket for a helper: ") + std::strerror(errno));
+        return fail(std::string("cannot create a socket for the helper: ") + std::strerror(errno));
     pid_ = start_helper({helper_, "shelf", "--directory", directory_}, ends[1]);
     ::close(ends[1]);
     if (pid_ < 0) {
         ::close(ends[0]);
-        return fail("no helper can be started");
+        return fail("cannot start the helper");
     }
     socket_ = std::make_shared<Socket>(loop_.io(), asio::local::stream_protocol(), ends[0]);
     error_code ignored;
@@ -75,7 +75,7 @@
 std::uint64_t SnapshotClient::persist(Timestamp horizon, const std::vector<NamedEntry>& entries,
                                       const std::vector<EntryName>& erased, bool replace_all) {
     ++seq_;
-    if (!socket_ || !available_) return seq_;  // all is put anew when it works
+    if (!socket_ || !available_) return seq_;  // all entries are stored again once the helper works
     shelf::ToShelf out;
     shelf::Keep& request = *out.mutable_keep();
     request.set_anew(replace_all);
@@ -102,7 +102,7 @@
     }
     queue_chunk();
     if (outgoing_.size() > kMaxWaitingBytes) {
-        fail("it takes nothing");
+        fail("the helper does not accept data");
     } else {
         flush();
     }
@@ -116,7 +116,7 @@
                       [this, socket = socket_](const error_code& error, std::size_t) {
                           if (socket != socket_) return;
                           writing_.clear();
-                          if (error) return fail("its socket: " + error.message());
+                          if (error) return fail("the helper's socket: " + error.message());
                           flush();
                       });
 }
@@ -125,7 +125,7 @@
     socket_->async_read_some(asio::buffer(buffer_),
                              [this, socket = socket_](const error_code& error, std::size_t size) {
                                  if (socket != socket_) return;
-                                 if (error) return fail("the helper has ended");
+                                 if (error) return fail("the helper has exited");
                                  try {
                                      reader_.feed({buffer_, size});
                                      while (const auto frame = reader_.next()) {
@@ -145,25 +145,26 @@
     if (message.has_kept()) return callbacks_.persisted(message.kept().seq());
     const shelf::Loaded& loaded = message.loaded();
     if (!loaded.aside().empty())
-        tell(Event::StateAside, "state: the copy that was kept is not used: " + loaded.aside());
+        tell(Event::StateAside, "state: the snapshot on disk is not used: " + loaded.aside());
     if (loaded.bad() > 0)
         tell(Event::StateAside,
-             "state: " + std::to_string(loaded.bad()) + " kept entries are damaged and left out");
+             "state: " + std::to_string(loaded.bad()) + " damaged entries of the snapshot are ignored");
     for (const std::string& bytes : loaded.entries()) loading_.entries.push_back(read_named_entry(bytes));
     loading_.horizon = loaded.horizon();
     if (!loaded.end()) return;
     available_ = true;
-    if (std::exchange(reported_, false)) tell(Event::StateKept, "state: it is kept again");
+    if (std::exchange(reported_, false))
+        tell(Event::StateKept, "state: the snapshot on disk is written again");
     loaded_ = true;
     callbacks_.loaded(std::exchange(loading_, {}));
 }
 
 void SnapshotClient::fail(const std::string& why) {
     available_ = false;
-    // Whatever the disk does, what others know is shared; what it holds is taken in when it works.
+    // Replication does not depend on the disk. The stored entries are merged once the helper works.
     if (!loaded_ && ++load_attempts_ == kMaxLoadAttempts) callbacks_.loaded({});
     if (!std::exchange(reported_, true))
-        tell(Event::StateUnkept, "state: nothing is kept on disk now: " + why);
+        tell(Event::StateUnkept, "state: no snapshot is written to disk now: " + why);
     if (socket_) {
         error_code ignored;
         socket_->close(ignored);
--- a/src/replica/snapshot_client.h
+++ b/src/replica/snapshot_client.h
@@ -1,5 +1,6 @@
-// The sidecar's end of the socket to the helper that keeps its copy of the shared state: started, asked for
-// what is kept, given what changes, started again where it dies. On the loop; nothing here waits.
+// The sidecar's side of the snapshot of the shared state on disk: starts the helper process that writes it,
+// loads the stored entries, sends changes, and restarts the helper when it dies. Runs on the event loop and
+// never blocks.
 #pragma once
 
 #include <sys/types.h>
@@ -24,12 +25,13 @@
         std::vector<NamedEntry> entries;
     };
     struct Callbacks {
-        /// What the file holds, each time that a helper has opened it; and once where none can. All is to be
-        /// put anew then.
+        /// Called with the stored entries each time that a helper has opened the file, and once with nothing
+        /// if none could. The receiver then stores all its entries again.
         std::function<void(Loaded&&)> loaded;
+        /// Called when the request with this number, and all before it, are durable.
         std::function<void(std::uint64_t seq)> persisted;
     };
-    /// Bytes that wait for the helper; over it the link is given up and all is put anew when it works.
+    /// Bytes that wait for the helper. Beyond it the helper is restarted and gets all entries again.
     static constexpr std::size_t kMaxWaitingBytes = 64 << 20;
 
     SnapshotClient(Loop& loop, std::string helper, std::string directory, std::string fleet,
@@ -37,10 +39,11 @@
     ~SnapshotClient();
 
     void start();
-    /// Its number, by which `kept` tells.
-    /// `anew`: nothing else is to be kept.
+    /// Stores and erases entries. Returns the number of the request, which Callbacks::persisted reports.
+    /// @param replace_all erases all other entries
     std::uint64_t persist(Timestamp horizon, const std::vector<NamedEntry>& entries,
                           const std::vector<EntryName>& erased, bool replace_all = false);
+    /// Whether a helper has loaded the file and stores changes.
     bool available() const { return available_; }
 
   private:
--- a/src/replica/snapshot_writer.cpp
+++ b/src/replica/snapshot_writer.cpp
@@ -24,9 +24,9 @@
 
 constexpr const char* kFileName = "state.db";
 constexpr std::size_t kMaxChunkBytes = 32 * 1024;  // bytes of entries in one message
-constexpr std::size_t kMaxBatchBytes = 1 << 20;    // bytes taken from the socket before they are made durable
-constexpr std::int64_t kMaxQuarantined =
-    100;  // copies set aside under one name; then the last is written over
+constexpr std::size_t kMaxBatchBytes = 1 << 20;    // read from the socket before they are committed
+/// Quarantined files of one name. When there are more, the last one is overwritten.
+constexpr std::int64_t kMaxQuarantined = 100;
 
 const std::vector<store::Migration> kMigrations{
     {"CREATE TABLE entries (name BLOB PRIMARY KEY, bytes BLOB NOT NULL, sum INTEGER NOT NULL) WITHOUT ROWID;"
@@ -52,7 +52,7 @@
             if (size <= 0) return kSnapshotWriterDone;
             try {
                 handle_bytes({bytes, static_cast<std::size_t>(size)});
-                // What has come meanwhile goes into the same transaction.
+                // Messages that have arrived meanwhile are committed in the same transaction.
                 while (batch_bytes_ < kMaxBatchBytes) {
                     const ssize_t more = ::recv(options_.descriptor, bytes, sizeof bytes, MSG_DONTWAIT);
                     if (more <= 0) break;
@@ -81,17 +81,17 @@
             } else if (message.has_keep() && database_) {
                 batch_.push_back(message.keep());
             } else {
-                throw framing::FrameError("a message says nothing");
+                throw framing::FrameError("a message is empty, or no Open message came before it");
             }
         }
     }
 
     void open(const shelf::Open& open) {
-        if (database_) throw framing::FrameError("opened twice");
+        if (database_) throw framing::FrameError("a second Open message");
         std::filesystem::create_directories(options_.directory);
         path_ = options_.directory + "/" + kFileName;
         std::string quarantined = rejection_reason(open);
-        if (!quarantined.empty()) quarantined = fmt::format("{}: kept as {}", quarantined, quarantine());
+        if (!quarantined.empty()) quarantined = fmt::format("{}; moved to {}", quarantined, quarantine());
         if (!database_) open_database();
         if (metadata("fleet").empty()) set_metadata("fleet", open.fleet());
         shelf::FromShelf out;
@@ -121,22 +121,24 @@
         send(out);
     }
 
-    /// Why what is there can't be used; empty: it can, or there is nothing.
+    /// Returns why the existing file can't be used; empty if it can or if there is none.
     std::string rejection_reason(const shelf::Open& open) {
         if (!std::filesystem::exists(path_)) return {};
         try {
             open_database();
             if (const std::string errors = database_->check(); !errors.empty())
-                return "it is damaged: " + errors;
+                return "it is corrupt: " + errors;
             if (const std::string fleet = metadata("fleet"); !fleet.empty() && fleet != open.fleet())
-                return fmt::format("it is of the fleet '{}'", fleet);
+                return fmt::format("it belongs to the fleet '{}'", fleet);
             const std::string kept = metadata("kept_ms");
             if (!kept.empty() && std::stoull(kept) < open.oldest_ms())
-                return "it is older than tombstones last: what it holds may have been deleted";
+                return "it is older than the lifetime of tombstones, so its entries may have been deleted "
+                       "since";
         } catch (const store::StoreError& error) {
-            if (error.kind == store::ErrorKind::Newer) return "it is of a later version of this program";
+            if (error.kind == store::ErrorKind::Newer)
+                return "it was written by a later version of this program";
             if (error.kind != store::ErrorKind::Corrupt) throw;
-            return fmt::format("it is damaged: {}", error.what());
+            return fmt::format("it is corrupt: {}", error.what());
         }
         return {};
     }
@@ -208,7 +210,7 @@
             const ssize_t sent =
                 ::send(options_.descriptor, frame.data() + at, frame.size() - at, MSG_NOSIGNAL);
             if (sent < 0 && errno == EINTR) continue;
-            if (sent <= 0) return;  // the sidecar is gone: the next read tells
+            if (sent <= 0) return;  // the sidecar is gone: the next recv() reports it
             at += static_cast<std::size_t>(sent);
         }
     }
--- a/src/replica/snapshot_writer.h
+++ b/src/replica/snapshot_writer.h
@@ -1,5 +1,5 @@
-// The helper that keeps a sidecar's copy of the shared state in a file. It blocks, and that is why it is a
-// process of its own.
+// The helper that stores a snapshot of a sidecar's shared state in an SQLite file. It is a separate process
+// because it blocks on the disk.
 #pragma once
 
 #include <cstdint>
@@ -9,14 +9,14 @@
 
 struct SnapshotWriterOptions {
     std::string directory;
-    int descriptor = 3;  ///< the connected socket to the sidecar
-    std::string vfs;     ///< of SQLite's file systems; empty: the usual one
+    int descriptor = 3;  ///< connected socket to the sidecar
+    std::string vfs;     ///< name of an SQLite VFS; empty: the default
 };
 
-/// Exit codes that the sidecar tells apart in its log.
+/// Exit codes of the helper process.
 constexpr int kSnapshotWriterDone = 0, kSnapshotWriterFailed = 1, kSnapshotWriterBadPeer = 4;
 
-/// Runs until the sidecar's end of the socket is closed and all that came from it is kept.
+/// Runs until the sidecar closes its end of the socket and all that it sent is stored. Returns an exit code.
 int run_snapshot_writer(const SnapshotWriterOptions& options);
 
 }  // namespace martenford::replica
--- a/src/replica/tables.cpp
+++ b/src/replica/tables.cpp
@@ -43,16 +43,16 @@
         } else if (text.starts_with("weight=")) {
             const auto percent = number_of(text.substr(7));
             if (!percent || *percent > kMaxPercent) {
-                error = "weight is a percentage, 0 to 100";
+                error = "the weight must be a percentage from 0 to 100";
                 return std::nullopt;
             }
             out.set_what(static_cast<std::uint32_t>(Override::Kind::Weight));
             out.set_percent(static_cast<std::uint32_t>(*percent));
         } else if (text != "include") {
-            error = "exclude, include or weight=PERCENT";
+            error = "the value must be exclude, include or weight=PERCENT";
             return std::nullopt;
         }
-        // The less it lets through, the safer.
+        // The less traffic an override admits, the higher its rank: that is the safer choice.
         const std::uint64_t rank = text == "exclude"              ? kMaxPercent + 1
                                    : out.what() == 1 /* weight */ ? kMaxPercent - out.percent()
                                                                   : 0;
@@ -67,7 +67,7 @@
         const auto space = text.find(' ');
         const auto epoch = number_of(text.starts_with("epoch=") ? text.substr(6, space - 6) : "");
         if (!epoch || *epoch == 0) {
-            error = "epoch=NUMBER HOLDER";
+            error = "the value must be epoch=NUMBER HOLDER with a number greater than 0";
             return std::nullopt;
         }
         values::Fence out;
@@ -75,7 +75,7 @@
         if (space != text.npos) out.set_holder(std::string(text.substr(space + 1)));
         return Value{out.SerializeAsString(), *epoch};
     }
-    error = table == "verdicts" || table == "drains" ? "this table is written by sidecars alone"
+    error = table == "verdicts" || table == "drains" ? "only sidecars write this table"
                                                      : fmt::format("no table is named '{}'", table);
     return std::nullopt;
 }
--- a/src/store/database.cpp
+++ b/src/store/database.cpp
@@ -8,11 +8,12 @@
 
 namespace {
 
-/// Pages of the log after which SQLite moves it into the file by itself: 4 MiB, that a start has to read
-/// again.
+/// Pages of the write-ahead log after which SQLite checkpoints by itself: 4 MiB, which the next start has to
+/// read.
 constexpr int kAutocheckpointPages = 1000;
-constexpr int kCacheSizeKib = -16 * 1024;  // KiB: the upper levels of the indexes of some million requests
-/// What is left of the log's file between checkpoints.
+constexpr int kCacheSizeKib = -16 * 1024;  // SQLite takes a negative number as KiB; holds the upper index
+                                           // levels of some million requests
+/// Size to which the file of the write-ahead log is truncated after a checkpoint.
 constexpr int kMaxWalBytes = 8 * 1024 * 1024;
 
 ErrorKind kind_of(int extended) {
@@ -169,12 +170,13 @@
 void Database::migrate(const std::vector<Migration>& steps) {
     const int current = version();
     if (current > static_cast<int>(steps.size())) {
-        throw StoreError(ErrorKind::Newer, path_ + ": has schema " + std::to_string(current) +
-                                               ", this program knows " + std::to_string(steps.size()));
+        throw StoreError(ErrorKind::Newer, path_ + ": has schema version " + std::to_string(current) +
+                                               ", this program supports up to version " +
+                                               std::to_string(steps.size()));
     }
     for (int step = current; step < static_cast<int>(steps.size()); ++step) {
         transaction([&] {
-            // Another process may have taken the step since.
+            // Another process may have applied the migration meanwhile.
             if (version() != step) return;
             execute(steps[static_cast<std::size_t>(step)].sql);
             execute(("PRAGMA user_version=" + std::to_string(step + 1)).c_str());
@@ -188,7 +190,7 @@
         work();
         execute("COMMIT");
     } catch (...) {
-        // SQLite may have rolled back by itself.
+        // SQLite may already have rolled back.
         if (sqlite3_get_autocommit(handle_) == 0)
             sqlite3_exec(handle_, "ROLLBACK", nullptr, nullptr, nullptr);
         throw;
--- a/src/store/database.h
+++ b/src/store/database.h
@@ -1,6 +1,6 @@
-// A shell round SQLite for what must outlive a process: opening with the durability we rely on, migrations,
-// statements, batches, and what a failure means. It blocks: helper processes and commands use it, the event
-// loop never.
+// A thin wrapper of SQLite for data that must survive the process: opening with the durability that we rely
+// on, migrations, statements, transactions, and classified errors. It blocks, so only helper processes and
+// commands use it, never the event loop.
 #pragma once
 
 #include <cstdint>
@@ -17,13 +17,13 @@
 
 namespace martenford::store {
 
-/// What somebody can do about it.
+/// Errors, classified by what can be done about them.
 enum class ErrorKind {
-    Full,  ///< the disk or the stated bound: room helps
-    Sync,  ///< a sync or write failed: what was written since the last one is in doubt (see Database::open)
-    Busy,  ///< somebody else holds the file for longer than we wait
-    ReadOnly,  ///< the directory or the file can't be written
-    Corrupt,   ///< what is in the file can't be right
+    Full,      ///< the disk, or the file at its configured limit: freeing space helps
+    Sync,      ///< a sync or write failed: data since the last sync may be lost (see Database::Database)
+    Busy,      ///< another process locks the file for longer than the timeout
+    ReadOnly,  ///< the directory or the file is not writable
+    Corrupt,   ///< the file is not a valid database
     Newer,     ///< written by a later version of this program
     Other,
 };
@@ -36,22 +36,22 @@
 
 struct Options {
     bool read_only = false;
-    /// Whether other processes use the file too. Without, the index of the log is in memory and no file is
-    /// mapped.
+    /// Whether other processes use the file too. If not, the index of the write-ahead log is kept in memory
+    /// and no file is mapped.
     bool shared = true;
-    std::uint64_t max_bytes = 0;  ///< of the file, without its log; 0: no bound of ours
-    int busy_timeout_ms = 2000;   ///< wait for another writer; it holds the file for one batch
-    std::string vfs;              ///< of SQLite's file systems; empty: the usual one
+    std::uint64_t max_bytes = 0;  ///< of the file without its write-ahead log; 0: no limit
+    int busy_timeout_ms = 2000;   ///< for another writer, which holds the lock for one batch
+    std::string vfs;              ///< name of an SQLite VFS; empty: the default
 };
 
-/// One step of a schema. Steps are never changed once released; new ones are added at the end.
+/// One migration of a schema. A released migration is never changed; new ones are appended.
 struct Migration {
     const char* sql;
 };
 
 class Database;
 
-/// A prepared statement. Bind, step, read; reset by the next bind_all().
+/// A prepared statement. Call bind_all(), step() and read the columns; the next bind_all() resets it.
 class Statement {
   public:
     Statement(Database& database, std::string_view sql);
@@ -60,8 +60,8 @@
     Statement& operator=(Statement&&) = delete;
     ~Statement();
 
-    /// Texts are bound as texts, blobs as bytes; both must stay until the statement has run. Columns count
-    /// from 1 for binding, 0 for reading, as SQLite's.
+    /// Binds all parameters. Strings and blobs are not copied: they must stay valid until the statement has
+    /// run. As in SQLite, parameters are numbered from 1 and columns from 0.
     template <typename... Values>
     Statement& bind_all(const Values&... values) {
         reset();
@@ -81,14 +81,14 @@
     void bind(int index, Blob blob);
     void bind(int index, Null);
 
-    /// True: a row is there. Throws StoreError.
+    /// Returns whether there is a row. Throws StoreError.
     bool step();
-    /// Steps to the end.
+    /// Steps to the end and resets the statement.
     void run();
     void reset();
 
     std::int64_t number(int column) const;
-    std::string text(int column) const;  ///< of a blob too
+    std::string text(int column) const;  ///< also reads a blob
     bool is_null(int column) const;
 
   private:
@@ -98,32 +98,33 @@
 
 class Database {
   public:
-    /// Opens or, where it may write, makes the file. Write-ahead log, synchronous=FULL: a batch is durable
-    /// when commit() has returned. What an earlier process left in the log is checkpointed and synced first,
-    /// whole: after a sync that failed the kernel may hold pages as clean that never reached the disk, and
-    /// writing them again is what makes them dirty. Throws StoreError.
+    /// Opens the file, and creates it unless it is opened read-only. Uses a write-ahead log with
+    /// synchronous=FULL: a transaction is durable when transaction() returns. First checkpoints and syncs the
+    /// whole log of an earlier process: after a failed sync the kernel may treat pages as clean that never
+    /// reached the disk, and only writing them again makes them dirty. Throws StoreError.
     Database(const std::string& path, const Options& options);
     Database(const Database&) = delete;
     Database& operator=(const Database&) = delete;
     ~Database();
 
-    /// Brings the schema up to the last step, each step whole or not at all. `user_version` counts them. A
-    /// file of a later version: Fault::Newer; a reader takes an older one as it is (see version()).
+    /// Applies the missing migrations, each in a transaction; `user_version` counts them. Throws
+    /// ErrorKind::Newer for a file of a later version. Readers do not migrate and handle older versions
+    /// themselves (see version()).
     void migrate(const std::vector<Migration>& steps);
     int version();
 
     void execute(const char* sql);
-    std::int64_t number(const char* sql);  ///< of the first column of the first row; 0 where there is none
-    std::int64_t changes() const;
+    std::int64_t number(const char* sql);  ///< first column of the first row; 0 if there is no row
+    std::int64_t changes() const;          ///< rows changed by the last statement
 
-    /// All of `work` or nothing of it, durable on return.
+    /// Runs `work` in a transaction, which is durable on return and rolled back if `work` throws.
     void transaction(const std::function<void()>& work);
-    /// Moves the log into the file and syncs both. Throws StoreError, Busy where a reader is in the way for
-    /// too long.
+    /// Moves the write-ahead log into the file and syncs both. Throws StoreError, with ErrorKind::Busy if a
+    /// reader blocks it for too long.
     void checkpoint();
-    /// Empty: nothing is wrong with the file.
+    /// Checks the integrity of the file. Returns the errors found; empty if there are none.
     std::string check();
-    std::uint64_t bytes();
+    std::uint64_t bytes();  ///< size of the file without its write-ahead log
     sqlite3* handle() { return handle_; }
 
   private:
--- a/tests/handover/handover_test.cpp
+++ b/tests/handover/handover_test.cpp
@@ -1,4 +1,5 @@
-// A later process takes over from an earlier one of the same sidecar, on real sockets.
+// Graceful restart: a later process takes over from an earlier one of the same sidecar, on real sockets.
+// Guards against refused or lost connections during an upgrade.
 #include <gtest/gtest.h>
 #include <sys/stat.h>
 
@@ -18,7 +19,7 @@
 class Upgrade : public testing::Test {
   protected:
     static std::string make_directory() {
-        // Longer than the address of a local socket may be.
+        // The path is longer than the address of a local socket may be.
         const std::string base = testing::TempDir() + "martenford-upgrade-XXXXXX";
         std::vector<char> path(base.begin(), base.end());
         path.push_back('\0');
@@ -44,7 +45,7 @@
     Listener discovery, endpoint;
 };
 
-/// Serves one request through whichever process takes it.
+/// Sends a request and answers it at the endpoint, whichever process accepts the connection.
 void expect_served(int port, Listener& endpoint, const std::string& id) {
     Peer client = Peer::to(port);
     client.send(look(id));
@@ -59,9 +60,9 @@
     const int port = earlier.port();
     Peer watch = answer_watch(target("s-1", endpoint.address()));
     Sidecar later(platform(), "", environment());
-    EXPECT_TRUE(later.call("readyz").starts_with("NO"));  // the list in its configuration may be old
+    EXPECT_TRUE(later.call("readyz").starts_with("NO"));  // the list in its configuration may be outdated
     Peer other_watch = answer_watch(target("s-1", endpoint.address()));
-    EXPECT_EQ(later.port(), port);  // it says where it listens once it does
+    EXPECT_EQ(later.port(), port);  // reported as soon as it listens
     EXPECT_EQ(later.call("readyz"), "YES\n");
     EXPECT_EQ(earlier.call("readyz"), "YES\n");
     earlier.terminate();
@@ -78,7 +79,8 @@
         auto next = std::make_unique<Sidecar>(platform(), "", environment());
         Peer next_watch = answer_watch(target("s-1", endpoint.address()));
         EXPECT_EQ(next->port(), port);
-        // Connections that wait in the listener when the earlier one is told to end, whichever accepts them.
+        // Connections that wait in the listener's queue when the earlier process is told to exit. Either
+        // process may accept them.
         std::vector<Peer> clients;
         for (int i = 0; i < 10; ++i) clients.push_back(Peer::to(port));
         current->terminate();
@@ -125,7 +127,7 @@
         Sidecar earlier(platform(), "", environment());
         port = earlier.port();
         EXPECT_EQ(earlier.call("readyz"), "YES\n");
-    }  // killed outright: its local socket stays in the directory
+    }  // killed: its local socket stays in the directory
     Sidecar later(platform(), "", environment());
     EXPECT_NE(later.port(), 0);
     EXPECT_EQ(later.call("readyz"), "YES\n");
@@ -159,7 +161,7 @@
         Peer client = Peer::to(port);
         client.send(look("r" + std::to_string(served + lost)));
         if (first_of({endpoint.poll_for(), client.poll_for()}) == 1) {
-            EXPECT_TRUE(client.ends());  // closed unread, nothing sent on
+            EXPECT_TRUE(client.ends());  // closed before the request was read or forwarded
             ++lost;
             return;
         }
@@ -169,7 +171,7 @@
         EXPECT_EQ(body_of(client.receive()), "x");
         ++served;
     };
-    // New clients throughout: while both listen, while the earlier one ends, and after it.
+    // New clients connect while both listen, while the earlier process exits, and afterwards.
     while (served < 50) ask();
     EXPECT_GT(earlier.figure("success.look"), 0.0);
     EXPECT_GT(later.figure("success.look"), 0.0);
--- a/tests/replica/entry_test.cpp
+++ b/tests/replica/entry_test.cpp
@@ -1,5 +1,5 @@
-// One key's state: that copies become one whatever the order, that nothing overwritten comes back, and that
-// the explorer would see it if it did.
+// Entries, messages, digests and the clock: merges give the same result in any order and never resurrect an
+// overwritten version. Known defects are injected to show that the explorer would find them.
 #include "replica/entry.h"
 
 #include <gtest/gtest.h>
@@ -13,7 +13,7 @@
 namespace martenford::replica {
 namespace {
 
-/// A few copies of one key that write and merge as `steps` say, from which any two are drawn.
+/// Returns some copies of one key after the writes and merges that `steps` encode.
 std::vector<Entry> copies_after(ConflictRule rule, const std::vector<std::uint8_t>& steps) {
     constexpr std::size_t kCopies = 4;
     std::vector<Entry> copies(kCopies, Entry{rule, {}, {}});
@@ -105,10 +105,10 @@
     struct Case {
         ConflictRule rule;
         bool first_deleted;
-        std::uint64_t winner;  ///< 0: nothing
+        std::uint64_t winner;  ///< writer of the winning version; 0: none
         bool conflict;
     };
-    // The first has the greater rank, the second the greater stamp.
+    // The first version has the greater rank, the second one the greater timestamp.
     for (const Case& c :
          {Case{ConflictRule::Latest, false, 2, true}, Case{ConflictRule::Safer, false, 1, true},
           Case{ConflictRule::Greatest, false, 1, false}, Case{ConflictRule::Present, true, 2, true},
@@ -157,10 +157,10 @@
     EXPECT_TRUE(clock.observe(timestamp_of(105'000), 100'000));
     EXPECT_GT(clock.next(100'000), timestamp_of(105'000));
     EXPECT_FALSE(clock.observe(timestamp_of(100'000 + 3'600'000), 100'000));
-    EXPECT_EQ(clock.next(50'000), 0u);  // an hour back: others would not take it
+    EXPECT_EQ(clock.next(50'000), 0u);  // over kMaxAhead behind the last timestamp: others would reject it
 }
 
-// ---- every order --------------------------------------------------------------------------------------
+// ---- exhaustive exploration -----------------------------------------------------------------------------
 
 TEST(Explorer, NoEventOrderViolatesAnInvariant) {
     for (const ConflictRule rule : kAllRules) {
@@ -200,46 +200,47 @@
                   [](const Version& x, const Version& y) { return x.dot < y.dot; });
         return true;
     };
-    add("the last to come wins", plain).merge = [](Entry& a, const Entry& b, const Horizons&) {
+    add("the last message received wins", plain).merge = [](Entry& a, const Entry& b, const Horizons&) {
         a = b;
         return true;
     };
-    add("the greatest stamp alone is kept", plain).merge = [](Entry& a, const Entry& b, const Horizons&) {
+    add("only the greatest timestamp is kept", plain).merge = [](Entry& a, const Entry& b, const Horizons&) {
         if (b.latest_timestamp() > a.latest_timestamp()) a = b;
         return true;
     };
-    add("what the other knows is not learnt", plain).merge = [](Entry& a, const Entry& b, const Horizons& h) {
+    add("the remote context is not merged", plain).merge = [](Entry& a, const Entry& b, const Horizons& h) {
         const auto context = a.context;
         const bool changed = merge(a, b, h);
         a.context = context;
         return changed;
     };
-    add("a context without its versions", plain).merge = [](Entry& a, const Entry& b, const Horizons&) {
+    add("the context is merged without its versions", plain).merge = [](Entry& a, const Entry& b,
+                                                                        const Horizons&) {
         Entry local = a;
         merge(local, b);
         local.versions = a.versions;
         a = local;
         return true;
     };
-    add("a write forgets what it saw", plain).write = [](Entry& entry, Version v) {
+    add("a write drops the context", plain).write = [](Entry& entry, Version v) {
         entry.context.clear();
         entry.write(std::move(v));
     };
-    add("a write keeps what it saw", plain).write = [](Entry& entry, Version v) {
+    add("a write keeps the versions that it overwrites", plain).write = [](Entry& entry, Version v) {
         auto before = entry.versions;
         entry.write(std::move(v));
         for (Version& each : before) entry.versions.push_back(std::move(each));
         std::sort(entry.versions.begin(), entry.versions.end(),
                   [](const Version& x, const Version& y) { return x.dot < y.dot; });
     };
-    add("a dot is given twice", plain).new_writer = false;
-    add("tombstones are dropped at once", plain).keep_tombstones = false;
-    add("the horizon says nothing", with_horizon).merge = [](Entry& a, const Entry& b, const Horizons&) {
+    add("a dot is used twice", plain).new_writer = false;
+    add("tombstones are purged at once", plain).keep_tombstones = false;
+    add("the horizons are ignored", with_horizon).merge = [](Entry& a, const Entry& b, const Horizons&) {
         return merge(a, b);
     };
-    add("a minority's horizon advances", with_horizon).needs_majority = false;
-    add("the rank decides nothing", plain, ConflictRule::Greatest).merge = [](Entry& a, const Entry& b,
-                                                                              const Horizons&) {
+    add("a minority advances its horizon", with_horizon).needs_majority = false;
+    add("the rank is ignored", plain, ConflictRule::Greatest).merge = [](Entry& a, const Entry& b,
+                                                                         const Horizons&) {
         if (a.versions.empty()) a = b;
         return true;
     };
--- a/tests/replica/explorer.h
+++ b/tests/replica/explorer.h
@@ -1,6 +1,7 @@
-// Every order of writes, deliveries, losses, repeats, crashes and restored disks for three copies of one key.
-// What was ever sent may arrive at any time, any number of times or never: that is each copy's own past. A
-// crash takes a copy back to any state that it had, under a new writer.
+// Exhaustive model checker for three copies of one key: explores all orders of writes, deliveries, losses,
+// duplicates, crashes and restored disks within bounds. A message is any earlier state of a copy, and may
+// arrive at any time, any number of times or never. A crash takes a copy back to any of its earlier states,
+// with a new writer.
 #pragma once
 
 #include <algorithm>
@@ -16,14 +17,14 @@
 
 namespace martenford::replica {
 
-/// What is explored; a test puts a defect in place of one of these.
+/// The operations under test. Tests replace one of them by a defective one.
 struct Mechanism {
     std::function<bool(Entry&, const Entry&, const Horizons&)> merge =
         [](Entry& a, const Entry& b, const Horizons& h) { return replica::merge(a, b, h); };
     std::function<void(Entry&, Version)> write = [](Entry& entry, Version v) { entry.write(std::move(v)); };
-    bool new_writer = true;       ///< after a crash
-    bool keep_tombstones = true;  ///< until the horizon
-    bool needs_majority = true;   ///< for the horizon to advance
+    bool new_writer = true;       ///< a copy gets a new writer after a crash
+    bool keep_tombstones = true;  ///< until the horizon passes them
+    bool needs_majority = true;   ///< the horizon only advances in a majority
 };
 
 class Explorer {
@@ -34,7 +35,7 @@
     Explorer(ConflictRule rule, Mechanism mechanism, const Bounds& bounds)
         : rule_(rule), mechanism_(std::move(mechanism)), bounds_(bounds) {}
 
-    /// The first violation; empty: there is none.
+    /// Returns the first violation found, empty if there is none.
     std::string run() {
         World world;
         for (std::size_t i = 0; i < kCopies; ++i) {
@@ -56,14 +57,14 @@
     };
     struct Copy : State {
         std::uint64_t writer = 0, count = 0;
-        std::vector<std::pair<State, std::uint64_t>> history;  ///< with its count then
+        std::vector<std::pair<State, std::uint64_t>> history;  ///< with the count at that time
     };
     struct World {
         Copy copies[kCopies];
         std::uint64_t writers = 0;
         Timestamp clock = 0;
         std::size_t writes = 0, deletes = 0, crashes = 0, horizons = 0, deliveries = 0;
-        std::set<std::pair<Dot, Dot>> overwrites;  ///< the first knew of the second and wrote over it
+        std::set<std::pair<Dot, Dot>> overwrites;  ///< the writer of the first had seen the second
         std::map<Dot, Timestamp> written;
         std::set<Dot> purged;  ///< tombstones
     };
@@ -81,7 +82,7 @@
         for (const Copy& copy : world.copies) {
             add_state(copy);
             add(copy.writer), add(copy.count);
-            std::set<std::string> states;  // their order is nothing that anyone can see
+            std::set<std::string> states;  // sorted: the order of the history has no effect
             for (const auto& [state, count] : copy.history) {
                 const std::string before = std::exchange(text, {});
                 add_state(state);
@@ -151,7 +152,7 @@
         version.rank = world.clock % 2;
         version.deleted = deleted;
         if (const auto it = world.written.find(version.dot); it != world.written.end())
-            violation_ = "a dot was given twice after " + trace_;
+            violation_ = "a dot was used twice after " + trace_;
         world.written[version.dot] = version.timestamp;
         if (rule_ == ConflictRule::Greatest && !copy.entry.versions.empty() &&
             copy.entry.versions[0].rank >= version.rank)
@@ -161,7 +162,8 @@
         if (deleted && !mechanism_.keep_tombstones) copy.entry = Entry{rule_, {}, {}};
         add_to_history(copy);
     }
-    /// A tombstone's life is over for those that agree now, if they are enough.
+    /// Advances the horizon of all copies that are equal to copy `i`, if they are a majority, and purges
+    /// them.
     void advance(World& world, std::size_t i) {
         std::size_t agree = 0;
         for (const Copy& copy : world.copies) agree += copy.entry == world.copies[i].entry ? 1 : 0;
@@ -188,7 +190,8 @@
         }
         add_to_history(copy);
     }
-    /// All speak with all until nothing changes: are they alike, and rightly so?
+    /// Merges all copies with each other until they are stable. Returns a violation if they differ, if an
+    /// overwritten version is back or if a write is lost.
     std::string check(World world) {
         const World before = world;
         for (int round = 0; round < 4; ++round) {
@@ -198,7 +201,7 @@
                     const State local = world.copies[i];
                     const State remote = world.copies[j];
                     deliver(world.copies[i], remote);
-                    // A key that is not there at all is told of by the heads of its range.
+                    // For a key that is missing at one side, the summaries of its range have this effect.
                     if (remote.entry.versions.empty() && local.entry.latest_timestamp() <= remote.horizon &&
                         remote.horizon > local.horizon)
                         world.copies[i].entry.versions.clear();
@@ -207,11 +210,11 @@
         }
         const Entry& end = world.copies[0].entry;
         for (const Copy& copy : world.copies) {
-            if (copy.entry.versions != end.versions) return "copies differ";
+            if (copy.entry.versions != end.versions) return "the copies differ";
         }
         for (const auto& [later, earlier] : world.overwrites) {
             const bool known = end.has_seen(later) || world.purged.contains(later);
-            if (known && end.find(earlier)) return "what was overwritten is back";
+            if (known && end.find(earlier)) return "an overwritten version is back";
         }
         if (rule_ == ConflictRule::Greatest || bounds_.horizons > 0) return {};
         for (const Copy& copy : before.copies) {
--- a/tests/replica/golden_test.cpp
+++ b/tests/replica/golden_test.cpp
@@ -1,5 +1,5 @@
-// The messages of the shared state and its file against bytes that an earlier commit wrote:
-// tests/golden/README.md.
+// The replication messages and the snapshot file, compared with bytes that an earlier commit wrote. They
+// guard against a build that no longer understands older builds. See tests/golden/README.md.
 #include "golden.h"
 
 #include <gtest/gtest.h>
@@ -23,9 +23,9 @@
     return std::string(GOLDEN_DIR) + "/replica/" + name;
 }
 
-// ---- the values. No field has its default.
+// ---- the values written: no field has its default value
 
-/// With siblings, one of which carries a field that no build knows.
+/// An entry with siblings, one of which has a field that no build knows.
 NamedEntry contested() {
     NamedEntry out;
     out.name = {"settings", "limits"};
@@ -90,7 +90,7 @@
     return out;
 }
 
-// ---- what is read back
+// ---- checks of the values read
 
 void expect_version(const Version& read, std::uint64_t first, bool deleted, const std::string& value,
                     const std::string& letter, const std::string& extra) {
@@ -130,7 +130,7 @@
     EXPECT_EQ(static_cast<int>(read.entry.rule), 1);
     ASSERT_EQ(read.entry.versions.size(), 1u);
     const Version& version = read.entry.versions[0];
-    // The value by its bytes: what (1) is a weight (1), percent (2) is 40.
+    // The serialized value: field 1 (what) is 1 (weight), field 2 (percent) is 40.
     expect_version(version, 41, false, "\x08\x01\x10\x28", "c", "");
     EXPECT_EQ(version.rank, plain().entry.versions[0].rank);
     EXPECT_EQ(text_of("overrides", version.value), "weight=40");
@@ -276,7 +276,7 @@
 }
 
 TEST(GoldenStateEntries, HashesAndPositions) {
-    // Two copies of different builds compare these.
+    // Replicas of different builds compare these numbers.
     const std::string now = std::to_string(hash_of(contested().entry)) + " " +
                             std::to_string(position_of(contested().name)) + "\n" +
                             std::to_string(hash_of(plain().entry)) + " " +
@@ -284,12 +284,13 @@
     EXPECT_EQ(golden::kept(path_of("hashes-and-places.txt"), now), now);
 }
 
-// ---- the file, through the helper that keeps it
+// ---- the snapshot file, written and read by the helper
 
-/// Sends it all and ends; gives what the helper said, by message.
+/// Runs the helper on `frames` until the end of input and returns the messages that it sent.
 std::vector<shelf::FromShelf> run_helper(const std::string& directory, const std::string& frames) {
     int ends[2];
-    if (::socketpair(AF_UNIX, SOCK_STREAM, 0, ends) != 0) throw std::runtime_error("no socket");
+    if (::socketpair(AF_UNIX, SOCK_STREAM, 0, ends) != 0)
+        throw std::runtime_error("cannot create a socket pair");
     SnapshotWriterOptions options;
     options.directory = directory;
     options.descriptor = ends[1];
@@ -337,7 +338,7 @@
     EXPECT_EQ(framing::framed(opening()), open);
     const std::string keep = golden::kept(path_of("helper-keep.bin"), framing::framed(keeping()));
     EXPECT_EQ(framing::framed(keeping()), keep);
-    // The helper of today takes these very bytes, and says what it is to.
+    // The current helper accepts these bytes and answers them.
     golden::Folder folder;
     const auto said = run_helper(folder.at, open + keep);
     ASSERT_EQ(said.size(), 2u);
@@ -355,7 +356,7 @@
         framing::FrameReader reader;
         reader.feed(bytes);
         const auto inside = reader.next();
-        if (!inside) throw std::runtime_error("not whole");
+        if (!inside) throw std::runtime_error("the frame is incomplete");
         auto message = framing::parsed<shelf::FromShelf>(*inside);
         EXPECT_EQ(framing::framed(message), bytes);
         return message;
@@ -386,7 +387,7 @@
         golden::put_directory(made.at, path_of("state"));
     }
     golden::Folder copy(path_of("state"));
-    // Read twice: what the first start does to the file, the second finds.
+    // Reads twice, because the first start may change the file.
     for (int start = 0; start < 2; ++start) {
         const auto said = run_helper(copy.at, framing::framed(opening()));
         ASSERT_EQ(said.size(), 1u);
--- a/tests/replica/replica_test.cpp
+++ b/tests/replica/replica_test.cpp
@@ -1,4 +1,4 @@
-// Copies of the state over modelled links, in virtual time.
+// Replicas of the shared state over simulated links, in virtual time.
 #include "replica/replica.h"
 
 #include <gtest/gtest.h>
@@ -16,12 +16,12 @@
     StateModel::Options options;
     options.members = members;
     options.seed = seed;
-    options.count_bytes = true;  // what is said goes through the wire's form
+    options.count_bytes = true;  // serializes and parses every message
     return options;
 }
 
-/// Whether copy 0, which is no witness itself, comes to hold that an endpoint drains, of which all others are
-/// told at the same moment.
+/// Lets all members but member 0 observe a drain at the same moment. Returns whether member 0 confirms the
+/// drain from their entries.
 bool drain_is_learnt(std::size_t members, std::uint64_t seed) {
     constexpr const char* kEndpoint = "10.0.0.1:80";
     constexpr const char* kRegistry = "registry";
@@ -44,7 +44,7 @@
         3s);
 }
 
-// What one witness writes may end what another has written at the same place.
+// Concurrent writes of two witnesses to the same slot leave only one of them.
 TEST(EndpointOverrides, DrainIsConfirmedWhenWitnessesWriteTheSameSlotConcurrently) {
     for (std::uint64_t seed = 1; seed <= 60; ++seed) {
         EXPECT_TRUE(drain_is_learnt(3, seed)) << "two witnesses, seed " << seed;
@@ -61,7 +61,7 @@
     EXPECT_EQ(model.get(39, "overrides", "10.0.0.1:80"), "exclude");
     model.remove(17, "overrides", "10.0.0.1:80");
     EXPECT_TRUE(model.run_until([&] { return model.all_equal(); }, 3s));
-    model.start(5);  // anew, with nothing
+    model.start(5);  // restarted without a snapshot
     model.run_for(5s);
     EXPECT_TRUE(model.all_equal());
     for (std::size_t i = 0; i < model.size(); ++i) EXPECT_EQ(model.get(i, "overrides", "10.0.0.1:80"), "-");
@@ -131,7 +131,7 @@
     model.kill(1);
     ASSERT_TRUE(model.run_until([&] { return model.copy(4).caught_up() && model.all_equal(); }, 20s));
     EXPECT_EQ(model.copy(4).size(), 2000u);
-    // No disk and no partition: nothing of it had to be found by ranges.
+    // Without a snapshot and a partition, hardly any entry had to be found by comparing ranges.
     EXPECT_LT(model.copy(4).stats().merged, 2100u);
 }
 
@@ -149,7 +149,7 @@
     model.heal();
     const auto before = model.figures().bytes;
     ASSERT_TRUE(model.run_until([&] { return model.all_equal(); }, 10s));
-    // All of it is some 300 KB.
+    // All entries together are some 300 KB.
     EXPECT_LT(model.figures().bytes - before, 40'000u);
 }
 
@@ -189,7 +189,7 @@
         ASSERT_TRUE(model.copy(i).ahead());
         EXPECT_EQ(model.copy(i).ahead()->first, "n2");
     }
-    model.set_clock(2, 0);  // set right under it
+    model.set_clock(2, 0);  // the clock is corrected while the process runs
     EXPECT_EQ(model.put(2, "overrides", "g", "exclude").error, WriteError::ClockSkew);
 }
 
@@ -205,10 +205,10 @@
     model.remove(1, "overrides", "old");
     ASSERT_TRUE(model.run_until([&] { return model.copy(0).find({"overrides", "old"}) == nullptr; }, 30s));
     model.put(2, "overrides", "new", "exclude");
-    model.put(4, "overrides", "mine", "exclude");  // beside them, and young
+    model.put(4, "overrides", "mine", "exclude");  // during the partition, newer than the others' horizon
     model.run_for(1s);
     EXPECT_EQ(model.get(4, "overrides", "old"), "exclude");
-    EXPECT_EQ(model.copy(4).horizon(), 0u);  // alone, it drops no tombstone
+    EXPECT_EQ(model.copy(4).horizon(), 0u);  // a minority purges no tombstones
     model.heal();
     ASSERT_TRUE(model.run_until([&] { return model.all_equal(); }, 10s));
     for (std::size_t i = 0; i < 5; ++i) {
@@ -229,8 +229,8 @@
     replica::Version version;
     version.dot = {77, 1};
     version.timestamp = replica::timestamp_of(model.wall(0));
-    version.value = "what it means is not known here";
-    version.unknown_fields = "\x7a\x03new";  // field 15, of three bytes
+    version.value = "a value of an unknown type";
+    version.unknown_fields = "\x7a\x03new";  // field 15 with three bytes
     unknown.entry.write(version);
     replica::Message push;
     push.kind = replica::Message::Kind::Push;
@@ -262,7 +262,8 @@
     EXPECT_EQ(model.copy(0).stats().invalid, 1u);
 }
 
-/// Faults of all kinds from one seed; then all copies are equal, and no rule was broken on the way.
+/// Random writes, deletions, restarts, partitions and losses from a seed. Afterwards all replicas must be
+/// equal, and keys with a single writer must have that writer's last state.
 class ReplicaSchedules : public testing::TestWithParam<std::uint64_t> {};
 TEST_P(ReplicaSchedules, ConvergeWithoutResurrectingDeletions) {
     auto options = of(7, GetParam());
@@ -271,7 +272,7 @@
     StateModel model(options);
     model.start_all();
     std::mt19937_64 random(GetParam());
-    std::map<std::string, bool> expected;  // of keys that one member alone writes: what stands at the end
+    std::map<std::string, bool> expected;  // keys with a single writer: whether they exist
     for (int step = 0; step < 120; ++step) {
         const std::size_t who = random() % 7;
         const std::string key = "k" + std::to_string(random() % 5);
--- a/tests/replica/state_process_test.cpp
+++ b/tests/replica/state_process_test.cpp
@@ -1,5 +1,5 @@
-// The shared state of several processes of the program, with faults in them and between them. Conditions are
-// awaited within a bound; what was answered to a writer is held against what all hold in the end.
+// The shared state of several sidecar processes, with process and network faults. Conditions are awaited with
+// a timeout; what a writer was told is compared with what all members hold in the end.
 #include <fmt/format.h>
 #include <gtest/gtest.h>
 
@@ -23,7 +23,7 @@
     return value ? std::strtoul(value, nullptr, 10) : default_value;
 }
 
-constexpr Duration kTimeout = 30s;  // for what must come; nothing is asserted on how soon
+constexpr Duration kTimeout = 30s;  // for conditions that must become true; how soon is not checked
 
 std::string field(const std::string& text, const std::string& name) {
     std::istringstream words(text);
@@ -53,7 +53,7 @@
     std::string call(std::size_t member, const std::string& line) {
         return rig.call(member, "state " + line).value_or("");
     }
-    /// Its ticket; empty: it was refused.
+    /// Returns the ticket, empty if the write was refused.
     std::string put(std::size_t member, const std::string& table, const std::string& key,
                     const std::string& value, const std::string& options = "expires=600000") {
         return field(call(member, fmt::format("put {} {} {} {}", table, key, escaped(value), options)),
@@ -62,19 +62,20 @@
     std::string remove(std::size_t member, const std::string& table, const std::string& key) {
         return field(call(member, fmt::format("delete {} {}", table, key)), "ticket");
     }
-    /// Whether it has a copy. A member that keeps its copy on disk has none, and refuses reads and writes,
-    /// until its helper has loaded it; the others may hold it alive before that.
+    /// Whether the member's replica has started. A member with a snapshot on disk refuses reads and writes
+    /// until its helper has loaded the snapshot. The other members may already consider it alive before that.
     bool is_ready(std::size_t member) { return !field(call(member, "self"), "digest").empty(); }
     bool ready(std::size_t member) {
         return rig.await([&] { return is_ready(member); }, kTimeout);
     }
-    /// Until all that are up hold each other alive and have a copy.
+    /// Waits until all running members consider each other alive and their replicas have started.
     bool all_ready() {
         const auto up = rig.all();
         return rig.await([&] { return rig.all_agree(); }, kTimeout) &&
                std::all_of(up.begin(), up.end(), [&](std::size_t i) { return !rig.is_up(i) || ready(i); });
     }
-    /// What stands; "-" where nothing does; kUnknown where the member does not answer, or has no copy yet.
+    /// Returns the winning value; "-" if there is none; kUnknown if the member does not answer or its replica
+    /// has not started.
     static constexpr const char* kUnknown = "(unknown)";
     std::string get(std::size_t member, const std::string& table, const std::string& key) {
         const auto reply = rig.call(member, "state get " + table);
@@ -85,7 +86,7 @@
         }
         return "-";
     }
-    /// The dots (writer and count) of what stands; empty `key`: of all keys.
+    /// Returns the dots (writer and count) of the winning versions; of all keys if `key` is empty.
     std::set<std::string> dots(std::size_t member, const std::string& table, const std::string& key = {}) {
         std::set<std::string> result;
         std::istringstream lines(call(member, "get " + table));
@@ -98,7 +99,7 @@
     bool all_have(const std::string& table, const std::string& key, const std::string& value) {
         return wait_for_value(rig.all(), table, key, value);
     }
-    /// Those of `who` that are up.
+    /// Waits until the running members among `who` have this value.
     bool wait_for_value(const std::set<std::size_t>& who, const std::string& table, const std::string& key,
                         const std::string& value) {
         return rig.await(
@@ -135,7 +136,7 @@
         rig.net().each_pair(group, rig.others(group), cut);
         if (!one_way) rig.net().each_pair(rig.others(group), group, cut);
     }
-    /// Until each of these holds so many alive.
+    /// Waits until each of `who` considers `alive` members alive.
     bool wait_for_alive_count(const std::set<std::size_t>& who, std::size_t alive) {
         return rig.await(
             [&] {
@@ -194,14 +195,14 @@
     ASSERT_FALSE(state.put(5, "overrides", "e", "include").empty());
     ASSERT_FALSE(state.put(2, "settings", "s", "left").empty());
     ASSERT_FALSE(state.put(3, "settings", "s", "right").empty());
-    // The answer to a put says that it is written at that member; the others get it by pushes and
+    // The answer to a put only says that this member has the write. The others receive it by pushes and
     // comparisons.
     EXPECT_TRUE(state.wait_for_value(left, "overrides", "e", "exclude"));
     EXPECT_TRUE(state.wait_for_value(right, "overrides", "e", "include"));
     EXPECT_TRUE(state.wait_for_value(left, "settings", "s", "left"));
     EXPECT_TRUE(state.wait_for_value(right, "settings", "s", "right"));
     state.rig.net().heal();
-    EXPECT_TRUE(state.all_have("overrides", "e", "exclude"));  // the safer
+    EXPECT_TRUE(state.all_have("overrides", "e", "exclude"));  // the safer value wins
     EXPECT_TRUE(state.all_equal());
     for (const std::size_t i : {1u, 4u}) {
         const std::string conflicts = state.call(i, "conflicts");
@@ -318,7 +319,7 @@
     EXPECT_TRUE(state.all_have("overrides", "e", "-"));
 }
 
-/// With a copy on disk each.
+/// A cluster whose members store snapshots on disk.
 class PersistentStateCluster : public StateCluster {
   public:
     explicit PersistentStateCluster(std::size_t members, std::uint64_t seed = 1,
@@ -332,7 +333,7 @@
     void kill_all() {
         for (const std::size_t i : rig.all()) rig.kill(i);
     }
-    /// Until the killed process's helper has kept what it was sent, and ended.
+    /// Waits until the helper of a killed process has stored what it received, and has exited.
     bool wait_until_persisted(std::size_t member) {
         return rig.await([&] { return !std::filesystem::exists(file(member, "state.db-wal")); }, kTimeout);
     }
@@ -350,7 +351,7 @@
     ASSERT_TRUE(state.all_have("settings", "a", "1"));
     ASSERT_EQ(field(state.outcome(2, state.remove(2, "settings", "a")), "reached"), "1");
     ASSERT_EQ(field(state.outcome(3, state.put(3, "settings", "last", "1")), "reached"), "1");
-    state.kill_all();  // the last write may have been told to nobody
+    state.kill_all();  // the last write may not have reached another member
     ASSERT_TRUE(state.restart_all());
     EXPECT_TRUE(state.all_have("settings", "last", "1"));
     EXPECT_TRUE(state.all_have("settings", "b", "1"));
@@ -372,14 +373,15 @@
                   "1");
     for (int i = 0; i < 5; ++i) ASSERT_TRUE(state.all_have("settings", fmt::format("k{}", i), "1"));
     const std::set<std::string> used = state.dots(2, "settings");
-    ASSERT_EQ(used.size(), 6u);  // of "a" and of the five
+    ASSERT_EQ(used.size(), 6u);  // of "a" and of k0 to k4
     ASSERT_FALSE(state.remove(2, "settings", "a").empty());
     state.rig.kill(0);
     ASSERT_TRUE(state.wait_until_persisted(0));
     std::filesystem::remove_all(state.file(0).parent_path());
     std::filesystem::copy(backup, state.file(0).parent_path());
-    // Cut off until it has written, so that it writes with the state of the backup and not after it has
-    // caught up: a count that went on from the backup would give k0 the dot that it had before.
+    // The member is cut off until it has written, so that it writes with the state of the backup before it
+    // catches up. If the counter of its dots continued from the backup, k0 would get a dot that was already
+    // used.
     state.cut({0});
     state.rig.start(0);
     ASSERT_TRUE(state.ready(0));
@@ -403,7 +405,7 @@
 }
 
 TEST(StateProcesses, MemberRefusesReadsAndWritesUntilItsHelperHasLoaded) {
-    // A helper that starts when this test lets it.
+    // A helper that waits for the file `go` before it starts.
     const auto directory = StateCluster::directory_of(1);
     const std::string go = directory / "go", helper = directory / "late-helper";
     std::filesystem::create_directories(directory);
@@ -419,14 +421,14 @@
     EXPECT_EQ(state.get(0, "settings", "b"), "-");
     state.rig.kill(0);
     ASSERT_TRUE(state.wait_until_persisted(0));
-    EXPECT_EQ(state.get(0, "settings", "b"), StateCluster::kUnknown);  // it is down
+    EXPECT_EQ(state.get(0, "settings", "b"), StateCluster::kUnknown);  // the process is not running
     std::filesystem::remove(go);
     state.rig.start(0);
     ASSERT_TRUE(state.rig.await([&] { return state.rig.all_agree(); }, kTimeout));
     EXPECT_FALSE(state.is_ready(0));
     EXPECT_NE(state.call(0, "put settings b 1").find("refused="), std::string::npos);
     EXPECT_EQ(state.get(0, "settings", "b"), StateCluster::kUnknown);
-    EXPECT_EQ(state.get(1, "settings", "b"), "-");  // nothing of it was written
+    EXPECT_EQ(state.get(1, "settings", "b"), "-");  // the refused write had no effect
     std::ofstream(go).close();
     ASSERT_TRUE(state.ready(0));
     EXPECT_EQ(field(state.call(0, "self"), "from_disk"), "1");
@@ -442,7 +444,7 @@
     ASSERT_TRUE(state.wait_until_persisted(1));
     std::FILE* file = std::fopen(state.file(1).c_str(), "w");
     ASSERT_NE(file, nullptr);
-    std::fputs("this is no database, and long enough to be taken for the head of one", file);
+    std::fputs("this is not a database, but long enough to be read as the header of one", file);
     std::fclose(file);
     state.rig.start(1);
     EXPECT_TRUE(state.all_have("settings", "a", "1"));
@@ -467,7 +469,7 @@
 TEST(StateProcesses, CommandsShowEntriesAndDifferences) {
     StateCluster state(4);
     const auto run = [&](const std::string& words, std::size_t member, std::string& out) {
-        // The loop must go on: it relays what the member has to say to others.
+        // Runs in the background, because this loop relays the messages between the members.
         const std::string path =
             std::filesystem::temp_directory_path() / fmt::format("martenford-out-{}", getpid());
         const std::string command = fmt::format("({} state {} --console {}; echo \"exit $?\") > {} 2>&1 &",
@@ -503,15 +505,15 @@
     EXPECT_NE(out.find("no table is named"), out.npos) << out;
 }
 
-/// Writes, deletions and faults from one seed. Keys of one writer each: what its last answered write said
-/// stands in the end. Keys of all: the copies are alike.
+/// Random writes, deletions and faults from a seed. Afterwards all replicas must be equal, and all writes
+/// that a majority acknowledged must be there.
 class StateSchedules : public testing::TestWithParam<std::uint64_t> {};
 TEST_P(StateSchedules, ConvergeWithAllAcknowledgedWrites) {
     const std::size_t members = from_environment("MARTENFORD_MEMBERS", 6);
     StateCluster state(members, GetParam());
     std::mt19937_64 random(GetParam());
     const auto random_member = [&] { return static_cast<std::size_t>(random() % members); };
-    std::map<std::string, std::string> acknowledged;  // of a majority's keys, which no crash can take
+    std::map<std::string, std::string> acknowledged;  // by a majority: no crash may lose them
     for (int step = 0; step < 24; ++step) {
         const std::size_t who = random_member(), other = random_member();
         switch (random() % 9) {
@@ -526,7 +528,8 @@
                 break;
             case 3:
             case 4: {
-                // A key each time: one written anew by a later process of a name has no order with it.
+                // Each write has its own key: a write by a restarted process could be concurrent with the
+                // earlier one.
                 const std::string key = fmt::format("m{}", step);
                 const std::string ticket =
                     state.rig.is_up(who) ? state.put(who, "settings", key, "x", "majority within=3000") : "";
