--- a/src/handover/handover.h
+++ b/src/handover/handover.h
@@ -17,7 +17,7 @@
   public:
     /// @param directory private to this sidecar
     /// @param name of the sidecar, the same for all of its processes
-    Handover(Loop& loop, const std::string& directory, const std::string& name);
+    Handover(EventLoop& loop, const std::string& directory, const std::string& name);
     ~Handover();
 
     /// Looks for an earlier process and calls `found` once: with a descriptor of its listener, which the
@@ -45,7 +45,7 @@
     void await_earlier();
     std::string path(const std::string& name) const;
 
-    Loop& loop_;
+    EventLoop& loop_;
     int directory_ = -1;
     std::string name_;
     std::function<void(std::optional<int>)> on_found_;
--- a/src/replica/message.cpp
+++ b/src/replica/message.cpp
@@ -17,7 +17,7 @@
 
 constexpr int kCompressionLevel = 1;  // fastest: pages are compressed on the loop that serves requests
 /// Limit of a decompressed page. Pages are split by their uncompressed size.
-constexpr std::size_t kMaxUncompressedBytes = 2 * framing::kMostFrame;
+constexpr std::size_t kMaxUncompressedBytes = 2 * framing::kMaxFrameBytes;
 constexpr std::size_t kOverheadBytes = 48;  // of an entry or a version in addition to its texts
 constexpr std::size_t kMaxUnknownFieldBytes = 512;
 
@@ -181,7 +181,7 @@
 }
 
 Message read_message(std::string_view bytes) {
-    const auto in = framing::parsed<wire::Message>(bytes);
+    const auto in = framing::decode_message<wire::Message>(bytes);
     if (in.kind() >= kKindCount) throw FrameError("a replication message has an unknown kind");
     if (static_cast<std::size_t>(in.ranges_size()) > kMaxRanges ||
         static_cast<std::size_t>(in.heads_size()) > kMaxSummaries ||
@@ -194,7 +194,8 @@
     message.seq = in.seq();
     read_entries(in.entries(), message.entries);
     if (in.size() > 0)
-        read_entries(framing::parsed<wire::Entries>(decompress(in.packed(), in.size())), message.entries);
+        read_entries(framing::decode_message<wire::Entries>(decompress(in.packed(), in.size())),
+                     message.entries);
     for (const auto& range : in.ranges()) {
         if (range.level() > 16 || (range.parts_size() != 0 && range.parts_size() != 16))
             throw FrameError("a range has an invalid level or number of subranges");
@@ -222,7 +223,7 @@
 }
 
 NamedEntry read_named_entry(std::string_view bytes) {
-    return read_entry(framing::parsed<wire::Entry>(bytes));
+    return read_entry(framing::decode_message<wire::Entry>(bytes));
 }
 
 std::size_t size_of(const NamedEntry& entry) {
--- a/src/replica/replication_service.cpp
+++ b/src/replica/replication_service.cpp
@@ -44,12 +44,12 @@
 }
 
 std::string refused(std::string_view why) {
-    return fmt::format("refused={}\n", escaped(why));
+    return fmt::format("refused={}\n", percent_encode(why));
 }
 
 }  // namespace
 
-ReplicationService::ReplicationService(Loop& loop, const Options& options, peers::Peers& peers,
+ReplicationService::ReplicationService(EventLoop& loop, const Options& options, peers::Peers& peers,
                                        const std::string& fleet, Counters& counters)
     : loop_(loop),
       options_(options),
@@ -78,7 +78,7 @@
               [](Copy c) { return c.stats().throttled; });
     counters.gauge("state.kept", "1 while writes of this sidecar are stored on disk",
                    [this] { return snapshot_ && snapshot_->available() ? 1.0 : 0.0; });
-    peers_.on_carried([this](const fleet::Id& from, const std::string& address, const std::string& bytes) {
+    peers_.on_payload([this](const fleet::Id& from, const std::string& address, const std::string& bytes) {
         handle_message(from, address, bytes);
     });
     if (!options_.directory.empty()) {
@@ -95,17 +95,18 @@
 }
 
 ReplicationService::~ReplicationService() {
-    peers_.on_carried({});
+    peers_.on_payload({});
 }
 
 std::vector<Peer> ReplicationService::sample(std::size_t count) {
     std::vector<Peer> result;
-    for (auto& peer : peers_.near(count)) result.push_back({std::move(peer.id), std::move(peer.address)});
+    for (auto& peer : peers_.sample_peers(count))
+        result.push_back({std::move(peer.id), std::move(peer.address)});
     return result;
 }
 
 std::size_t ReplicationService::live_count() const {
-    return peers_.fleet() ? peers_.fleet()->live() : 1;
+    return peers_.fleet() ? peers_.fleet()->live_count() : 1;
 }
 
 void ReplicationService::wait_for_fleet() {
@@ -139,10 +140,10 @@
         run_replica();
     });
     const Time now = loop_.now();
-    for (const fleet::View& view : peers_.fleet()->members()) {
-        if (view.sight == fleet::Sight::Left) {
+    for (const fleet::MemberView& view : peers_.fleet()->members()) {
+        if (view.state == fleet::ObservedState::Left) {
             last_alive_.erase(view.id.name);
-        } else if (view.sight != fleet::Sight::Dead) {
+        } else if (view.state != fleet::ObservedState::Dead) {
             if (last_alive_.size() < kMaxKnownMembers || last_alive_.contains(view.id.name))
                 last_alive_[view.id.name] = now;
         }
@@ -182,7 +183,7 @@
         std::string bytes = bytes_of(send.message);
         const auto send_bytes = [this, address = send.to.address, bytes = std::move(bytes)] {
             bytes_out_.add(bytes.size());
-            peers_.carry(address, bytes);
+            peers_.send_payload(address, bytes);
         };
         // An acknowledgement promises that the entry survives a crash of this sidecar.
         send.message.kind == Message::Kind::Ack ? when_persisted(send_bytes) : send_bytes();
@@ -195,9 +196,9 @@
     }
     notify_endpoint_overrides(changes);
     if (replica_->caught_up() && !std::exchange(reported_caught_up_, true))
-        tell(Event::StateCaughtUp,
-             fmt::format("state: caught up with the fleet, {} entries", replica_->size()),
-             {{"ms", std::to_string((loop_.now() - started_at_) / 1ms)}});
+        log_event(Event::StateCaughtUp,
+                  fmt::format("state: caught up with the fleet, {} entries", replica_->size()),
+                  {{"ms", std::to_string((loop_.now() - started_at_) / 1ms)}});
     running_ = false;
     Time when = replica_->next();
     if (const auto due = endpoint_overrides_->next()) when = std::min(when, *due);
@@ -281,10 +282,10 @@
 std::optional<std::string> ReplicationService::answer(std::string_view line) {
     if (!line.starts_with("state ")) return std::nullopt;
     if (!start_replica()) return refused("the replica has not started yet");
-    const auto [verb, rest] = first_word(line.substr(6));
+    const auto [verb, rest] = split_first_word(line.substr(6));
     if (verb == "put" || verb == "delete") return put(rest, verb == "delete");
     if (verb == "tables") return tables();
-    if (verb == "get") return entries(unescaped(rest).value_or(""), false);
+    if (verb == "get") return entries(percent_decode(rest).value_or(""), false);
     if (verb == "conflicts") return entries("", true);
     if (verb == "history") return history();
     if (verb == "self") return self();
@@ -299,9 +300,9 @@
     WriteConcern concern;
     std::vector<std::string> positional;
     while (!words.empty()) {
-        const auto [word, rest] = first_word(words);
+        const auto [word, rest] = split_first_word(words);
         words = rest;
-        const auto text = unescaped(word);
+        const auto text = percent_decode(word);
         if (!text) return refused("an argument has an invalid escape sequence");
         if (positional.size() < (deleted ? 2 : 3)) {
             positional.push_back(*text);
@@ -374,13 +375,13 @@
             text += fmt::format(
                 "table={} key={} value={} standing={} by={} age_s={} expires_s={} writer={:016x} count={} "
                 "versions={} reason={}\n",
-                name.table, escaped(name.key),
-                version.deleted ? "-" : escaped(text_of(name.table, version.value)), is_winner ? 1 : 0,
-                escaped(version.written_by), wall_time > written ? (wall_time - written) / 1000 : 0,
+                name.table, percent_encode(name.key),
+                version.deleted ? "-" : percent_encode(text_of(name.table, version.value)), is_winner ? 1 : 0,
+                percent_encode(version.written_by), wall_time > written ? (wall_time - written) / 1000 : 0,
                 version.expires == 0          ? "never"
                 : version.expires > wall_time ? std::to_string((version.expires - wall_time) / 1000)
                                               : "over",
-                version.dot.writer, version.dot.count, entry.versions.size(), escaped(version.reason));
+                version.dot.writer, version.dot.count, entry.versions.size(), percent_encode(version.reason));
         }
     });
     return text;
@@ -392,8 +393,8 @@
     for (const Replica::HistoryRecord& record : replica_->history())
         text += fmt::format("at_ms={} what={} table={} key={} value={} by={} reason={}\n", record.at,
                             kKindNames[static_cast<std::size_t>(record.kind)], record.name.table,
-                            escaped(record.name.key), escaped(record.text), escaped(record.written_by),
-                            escaped(record.reason));
+                            percent_encode(record.name.key), percent_encode(record.text),
+                            percent_encode(record.written_by), percent_encode(record.reason));
     return text;
 }
 
@@ -417,7 +418,7 @@
         : snapshot_->available() ? "on"
                                  : "no",
         replica_->fetching() ? 1 : 0, replica_->queued_pushes(), live_count(), known_count(),
-        wall_time_of(replica_->horizon()), replica_->ahead() ? escaped(replica_->ahead()->first) : "",
+        wall_time_of(replica_->horizon()), replica_->ahead() ? percent_encode(replica_->ahead()->first) : "",
         stats.merged, stats.repairs, stats.pages, stats.dropped, stats.purged, stats.table_full,
         stats.throttled);
 }
--- a/src/replica/replication_service.h
+++ b/src/replica/replication_service.h
@@ -25,7 +25,7 @@
   public:
     /// @param fleet name of the fleet
     /// `options` and `peers` must outlive this object.
-    ReplicationService(Loop& loop, const Options& options, peers::Peers& peers, const std::string& fleet,
+    ReplicationService(EventLoop& loop, const Options& options, peers::Peers& peers, const std::string& fleet,
                        Counters& counters);
     ~ReplicationService() override;
 
@@ -71,7 +71,7 @@
     std::string outcome(std::uint64_t ticket) const;
     std::string self() const;
 
-    Loop& loop_;
+    EventLoop& loop_;
     const Options& options_;
     peers::Peers& peers_;
     std::optional<Replica> replica_;
--- a/src/replica/snapshot_client.h
+++ b/src/replica/snapshot_client.h
@@ -34,7 +34,7 @@
     /// Bytes that wait for the helper. Beyond it the helper is restarted and gets all entries again.
     static constexpr std::size_t kMaxWaitingBytes = 64 << 20;
 
-    SnapshotClient(Loop& loop, std::string helper, std::string directory, std::string fleet,
+    SnapshotClient(EventLoop& loop, std::string helper, std::string directory, std::string fleet,
                    Duration tombstone_ttl, Callbacks callbacks);
     ~SnapshotClient();
 
@@ -55,7 +55,7 @@
     void fail(const std::string& why);
     void reap();
 
-    Loop& loop_;
+    EventLoop& loop_;
     const std::string helper_, directory_, fleet_;
     const Duration tombstone_ttl_;
     Callbacks callbacks_;
--- a/tests/assembly/features_test.cpp
+++ b/tests/assembly/features_test.cpp
@@ -11,7 +11,7 @@
     EXPECT_FALSE(none.subset || none.outliers || none.caution_share || none.ledger);
     EXPECT_EQ(none.connections.most, 0u);
     EXPECT_EQ(none.connections.per_endpoint, 0u);
-    EXPECT_EQ(membership_options(none, {}).caution, Duration{});
+    EXPECT_EQ(membership_options(none, {}).removal_delay, Duration{});
 }
 
 TEST(Features, SectionsAreReadWithTheirDefaults) {
@@ -38,8 +38,8 @@
     decision::Settings settings;
     settings.rules.drain_grace = 1s;
     const auto membership = membership_options(all, settings);
-    EXPECT_EQ(membership.caution, 400ms);
-    EXPECT_EQ(membership.caution_share, 0.4);
+    EXPECT_EQ(membership.removal_delay, 400ms);
+    EXPECT_EQ(membership.max_removal_share, 0.4);
 }
 
 TEST(Features, TheJournalKeepsUnsafeClassesInGroupsAndOthersAsNamed) {
@@ -54,12 +54,12 @@
 )",
                                         "martenford.toml");
     ASSERT_TRUE(read.ledger);
-    EXPECT_EQ(read.ledger->unsafe.level, ledger::Level::Group);
-    EXPECT_EQ(read.ledger->unsafe.outage, ledger::Outage::Refuse);
-    EXPECT_EQ(read.ledger->classes.at("usage-post").level, ledger::Level::Async);
-    EXPECT_EQ(read.ledger->classes.at("usage-post").outage, ledger::Outage::GoOn);
-    EXPECT_EQ(read.ledger->keep, 168h);
-    EXPECT_EQ(read.ledger->hold, 250ms);
+    EXPECT_EQ(read.ledger->non_idempotent.level, ledger::Durability::Group);
+    EXPECT_EQ(read.ledger->non_idempotent.outage, ledger::OutagePolicy::Refuse);
+    EXPECT_EQ(read.ledger->classes.at("usage-post").level, ledger::Durability::Async);
+    EXPECT_EQ(read.ledger->classes.at("usage-post").outage, ledger::OutagePolicy::SendUnjournaled);
+    EXPECT_EQ(read.ledger->journal_retention, 168h);
+    EXPECT_EQ(read.ledger->hold_timeout, 250ms);
 }
 
 struct Wrong {
--- a/tests/discovery/discovery_test.cpp
+++ b/tests/discovery/discovery_test.cpp
@@ -13,7 +13,7 @@
 
 using namespace martenford::standins;
 
-TEST(Discovery, WatchesFromTheKnownListAndTakesADrainInOnArrival) {
+TEST(Discovery, WatchesFromTheConfiguredListAndAppliesADrain) {
     Listener discovery, first, second;
     Sidecar sidecar(config(discovery.address(), target("s-1", first.address()), "automatic"));
     Peer client = sidecar.client();
@@ -28,16 +28,16 @@
         200, list(43, false,
                   target("s-1", first.address(), "Terminating") + "," + target("s-2", second.address()))));
     EXPECT_TRUE(watch.receive().starts_with("GET /api/targets?since=43&timeout_ms="));
-    EXPECT_TRUE(at_first.ends());  // the idle connection to what drains is closed
+    EXPECT_TRUE(at_first.is_closed());  // the idle connection to what drains is closed
     client.send(look("r2"));
     Peer at_second = second.accept();
     at_second.receive();
     at_second.send(answer(200, "2"));
     EXPECT_EQ(body_of(client.receive()), "2");
-    EXPECT_TRUE(first.untouched());
+    EXPECT_TRUE(first.no_connection_pending());
 }
 
-TEST(Discovery, BadAnswersAndEntriesAreSkippedAndTheOldListKept) {
+TEST(Discovery, InvalidAnswersAndEntriesAreSkippedAndTheOldListKept) {
     Listener discovery, first, second;
     Sidecar sidecar(config(discovery.address(), target("s-1", first.address()), "automatic"));
     for (const std::string& bad : {answer(200, "{"), answer(200, R"({"rev":44,"all":true})"), answer(503),
@@ -45,7 +45,7 @@
         Peer watch = discovery.accept();
         EXPECT_TRUE(has(watch.receive(), "since=41&"));
         watch.send(bad);
-        EXPECT_TRUE(watch.ends());
+        EXPECT_TRUE(watch.is_closed());
     }
     Peer watch = discovery.accept();
     watch.receive();
@@ -60,7 +60,7 @@
     EXPECT_EQ(body_of(client.receive()), "1");
 }
 
-TEST(Discovery, AListThatStopsHalfWayIsAskedForAgainLongBeforeTheWatchEnds) {
+TEST(Discovery, ATruncatedAnswerIsRetriedBeforeTheWatchTimesOut) {
     Listener discovery, first, second;
     Sidecar sidecar(config(discovery.address(), target("s-1", first.address()), "automatic"));
     const std::string whole = answer(200, list(42, true, target("s-2", second.address())));
@@ -68,7 +68,7 @@
         Peer watch = discovery.accept();
         watch.receive();
         watch.send(whole.substr(0, part));
-        EXPECT_TRUE(watch.ends());  // this waits 20 s at most, a watch 24
+        EXPECT_TRUE(watch.is_closed());  // this waits 20 s at most, a watch 24
     }
     Peer watch = discovery.accept();
     watch.receive();
@@ -81,19 +81,19 @@
 
 /// One endpoint is gone, another serves, the watch says nothing. Then either the fresh call is answered or
 /// the old watch after all: whichever speaks first goes on as the watch, and the other is closed.
-void silent_watch(bool old_speaks) {
-    Listener discovery, gone, sound;
+void silent_watch(bool old_watch_answers) {
+    Listener discovery, gone, healthy;
     Sidecar sidecar(config(discovery.address(),
-                           target("s-1", gone.address()) + "," + target("s-2", sound.address()),
+                           target("s-1", gone.address()) + "," + target("s-2", healthy.address()),
                            "automatic"));
     Peer watch = discovery.accept();
     EXPECT_TRUE(has(watch.receive(), "since=41&"));
     gone.close();
     // Eight at a time, so that the sound one never looks idle beside the one that is gone.
-    std::vector<Peer> clients, at_sound;
+    std::vector<Peer> clients, at_healthy;
     for (int i = 0; i < 8; ++i) clients.push_back(sidecar.client());
     int rounds = 0;
-    for (; rounds < 300 && discovery.untouched(); ++rounds) {
+    for (; rounds < 300 && discovery.no_connection_pending(); ++rounds) {
         for (std::size_t i = 0; i < clients.size(); ++i) {
             clients[i].send(debit("r" + std::to_string(rounds) + "-" + std::to_string(i)));
         }
@@ -101,49 +101,49 @@
         std::vector<bool> refused(clients.size());
         while (asked.size() + static_cast<std::size_t>(std::count(refused.begin(), refused.end(), true)) <
                clients.size()) {
-            std::vector<pollfd> polls{sound.poll_for()};
-            for (const Peer& peer : at_sound) polls.push_back(peer.poll_for());
+            std::vector<pollfd> polls{healthy.poll_for()};
+            for (const Peer& peer : at_healthy) polls.push_back(peer.poll_for());
             for (const Peer& client : clients) polls.push_back(client.poll_for());
             const std::size_t ready = first_of(polls);
             ASSERT_LT(ready, polls.size());
             if (ready == 0) {
-                at_sound.push_back(sound.accept());
-            } else if (ready > at_sound.size()) {
-                const std::size_t client = ready - 1 - at_sound.size();
+                at_healthy.push_back(healthy.accept());
+            } else if (ready > at_healthy.size()) {
+                const std::size_t client = ready - 1 - at_healthy.size();
                 EXPECT_EQ(status_of(clients[client].receive()), 503);
                 refused[client] = true;
-            } else if (has(at_sound[ready - 1].receive(), "X-Request-ID: r")) {
+            } else if (has(at_healthy[ready - 1].receive(), "X-Request-ID: r")) {
                 asked.push_back(ready - 1);
             } else {
                 FAIL() << "a connection that the sidecar has no use for was closed";
             }
         }
-        for (const std::size_t one : asked) at_sound[one].send(answer(200, "x"));
+        for (const std::size_t one : asked) at_healthy[one].send(answer(200, "x"));
         for (std::size_t i = 0; i < clients.size(); ++i) {
             if (refused[i]) continue;
             EXPECT_EQ(body_of(clients[i].receive()), "x");
         }
     }
     ASSERT_LT(rounds, 300);
-    Peer again = discovery.accept();
-    EXPECT_TRUE(has(again.receive(), "since=41&")) << "what it missed is told at once";
-    Peer &first = old_speaks ? watch : again, &second = old_speaks ? again : watch;
+    Peer new_request = discovery.accept();
+    EXPECT_TRUE(has(new_request.receive(), "since=41&")) << "what it missed is told at once";
+    Peer &first = old_watch_answers ? watch : new_request, &second = old_watch_answers ? new_request : watch;
     first.send(answer(200, list(43, false, target("s-1", gone.address(), "Terminating"))));
     EXPECT_TRUE(has(first.receive(), "since=43&"));
-    EXPECT_TRUE(second.ends());
+    EXPECT_TRUE(second.is_closed());
 }
 
-TEST(Discovery, ASilentWatchIsGivenUpWhereAnEndpointIsGoneAndOthersServe) {
+TEST(Discovery, ASilentWatchIsReplacedWhenAnEndpointRefusesAndOthersServe) {
     silent_watch(false);
 }
 
-TEST(Discovery, WhatASilentWatchIsToldBeforeTheFreshCallIsAnsweredIsNotLost) {
+TEST(Discovery, AnAnswerOnTheOldWatchBeforeTheNewRequestIsAnsweredIsNotLost) {
     // Guards against: it was closed as soon as it was doubted, and news that discovery had just written to it
     // counted as told.
     silent_watch(true);
 }
 
-TEST(Discovery, MovesOnSighupAtOnceKeepsItsListAndAsksForTheWholeOne) {
+TEST(Discovery, SighupChangesTheAgentKeepsTheListAndRequestsTheFullOne) {
     Listener discovery, moved, first, second;
     const std::string known = target("s-1", first.address());
     Sidecar sidecar(config(discovery.address(), known, "automatic"));
@@ -154,7 +154,7 @@
     Peer at_first = first.accept();
     at_first.receive();
     sidecar.reload(config(moved.address(), known, "automatic"));
-    EXPECT_TRUE(old_watch.ends());
+    EXPECT_TRUE(old_watch.is_closed());
     Peer watch = moved.accept();
     // The old revision may mean anything to the new agent.
     EXPECT_TRUE(watch.receive().starts_with("GET /api/targets HTTP/1.1\r\n"));
@@ -166,13 +166,13 @@
     EXPECT_EQ(body_of(client.receive()), "2");
     watch.send(answer(200, list(3, true, target("s-2", second.address()))));
     EXPECT_TRUE(has(watch.receive(), "since=3&"));
-    EXPECT_TRUE(at_first.ends());
+    EXPECT_TRUE(at_first.is_closed());
     client.send(look("r3"));
     Peer at_second = second.accept();
     EXPECT_TRUE(has(at_second.receive(), "X-Request-ID: r3"));
 }
 
-TEST(Discovery, ChangesFromANewAgentAreNoUseBeforeItsWholeList) {
+TEST(Discovery, DeltasFromANewAgentAreRejectedBeforeItsFullList) {
     Listener discovery, moved, first;
     const std::string known = target("s-1", first.address());
     Sidecar sidecar(config(discovery.address(), known, "automatic"));
@@ -182,7 +182,7 @@
     Peer watch = moved.accept();
     watch.receive();
     watch.send(answer(200, list(44, false, target("s-1", first.address(), "Gone"))));
-    EXPECT_TRUE(watch.ends());
+    EXPECT_TRUE(watch.is_closed());
     Peer again = moved.accept();
     EXPECT_TRUE(again.receive().starts_with("GET /api/targets HTTP/1.1\r\n"));
     Peer client = sidecar.client();
@@ -191,7 +191,7 @@
     EXPECT_TRUE(has(at_first.receive(), "X-Request-ID: r1"));
 }
 
-TEST(Discovery, BadNewConfigurationIsOneLineOfLogAndTheOldOneStays) {
+TEST(Discovery, AnInvalidReloadIsLoggedAndTheOldConfigurationStays) {
     Listener discovery, moved, first;
     const std::string good = config(discovery.address(), target("s-1", first.address()), "automatic");
     Sidecar sidecar(good);
@@ -208,21 +208,21 @@
     }
     sidecar.reload(good);  // names the same address: nothing moves
     EXPECT_TRUE(watch.silent());
-    EXPECT_TRUE(moved.untouched());
+    EXPECT_TRUE(moved.no_connection_pending());
     watch.send(answer(200, list(45, false, "")));
     EXPECT_TRUE(has(watch.receive(), "since=45&"));
 }
 
 /// Twelve entries for one address.
-std::string twelve(const Listener& at) {
+std::string twelve_targets(const Listener& at) {
     std::string result;
     for (int i = 0; i < 12; ++i) result += (i ? "," : "") + target("s-" + std::to_string(i), at.address());
     return result;
 }
 
-TEST(Discovery, AListThatTakesMostAwayIsDoubtedTheWholeAskedForAndTheRestServed) {
+TEST(Discovery, RemovingMostEndpointsIsDelayedAndConfirmed) {
     Listener discovery, endpoint;
-    const std::string known = twelve(endpoint);
+    const std::string known = twelve_targets(endpoint);
     Sidecar sidecar(config(discovery.address(), known, "automatic"), "[membership]\n");
     Peer client = sidecar.client();
     Peer watch = discovery.accept();
@@ -242,14 +242,14 @@
     EXPECT_TRUE(watch.receive().starts_with("GET /api/targets HTTP/1.1\r\n"));
     watch.send(answer(200, list(43, true, "")));
     EXPECT_TRUE(has(watch.receive(), "since=43&"));
-    EXPECT_TRUE(at_endpoint.ends());
+    EXPECT_TRUE(at_endpoint.is_closed());
     client.send("GET /-/ready HTTP/1.1\r\nHost: a\r\n\r\n");
     EXPECT_EQ(status_of(client.receive()), 503);
 }
 
-TEST(Discovery, ADoubtThatNobodyAnswersEndsWithinTheDrainGrace) {
+TEST(Discovery, UnconfirmedRemovalsApplyWithinTheDrainGrace) {
     Listener discovery, endpoint;
-    const std::string known = twelve(endpoint);
+    const std::string known = twelve_targets(endpoint);
     Sidecar sidecar(config(discovery.address(), known, "automatic"), "[membership]\n");
     Peer client = sidecar.client();
     Peer watch = discovery.accept();
@@ -261,7 +261,7 @@
     EXPECT_EQ(status_of(client.receive()), 503);
 }
 
-TEST(Discovery, ASubsetIsAllThatIsUsed) {
+TEST(Discovery, OnlyTheSubsetIsUsed) {
     Listener discovery, endpoint;
     std::vector<Listener> all(8);
     std::string known;
@@ -286,7 +286,7 @@
         peer.send(answer(200, "x", "Connection: close\r\n"));
         EXPECT_EQ(body_of(clients.back().receive()), "x");
     }
-    for (std::size_t i = 0; i < all.size(); ++i) EXPECT_TRUE(i == used || all[i].untouched());
+    for (std::size_t i = 0; i < all.size(); ++i) EXPECT_TRUE(i == used || all[i].no_connection_pending());
 }
 
 }  // namespace
--- a/tests/handover/handover_test.cpp
+++ b/tests/handover/handover_test.cpp
@@ -68,7 +68,7 @@
     earlier.terminate();
     EXPECT_EQ(earlier.exit_code(), 0);
     for (int i = 0; i < 20; ++i) expect_served(port, endpoint, "r" + std::to_string(i));
-    EXPECT_EQ(later.figure("success.look"), 20.0);
+    EXPECT_EQ(later.metric("success.look"), 20.0);
 }
 
 TEST_F(Upgrade, SuccessiveUpgradesRefuseNoConnection) {
@@ -88,7 +88,7 @@
         for (std::size_t i = 0; i < clients.size(); ++i) {
             clients[i].send(look("g" + std::to_string(generation) + "-" + std::to_string(i)));
             ASSERT_EQ(first_of({endpoint.poll_for(), clients[i].poll_for()}), 0u)
-                << "generation " << generation << ", client " << i << ": " << clients[i].rest();
+                << "generation " << generation << ", client " << i << ": " << clients[i].receive_all();
             Peer at_endpoint = endpoint.accept();
             at_endpoint.receive();
             at_endpoint.send(answer(200, "here", "Connection: close\r\n"));
@@ -118,7 +118,7 @@
     const std::string reply = client.receive();
     EXPECT_EQ(body_of(reply), "1");
     EXPECT_TRUE(has(reply, "Connection: close\r\n")) << reply;
-    EXPECT_TRUE(client.ends());
+    EXPECT_TRUE(client.is_closed());
 }
 
 TEST_F(Upgrade, SocketLeftByACrashedProcessDoesNotPreventAStart) {
@@ -161,7 +161,7 @@
         Peer client = Peer::to(port);
         client.send(look("r" + std::to_string(served + lost)));
         if (first_of({endpoint.poll_for(), client.poll_for()}) == 1) {
-            EXPECT_TRUE(client.ends());  // closed before the request was read or forwarded
+            EXPECT_TRUE(client.is_closed());  // closed before the request was read or forwarded
             ++lost;
             return;
         }
@@ -173,8 +173,8 @@
     };
     // New clients connect while both listen, while the earlier process exits, and afterwards.
     while (served < 50) ask();
-    EXPECT_GT(earlier.figure("success.look"), 0.0);
-    EXPECT_GT(later.figure("success.look"), 0.0);
+    EXPECT_GT(earlier.metric("success.look"), 0.0);
+    EXPECT_GT(later.metric("success.look"), 0.0);
     earlier.terminate();
     auto ended = std::async(std::launch::async, [&] { return earlier.exit_code(); });
     while (ended.wait_for(std::chrono::seconds(0)) != std::future_status::ready) ask();
