--- a/src/core/address.h
+++ b/src/core/address.h
@@ -1,4 +1,4 @@
-// Where a socket is.
+// Socket addresses and their text form.
 #pragma once
 
 #include <boost/asio/ip/tcp.hpp>
@@ -10,7 +10,7 @@
 
 using Address = boost::asio::ip::tcp::endpoint;
 
-/// "10.0.0.4:8443"; nothing where the text is no such address.
+/// Parses "10.0.0.4:8443"; returns nothing if the text is not an address with a port.
 std::optional<Address> parse_address(std::string_view text);
 std::string text_of(const Address& address);
 
--- a/src/core/counters.h
+++ b/src/core/counters.h
@@ -1,4 +1,5 @@
-// The one registry of counters: packages enter theirs, whoever reports reads them here. Nothing counts twice.
+// The registry of counters. Each component registers its own; reports and telemetry read them here, so that
+// nothing is counted twice.
 #pragma once
 
 #include <cstdint>
@@ -9,7 +10,7 @@
 
 namespace martenford {
 
-/// A number that only grows, for as long as the process lives; 64 bits don't wrap.
+/// A counter that only grows during the life of the process. 64 bits do not overflow.
 class Counter {
   public:
     void add(std::uint64_t by = 1) { value_ += by; }
@@ -22,23 +23,23 @@
 class Counters {
   public:
     struct Entry {
-        std::string name;  ///< "package.what": small letters, digits, '_' and one '.'
+        std::string name;  ///< "package.what": lower-case letters, digits, '_' and one '.'
         std::string help;
-        std::string label;  ///< of several with one name: the class of requests; else empty
+        std::string label;  ///< tells apart counters of one name, by request class; else empty
         Counter counter;
         std::function<double()>
-            gauge;  ///< where it is set, this is read instead: a value that goes both ways
+            gauge;  ///< if set, this is read instead of the counter: a value that can also fall
     };
     Counters() = default;
     Counters(const Counters&) = delete;
     Counters& operator=(const Counters&) = delete;
 
-    /// The counter of this name and label, which lives as long as the registry. Entered twice it is the same
-    /// counter.
+    /// Returns the counter with this name and label, which lives as long as the registry. Registering it
+    /// twice returns the same counter.
     Counter& counter(const std::string& name, const std::string& help, const std::string& label = {}) {
         return entry(name, help, label).counter;
     }
-    /// Read whenever somebody asks; whoever enters it outlives that.
+    /// Registers a gauge, which is read on demand. What `read` refers to must outlive the registry's readers.
     void gauge(const std::string& name, const std::string& help, std::function<double()> read) {
         entry(name, help, {}).gauge = std::move(read);
     }
@@ -46,12 +47,13 @@
 
   private:
     Entry& entry(const std::string& name, const std::string& help, const std::string& label) {
-        for (Entry& e : entries_) {  // entered at the start, some dozens
+        for (Entry& e :
+             entries_) {  // a linear search: counters are registered at startup, a few dozen of them
             if (e.name == name && e.label == label) return e;
         }
         return entries_.emplace_back(Entry{name, help, label, {}, {}});
     }
-    std::deque<Entry> entries_;  // addresses stay
+    std::deque<Entry> entries_;  // a deque: references to the entries stay valid
 };
 
 }  // namespace martenford
--- a/src/core/endpoint_table.h
+++ b/src/core/endpoint_table.h
@@ -1,4 +1,4 @@
-// Where endpoints are: discovery says so, a back goes by it.
+// The addresses of endpoints: service discovery sets them, an EndpointClient connects to them.
 #pragma once
 
 #include <string>
@@ -11,11 +11,11 @@
 class EndpointTable {
   public:
     virtual ~EndpointTable() = default;
-    /// Where an endpoint is. Connections to another address of its, and to one that drains, carry nothing
-    /// new.
+    /// Sets an endpoint's address. Connections to its earlier address, and to an endpoint that is draining
+    /// (not `ready`), carry no new requests.
     virtual void set_endpoint(EndpointId id, const Address& address, bool ready) = 0;
     virtual void remove(EndpointId id) = 0;
-    /// Its name in discovery, told before place().
+    /// Sets the endpoint's name in discovery; called before set_endpoint().
     virtual void set_name(EndpointId, const std::string&) {}
 };
 
--- a/src/core/engine.cpp
+++ b/src/core/engine.cpp
@@ -9,7 +9,8 @@
 using CompletionReason = Observer::CompletionReason;
 
 namespace {
-/// The module speaks first at its deadline: a time-out there may still be a refusal, the backstop's is not.
+/// The policy acts at the deadline itself, where a timed-out request may still be answered as refused. The
+/// backstop, which can only fail it, comes a little later.
 constexpr Duration kBackstopDelay = 3ms;
 }  // namespace
 
@@ -45,7 +46,7 @@
     request_state.arriving = request.arriving;
     request_state.held = interceptor_ && interceptor_->holds(request);
     request.arriving |= request_state.held;
-    // Guards against a request that is lost because the module holds it, or has forgotten it.
+    // Guards against a request that is never answered because the policy holds it or has lost track of it.
     request_state.backstop.set(request_state.deadline + kBackstopDelay, [this, id = request.id] {
         if (complete(id, Answer{}, CompletionReason::Deadline)) post(DeadlineExpired{id});
     });
@@ -85,7 +86,7 @@
 void Engine::client_disconnected(const RequestId& id) {
     const auto it = requests_.find(id);
     if (it == requests_.end() || !it->second.reply) return;
-    it->second.reply = [](Answer&&) {};  // nobody is left to read one
+    it->second.reply = [](Answer&&) {};  // there is no client left to answer
     if (interceptor_) interceptor_->client_disconnected(id);
     complete(id, Answer{}, CompletionReason::ClientDisconnected);
     post(DeadlineExpired{id});
@@ -104,7 +105,7 @@
     if (const auto handle = attempt.handle.lock(); handle && attempt.in_flight) handle->cancel();
 }
 
-/// The module is never entered from within: what arises while its actions run waits here.
+/// The policy is never re-entered: events that arise while its actions run are queued here.
 void Engine::post(Event event) {
     events_.push_back(std::move(event));
     if (std::exchange(dispatching_, true)) return;
@@ -162,7 +163,7 @@
 void Engine::send(const Send& send) {
     const auto it = requests_.find(send.id);
     const Time now = scheduler_.now();
-    // Nothing goes out for a request that is complete, out of time or out of attempts.
+    // Nothing is sent for a request that is complete, past its deadline or out of attempts.
     if (it == requests_.end()) return;
     OpenRequest& request_state = it->second;
     const std::size_t number = request_state.attempts.size();
@@ -205,13 +206,13 @@
         answer.head = std::move(result.head);
         answer.length = result.length;
         const auto rest = answer.rest;
-        // Guards against an endpoint that goes on answering a caller who has left.
+        // Guards against an endpoint that keeps sending to a caller that has disconnected.
         if (!complete(id, std::move(answer), CompletionReason::Endpoint) && rest) rest->stop_reading();
     } else if (result.status == Status::Error && result.head) {
         request_state.failure = std::move(result.head);
         request_state.failure_body = std::move(result.body);
     } else if (request_state.message && !request_state.message->resendable()) {
-        // Its body has been handed on and let go: there is nothing left that could be sent.
+        // The body has been forwarded and freed, so that another attempt has nothing to send.
         const bool never_ran = result.status == Status::Full || result.status == Status::ConnectFailed ||
                                result.status == Status::NotSent;
         complete(id, Answer{never_ran ? Answer::Kind::Refused : Answer::Kind::Failed, {}, {}, {}},
@@ -224,7 +225,7 @@
     if (ended_) ended_(endpoint, status);
 }
 
-/// The one place that completes a request: at most once, and nothing more of it goes out.
+/// The only place that completes a request: at most once, and nothing more is sent for it afterwards.
 bool Engine::complete(const RequestId& id, Answer&& answer, CompletionReason reason) {
     const auto it = requests_.find(id);
     const Reply reply = it == requests_.end() ? nullptr : std::exchange(it->second.reply, nullptr);
@@ -245,8 +246,8 @@
         ticket.end(outcome);
     }
     if (observer_) observer_->request_completed(id, outcome, reason);
-    // Guards against an attempt that was waiting for its connection and would be written after the answer.
-    // Each that ends may end the call too: go by a copy.
+    // Guards against an attempt that was still waiting for its connection and would be written after the
+    // answer. An attempt that ends may erase the request, hence the copy.
     std::vector<EndpointClient::Handle> in_flight;
     for (const Attempt& attempt : it->second.attempts) {
         if (attempt.in_flight) in_flight.push_back(attempt.handle);
@@ -260,7 +261,7 @@
     return true;
 }
 
-/// Kept while an answer is owed or an attempt is out: the id may not come anew before.
+/// A request is kept while its answer is due or an attempt is in flight: its id cannot be reused before that.
 void Engine::erase_if_finished(const RequestId& id) {
     const auto it = requests_.find(id);
     if (it == requests_.end() || it->second.reply) return;
--- a/src/core/engine.h
+++ b/src/core/engine.h
@@ -1,5 +1,5 @@
-// Owns the policy: turns what happens into its events and its actions into I/O. The table of open requests
-// is here, and the one place that completes a request.
+// The engine owns the policy. It turns what happens into events for the policy, and the policy's actions into
+// I/O. It holds the table of open requests, and is the only place that completes a request.
 #pragma once
 
 #include <deque>
@@ -23,72 +23,74 @@
     Kind kind = Kind::Failed;
     std::string body;
     std::string content_type;
-    Duration retry_after{};                 ///< of a refusal; 0: no advice
-    std::shared_ptr<Pipe> rest{};           ///< of a body that is still coming; empty: it is whole
-    std::optional<std::uint64_t> length{};  ///< of the whole body, where the endpoint told it
-    RequestCounters::Ticket ticket{};       ///< where there is a rest: the front says how that ended
-    /// Called by the front once the last byte has been written. Empty: nobody wants to know.
+    Duration retry_after{};                 ///< of a refusal: the suggested delay; 0: none
+    std::shared_ptr<Pipe> rest{};           ///< the rest of a streamed body; null if `body` is complete
+    std::optional<std::uint64_t> length{};  ///< of the whole body, if the endpoint stated it
+    RequestCounters::Ticket ticket{};       ///< set with `rest`: the listener reports how streaming it ended
+    /// Called by the listener once the last byte has been written; may be empty.
     std::function<void()> on_written{};
-    /// Where an endpoint gave this answer, its head; also of one that failed. Empty: the front's own.
+    /// The head of the endpoint's answer, also of a failed one; null if this proxy made the answer itself.
     std::shared_ptr<const AnswerHead> head{};
 };
 
-/// Who takes requests from a front: the engine, or whoever answers calls by itself.
+/// Handles requests from a listener: the engine, or a server that answers them itself.
 class RequestHandler {
   public:
     using Reply = std::function<void(Answer&&)>;
 
     virtual ~RequestHandler() = default;
-    /// Takes a request; `reply` is called once, unless the client leaves first. False where one with the same
-    /// id is still under way: then nothing was taken.
+    /// Takes a request. `reply` is called once, unless the client disconnects first. Returns false, and takes
+    /// nothing, if a request with the same id is in flight.
     virtual bool submit(decision::Request request, std::shared_ptr<const Message> message, Reply reply) = 0;
-    /// All of a request that was taken while it was arriving is here: its client waits until `deadline`.
+    /// The whole body of a request that was submitted while arriving has been received; its client waits
+    /// until `deadline`.
     virtual void body_received(const decision::RequestId& id, Time deadline) = 0;
-    /// The client of an open request has gone.
+    /// The client of an open request has disconnected.
     virtual void client_disconnected(const decision::RequestId& id) = 0;
 };
 
-/// Sees the requests that the engine takes, from their beginning to their one answer.
+/// Follows each request of the engine from its start to its answer. May refuse it or delay its first attempt.
 class RequestInterceptor {
   public:
     virtual ~RequestInterceptor() = default;
-    /// False: the request is refused at once, as one that never ran.
+    /// Returns false to refuse the request at once, as one that never ran.
     virtual bool admits(const decision::Request& request) = 0;
-    /// True: its first attempt will be held for a while by what stands before the back, which then says
-    /// Engine::released().
+    /// Returns true if the first attempt will be held back for a while on its way to the endpoint client.
+    /// Engine::released() is called once it goes out.
     virtual bool holds(const decision::Request& request) = 0;
-    /// A request is complete. What it gives back is called once the answer is written; empty: no need.
+    /// A request is complete. The returned callback runs once the answer has been written; may be empty.
     virtual std::function<void()> completed(const decision::RequestId& id, Answer::Kind kind) = 0;
-    /// Its client has gone before that.
+    /// The client disconnected before its request was complete.
     virtual void client_disconnected(const decision::RequestId& id) = 0;
 };
 
 class Engine : public RequestHandler {
   public:
-    /// `policy` decides; attempts go through `back`. Both, and the scheduler, outlive what they carry.
+    /// `policy` decides; attempts are sent through `endpoint_client`. The scheduler, the endpoint client and
+    /// the counters outlive the engine.
     Engine(Scheduler& scheduler, EndpointClient& endpoint_client, const decision::Limits& limits,
            std::unique_ptr<Policy> policy, RequestCounters& request_counters);
 
-    /// What the module's Subscribe calls.
+    /// Sets the callback for the policy's Subscribe action.
     void on_subscribe(std::function<void()> subscribe) { subscribe_ = std::move(subscribe); }
-    /// Sees how each attempt ended, whatever the module makes of it.
+    /// Sets a callback for the end of each attempt, independent of what the policy makes of it.
     void on_attempt_ended(std::function<void(EndpointId, decision::Status)> ended) {
         ended_ = std::move(ended);
     }
-    /// Sees requests begin and end.
+    /// Sets the interceptor of all requests; null for none.
     void set_interceptor(RequestInterceptor* interceptor) { interceptor_ = interceptor; }
-    /// Hears of everything, and has no say.
+    /// Sets the observer, which is told of everything and decides nothing; null for none.
     void set_observer(Observer* observer) { observer_ = observer; }
     void start();
 
     bool submit(decision::Request request, std::shared_ptr<const Message> message, Reply reply) override;
     void body_received(const decision::RequestId& id, Time deadline) override;
-    /// The first attempt of a request that was held goes out: until now it was no work to any endpoint.
+    /// The first attempt of a held request goes out. Until now no endpoint has had any work from it.
     void released(const decision::RequestId& id);
     void client_disconnected(const decision::RequestId& id) override;
-    /// Answers an open request at once, without the module: `refused` only where nothing of it can have run.
+    /// Answers an open request at once, without the policy. `refused` only if nothing of it can have run.
     void abort(const decision::RequestId& id, bool refused);
-    /// Ends one attempt that is out, as the module's Cancel does: its outcome is Cancelled.
+    /// Cancels one attempt in flight, as the policy's Cancel action does; it ends as Cancelled.
     void cancel(const decision::RequestId& id, decision::AttemptNumber attempt);
     void handle_discovery(decision::Discovered discovered) {
         if (observer_) observer_->endpoints_listed(discovered);
@@ -102,7 +104,7 @@
         bool in_flight = true;
     };
     struct OpenRequest {
-        /// Whether another attempt may begin now.
+        /// Whether another attempt may start now.
         [[nodiscard]] bool may_send(Time now, std::size_t max_attempts) const;
         explicit OpenRequest(Scheduler& scheduler) : backstop(scheduler) {}
         std::shared_ptr<const Message> message;
@@ -111,10 +113,10 @@
         RequestCounters::Ticket ticket;
         Timer backstop;
         std::vector<Attempt> attempts;
-        /// The last answer of an endpoint that did not serve: what the client gets if nothing better comes.
+        /// The last unsuccessful answer of an endpoint: the client gets it if nothing better comes.
         std::shared_ptr<const AnswerHead> failure;
         std::string failure_body;
-        bool arriving = false, held = false;  // the module hears Received once it is neither
+        bool arriving = false, held = false;  // the policy gets Received once neither is true
     };
 
     void post(decision::Event event);
--- a/src/core/events.cpp
+++ b/src/core/events.cpp
@@ -20,14 +20,16 @@
 namespace {
 
 constexpr std::chrono::minutes kRateLimitWindow{1};
-constexpr std::size_t kMaxLineBytes = 2048;  // bytes of a line: under what a pipe takes whole
+// Below PIPE_BUF, so that a pipe takes a line whole or not at all.
+constexpr std::size_t kMaxLineBytes = 2048;
 
-/// Standard error, without ever waiting for who reads it.
+/// Writes to standard error. If that is a pipe, it never waits for the reader.
 class NonBlockingSink : public spdlog::sinks::base_sink<spdlog::details::null_mutex> {
   public:
     NonBlockingSink() {
         struct stat about {};
-        // A pipe gets a description of its own: the flag must not change for others that write to it.
+        // A pipe is opened anew: O_NONBLOCK must not apply to other processes that write to the same file
+        // description.
         if (::fstat(STDERR_FILENO, &about) == 0 && S_ISFIFO(about.st_mode)) {
             const int own = ::open("/proc/self/fd/2", O_WRONLY | O_NONBLOCK | O_CLOEXEC);
             if (own >= 0) fd_ = own;
@@ -80,81 +82,80 @@
 }  // namespace
 
 const std::vector<EventKind>& event_kinds() {
-    constexpr unsigned kRareLinesPerMinute = 60;       // things that happen some times a day
-    constexpr unsigned kFrequentLinesPerMinute = 120;  // in a large fleet that starts or falls, many at once
+    constexpr unsigned kRareLinesPerMinute = 60;       // events that occur a few times a day
+    constexpr unsigned kFrequentLinesPerMinute = 120;  // many at once while a large fleet starts or fails
     using enum Event;
     static const std::vector<EventKind> kinds{
         {Listening, "MF001", "front.listening", Severity::Info, kRareLinesPerMinute,
-         "It takes clients, at this address"},
+         "Clients are accepted at this address"},
         {ConsoleListening, "MF002", "console.listening", Severity::Info, kRareLinesPerMinute,
-         "Operators call at this address"},
+         "The operators' console listens at this address"},
         {TakeoverStarted, "MF003", "handover.takes_over", Severity::Info, kRareLinesPerMinute,
-         "An earlier process of this sidecar hands over to it"},
+         "This process takes over from an earlier process of this sidecar"},
         {NoSuccessor, "MF004", "handover.no_heir", Severity::Warning, kRareLinesPerMinute,
-         "No later process can take over from it: the next upgrade refuses connections"},
+         "No later process can take over from this one: the next upgrade refuses connections"},
         {Evacuates, "MF005", "front.evacuates", Severity::Info, kRareLinesPerMinute,
-         "An operator sends its clients away"},
+         "An operator started an evacuation: clients are sent away"},
         {Activates, "MF006", "front.activates", Severity::Info, kRareLinesPerMinute,
-         "An operator has it serve again"},
+         "An operator ended the evacuation: requests are served again"},
         {ConfigRejected, "MF007", "config.kept", Severity::Error, kRareLinesPerMinute,
-         "A new configuration can't be read; the old one stays"},
+         "A new configuration is invalid; the old one stays in effect"},
         {DiscoveryAddressChanged, "MF010", "discovery.moves", Severity::Info, kRareLinesPerMinute,
-         "Discovery is asked at another address"},
+         "Discovery is queried at another address"},
         {DiscoveryResync, "MF011", "discovery.anew", Severity::Warning, kRareLinesPerMinute,
-         "Endpoints are not as listed: discovery is asked anew"},
+         "Endpoints differ from the list: a new list is requested from discovery"},
         {DiscoveryCallFailed, "MF012", "discovery.trouble", Severity::Warning, kRareLinesPerMinute,
-         "A call of discovery failed; it is repeated"},
+         "A call to discovery failed; it is retried"},
         {DiscoveryListSuspicious, "MF013", "discovery.remark", Severity::Warning, kRareLinesPerMinute,
-         "A list is doubted, or takes away much of the tier"},
+         "A list from discovery is in doubt, or removes a large part of the tier"},
         {EntriesSkipped, "MF014", "discovery.skipped", Severity::Warning, kRareLinesPerMinute,
-         "Entries of a list can't be read and were left out"},
+         "Entries of a list could not be parsed and were skipped"},
         {JournalWriterLost, "MF020", "ledger.lost", Severity::Error, kRareLinesPerMinute,
-         "The journal's writer died, hung or can keep nothing; it is started again"},
+         "The journal's writer died, hung or cannot store anything; it is restarted"},
         {JournalRecovered, "MF021", "ledger.works", Severity::Info, kRareLinesPerMinute,
-         "The journal keeps records again"},
+         "The journal stores records again"},
         {JournalBypassed, "MF022", "ledger.unkept", Severity::Error, kRareLinesPerMinute,
-         "Requests that must not run twice go out unjournaled, as configured"},
+         "Requests that must not run twice are sent without a journal record, as configured"},
         {FleetListening, "MF100", "fleet.listens", Severity::Info, kRareLinesPerMinute,
-         "Others of the fleet reach it here"},
+         "Other members of the fleet can connect at this address"},
         {FleetCannotListen, "MF101", "fleet.no_place", Severity::Error, kRareLinesPerMinute,
-         "It can't listen for others; it serves without a fleet and tries again"},
-        {FleetJoined, "MF102", "fleet.joined", Severity::Info, kFrequentLinesPerMinute,
-         "A member is new here"},
+         "Listening for other members failed; the process serves without a fleet and retries"},
+        {FleetJoined, "MF102", "fleet.joined", Severity::Info, kFrequentLinesPerMinute, "A member joined"},
         {FleetLeft, "MF103", "fleet.left", Severity::Info, kFrequentLinesPerMinute,
-         "A member ended in order"},
+         "A member left in an orderly way"},
         {FleetDied, "MF104", "fleet.died", Severity::Warning, kFrequentLinesPerMinute,
-         "Nobody reaches a member any more"},
+         "No member can reach this member any more"},
         {FleetMassLoss, "MF105", "fleet.lost_at_once", Severity::Error, kRareLinesPerMinute,
-         "Several members went together: a partition, a zone, a rollout"},
+         "Several members were lost at once: a partition, a zone failure or a rollout"},
         {FleetReturned, "MF106", "fleet.returned", Severity::Info, kFrequentLinesPerMinute,
-         "A member that was held dead was not"},
+         "A member that was considered dead is alive"},
         {FleetDuplicateName, "MF107", "fleet.doubled", Severity::Error, kRareLinesPerMinute,
-         "Two live processes have one name, and neither takes over from the other"},
+         "Two running processes have the same name, and neither takes over from the other"},
         {FleetProcessPaused, "MF108", "fleet.stood", Severity::Warning, kRareLinesPerMinute,
-         "This process stood still"},
+         "This process did not run for a while"},
         {FleetSuspicionRefuted, "MF109", "fleet.accused", Severity::Warning, kRareLinesPerMinute,
-         "This process was suspected, and has refuted it"},
+         "Other members suspected this process of being dead; it has refuted that"},
         {StateCaughtUp, "MF120", "state.caught_up", Severity::Info, kRareLinesPerMinute,
-         "It has had all shared state that another sidecar had"},
+         "All shared state of another sidecar has been received"},
         {StateNotPersisted, "MF121", "state.unkept", Severity::Error, kRareLinesPerMinute,
-         "Shared state is not kept on disk now; it is shared all the same"},
+         "Shared state is not stored on disk at present; it is still shared"},
         {StatePersisted, "MF122", "state.kept", Severity::Info, kRareLinesPerMinute,
-         "Shared state is kept on disk again"},
+         "Shared state is stored on disk again"},
         {StateCopyRejected, "MF123", "state.aside", Severity::Error, kRareLinesPerMinute,
          "A copy on disk, or entries of it, can't be used: old, damaged, of another fleet or a later "
          "version"},
         {LogLinesLost, "MF900", "log.lost", Severity::Warning, kRareLinesPerMinute,
-         "Nobody read the log fast enough"}};
+         "Log lines were lost because nobody read them fast enough"}};
     return kinds;
 }
 
 std::string events_page() {
     std::string page =
-        "# Events\n\nEvery line that the program tells of itself has a code that stays with its meaning: "
+        "# Events\n\nEach event that the program logs has a code that never changes its meaning: "
         "`martenford: CODE "
-        "text | key=value ...`.\nMade by `martenford events`; what comes more often than the bound a minute "
-        "is counted and "
-        "told of with the next of its kind.\n\n| code | name | weight | a minute | meaning |\n| --- | --- | "
+        "text | key=value ...`.\nGenerated by `martenford events`. Lines beyond the limit per minute are "
+        "suppressed; the next line of "
+        "their kind gives their number.\n\n| code | name | severity | a minute | meaning |\n| --- | --- | "
         "--- | --- | --- |\n";
     constexpr const char* kSeverities[] = {"info", "warning", "error"};
     for (const EventKind& kind : event_kinds()) {
@@ -185,13 +186,14 @@
         line += fmt::format("{}{}={}", std::exchange(first, false) ? " | " : " ", key, value);
     }
     if (rate_limit.suppressed > 0)
-        line += fmt::format(" ({} more before)", std::exchange(rate_limit.suppressed, 0));
+        line += fmt::format(" ({} more suppressed)", std::exchange(rate_limit.suppressed, 0));
     if (line.size() > kMaxLineBytes) line.resize(kMaxLineBytes);
     log.logger.log(level_of(kind.severity), "{}", line);
     if (event != Event::LogLinesLost && log.sink->lost() > 0) {
         const auto lost = log.sink->lost();
         log.sink->reset_lost();
-        log_event(Event::LogLinesLost, fmt::format("{} lines found no reader", lost));
+        log_event(Event::LogLinesLost,
+                  fmt::format("{} lines lost: standard error was not read fast enough", lost));
     }
 }
 
--- a/src/core/events.h
+++ b/src/core/events.h
@@ -1,6 +1,6 @@
-// What the program tells people: each kind has a stable code and a name, and is bounded in how often it is
-// told. The one table that docs/operate/events.md is made of. A pipe never
-// blocks it: what it has no room for is counted. Another kind of standard error may.
+// Events that the program logs. Each kind has a stable code and name and a limit on its lines per minute.
+// docs/operate/events.md is generated from this table. Logging to a pipe never blocks: a line that the pipe
+// has no room for is dropped and counted. Logging to another kind of standard error may block.
 #pragma once
 
 #include <initializer_list>
@@ -48,19 +48,19 @@
 
 struct EventKind {
     Event event;
-    const char* code;  ///< "MF101": stays with its meaning for good
+    const char* code;  ///< "MF101"; never changes its meaning
     const char* name;  ///< "package.what"
     Severity severity;
-    unsigned max_lines_per_minute;  ///< lines a minute; what comes more often is counted, and told of with
-                                    ///< the next one
+    unsigned max_lines_per_minute;  ///< further lines are suppressed; the next line that is written gives
+                                    ///< their number
     const char* meaning;
 };
 const std::vector<EventKind>& event_kinds();
-/// The table as a page, for people.
+/// The table as a Markdown page.
 std::string events_page();
 
 using Field = std::pair<std::string_view, std::string>;
-/// One line: "martenford: CODE text | key=value ...".
+/// Writes one line: "martenford: CODE text | key=value ...".
 void log_event(Event event, const std::string& text, std::initializer_list<Field> fields = {});
 
 }  // namespace martenford
--- a/src/core/log.h
+++ b/src/core/log.h
@@ -4,7 +4,8 @@
 
 namespace martenford {
 
-/// One line on standard error. For rare events: never once a request or a bad peer.
+/// Writes one line to standard error. Only for rare events: neither requests nor misbehaving peers may cause
+/// a line each.
 void log(const std::string& line);
 
 }  // namespace martenford
--- a/src/core/loop.cpp
+++ b/src/core/loop.cpp
@@ -3,7 +3,7 @@
 namespace martenford {
 
 namespace {
-constexpr int kMaxHandlersPerTurn = 1000;  // run in one turn at most, so that timers fire under any load
+constexpr int kMaxHandlersPerTurn = 1000;  // so that timers fire under any load
 }
 
 Time EventLoop::monotonic() {
@@ -25,8 +25,8 @@
             const auto next = timers_.begin()->first.first.time_since_epoch();
             io_.run_one_until(std::chrono::steady_clock::time_point{next});
         }
-        // Guards against a process that got no core for a while and then takes an answer that is already here
-        // for one that never came: all that is ready is read before any time-out is looked at.
+        // Guards against a process that was not scheduled for a while and takes an answer that has already
+        // arrived for a missing one: everything that is ready is read before any timer fires.
         for (int i = 0; i < kMaxHandlersPerTurn && !stopped_ && io_.poll_one() > 0; ++i) {
         }
         fire_due();
--- a/src/core/loop.h
+++ b/src/core/loop.h
@@ -1,4 +1,4 @@
-// The one event loop: Asio for sockets, and timers that fire only after the sockets that are ready were read.
+// The event loop: Asio for sockets, and timers that fire only after all ready sockets have been read.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -14,11 +14,12 @@
 class EventLoop : public Scheduler {
   public:
     EventLoop() = default;
-    /// What pending timers hold may hold timers of its own: those find the table empty.
+    /// Pending callbacks may own timers that unregister themselves when destroyed: those must find the table
+    /// empty.
     ~EventLoop() override { const auto pending = std::exchange(timers_, {}); }
 
     asio::io_context& io() { return io_; }
-    /// The monotonic clock, as the module counts time.
+    /// The monotonic clock, in the time type of the decision module.
     static Time monotonic();
     Time now() const override { return monotonic(); }
     Key add(Time when, std::function<void()> callback) override;
@@ -26,13 +27,14 @@
     /// Runs until stop().
     void run();
     void stop() { stopped_ = true; }
-    /// After stop(): run() may be called again.
+    /// Allows run() to be called again after stop().
     void resume() { stopped_ = false; }
 
   private:
     void fire_due();
 
-    std::map<Key, std::function<void()>> timers_;  // outlives io_, whose handlers own timers
+    std::map<Key, std::function<void()>>
+        timers_;  // declared before io_ to outlive it: its handlers own timers
     std::uint64_t last_id_ = 0;
     bool stopped_ = false;
     asio::io_context io_{1};
--- a/src/core/observer.h
+++ b/src/core/observer.h
@@ -1,4 +1,4 @@
-// Sees what the engine does with requests, and changes nothing of it.
+// Observes what the engine does with requests, without any influence on it.
 #pragma once
 
 #include <cstddef>
@@ -11,14 +11,14 @@
 
 class Observer {
   public:
-    /// Who answered a request, where no endpoint did.
+    /// Why a request was completed, and by what.
     enum class CompletionReason {
-        Endpoint,            ///< an endpoint did
-        Policy,              ///< the decision module: turned away, or given up on
-        Journal,             ///< the journal could not take it
-        Deadline,            ///< the module had not spoken by its deadline
-        ClientDisconnected,  ///< its client left
-        BodyConsumed,        ///< its body had been passed on and can't go again
+        Endpoint,            ///< an endpoint answered
+        Policy,              ///< the policy refused or failed it
+        Journal,             ///< the journal could not record it
+        Deadline,            ///< the policy did nothing before the deadline
+        ClientDisconnected,  ///< its client disconnected
+        BodyConsumed,        ///< its body was forwarded and freed, and cannot be sent again
     };
 
     virtual ~Observer() = default;
--- a/src/core/pipe.h
+++ b/src/core/pipe.h
@@ -1,5 +1,5 @@
-// A body on its way from one connection to another: pieces in order, with a bound on what is held, so that a
-// message larger than the process may grow passes through it.
+// A body that is streamed from one connection to another: ordered pieces in a buffer with a limit, so that a
+// body larger than the memory of the process can pass through.
 #pragma once
 
 #include <cstddef>
@@ -9,25 +9,25 @@
 
 namespace martenford {
 
-/// One writer, one reader, one thread. Each side is told of what the other did, from within that call; it may
-/// be told when nothing has changed for it.
+/// One writer, one reader, one thread. Each side is notified synchronously of what the other does; a
+/// notification may be spurious.
 class Pipe {
   public:
     enum class State { Open, Complete, Failed };
 
-    /// The writer stops for a while once `most` bytes are held; a piece put before that may go beyond it.
+    /// The writer pauses once `max_bytes` are buffered. The piece that reaches the limit may exceed it.
     explicit Pipe(std::size_t max_bytes) : max_bytes_(max_bytes) {}
     Pipe(const Pipe&) = delete;
     Pipe& operator=(const Pipe&) = delete;
 
-    // ---- the writer's side
+    // ---- writer side
     void on_writable(std::function<void()> callback) { on_writable_ = std::move(callback); }
     bool has_room() const { return buffered_.size() < max_bytes_; }
-    /// Nobody reads what is put here any more.
+    /// Whether the reader has stopped: what is put here is discarded.
     bool reader_closed() const { return reader_closed_; }
     void put(std::string&& piece) {
         if (state_ != State::Open || reader_closed_ || piece.empty()) return;
-        // The reader has mostly taken what was there: then nothing is copied.
+        // Usually the reader has emptied the buffer: then nothing is copied.
         if (buffered_.empty()) {
             buffered_ = std::move(piece);
         } else {
@@ -37,14 +37,14 @@
     }
     /// The body is complete.
     void finish() { end(State::Complete); }
-    /// The rest will never come: whoever passes it on must let its peer see that.
+    /// The rest will not come. The reader must make the truncation visible to its peer.
     void fail() { end(State::Failed); }
 
-    // ---- the reader's side
+    // ---- reader side
     void on_readable(std::function<void()> callback) { on_readable_ = std::move(callback); }
     State state() const { return state_; }
     bool empty() const { return buffered_.empty(); }
-    /// All that is held now.
+    /// Takes all that is buffered now.
     std::string take() {
         std::string taken = std::exchange(buffered_, {});
         if (!taken.empty()) notify(on_writable_);
@@ -64,7 +64,7 @@
         on_writable_ = nullptr;
         notify(on_readable_);
     }
-    /// By a copy: what is told may set another, or end the pipe.
+    /// Takes a copy: the callback may replace itself or end the pipe.
     static void notify(std::function<void()> callback) {
         if (callback) callback();
     }
--- a/src/core/policy.h
+++ b/src/core/policy.h
@@ -15,7 +15,7 @@
                         std::vector<decision::Action>& out) = 0;
 };
 
-/// The one that serves.
+/// The policy used in production: decision::Balancer.
 class BalancerPolicy : public Policy {
   public:
     /// Throws std::invalid_argument, as decision::validate() does.
--- a/src/core/request_counters.h
+++ b/src/core/request_counters.h
@@ -1,4 +1,4 @@
-// Requests by class: how many are under way and how each ended. The one place that counts them.
+// Counts requests by class: those in flight, and how each ended. Nothing else counts them.
 #pragma once
 
 #include <cstdint>
@@ -15,7 +15,7 @@
   public:
     enum class Outcome { Served, Refused, Failed };
 
-    /// A request under way; it ends once. One that is dropped unended has failed.
+    /// A request in flight. It ends once; one that is destroyed without an end counts as failed.
     class Ticket {
       public:
         Ticket() = default;
@@ -41,15 +41,15 @@
         std::uint32_t class_index_ = 0;
     };
 
-    /// Outlives the tickets; `counters` outlives it.
+    /// Outlives its tickets; `counters` outlives it.
     RequestCounters(Counters& counters, const std::vector<decision::RequestClass>& classes) {
         for (const decision::RequestClass& c : classes) {
             by_class_.push_back(
-                {&counters.counter("requests.served", "answered by an endpoint", c.name),
-                 &counters.counter("requests.refused", "turned away: harmless to repeat", c.name),
-                 &counters.counter("requests.failed", "failed: nothing is said of their effect", c.name)});
+                {&counters.counter("requests.served", "requests answered by an endpoint", c.name),
+                 &counters.counter("requests.refused", "requests refused: safe to retry", c.name),
+                 &counters.counter("requests.failed", "requests failed: their effect is unknown", c.name)});
         }
-        counters.gauge("requests.in_flight", "taken and not yet ended",
+        counters.gauge("requests.in_flight", "requests accepted and not yet ended",
                        [this] { return static_cast<double>(in_flight_); });
     }
     RequestCounters(const RequestCounters&) = delete;
--- a/src/core/scheduler.h
+++ b/src/core/scheduler.h
@@ -1,4 +1,5 @@
-// Time and timers, as the engine and every model see them: a real loop or a simulated clock stands behind.
+// Time and timers, as the engine and all models see them: implemented by the event loop or by a simulated
+// clock.
 #pragma once
 
 #include <cstdint>
@@ -15,10 +16,10 @@
 using decision::Time;
 using namespace std::chrono_literals;
 
-/// A clock that never goes back, and what is to be done when. One thread; callbacks run one after another.
+/// A monotonic clock with timers. Single-threaded: callbacks run one after another.
 class Scheduler {
   public:
-    /// Orders by time; timers due at one instant run in the order in which they were added.
+    /// Sorted by time; timers for the same time run in the order in which they were added.
     using Key = std::pair<Time, std::uint64_t>;
 
     Scheduler() = default;
@@ -27,13 +28,13 @@
     virtual ~Scheduler() = default;
 
     virtual Time now() const = 0;
-    /// Calls `what` once, at `when` or as soon as it can be after it.
+    /// Calls `callback` once, at `when` or as soon as possible after it.
     virtual Key add(Time when, std::function<void()> callback) = 0;
-    /// No-op where the timer has fired or is gone.
+    /// Does nothing if the timer has fired or was removed.
     virtual void remove(const Key& key) = 0;
 };
 
-/// One timer, unset when it goes.
+/// A single timer, cancelled by its destructor.
 class Timer {
   public:
     explicit Timer(Scheduler& scheduler) : scheduler_(scheduler) {}
--- a/src/core/transport.h
+++ b/src/core/transport.h
@@ -1,14 +1,15 @@
-// Figures that every front, back and stand-in of one keeps to, in one place.
+// Constants shared by all listeners, endpoint clients and their simulated counterparts.
 #pragma once
 
 #include "core/scheduler.h"
 
 namespace martenford {
 
-/// An answer sent later than this before its client's end misses it: fronts take it off a caller's time.
+/// An answer sent later than this before its client's deadline arrives too late. Listeners subtract it from
+/// the caller's timeout.
 constexpr Duration kResponseTransitTime = 5ms;
-/// Share of an endpoint's idle limit after which a back closes an idle connection: from there on the endpoint
-/// may close it, unseen by us.
+/// Fraction of an endpoint's idle timeout after which an idle connection to it is closed. Later the endpoint
+/// may be closing it while a request is already on its way.
 constexpr double kIdleTimeoutShare = 0.8;
 
 }  // namespace martenford
--- a/src/core/wall_clock.h
+++ b/src/core/wall_clock.h
@@ -1,4 +1,5 @@
-// The time of day, for what people read and what outlives a process. It may step: nothing is timed by it.
+// Wall-clock time, for output to people and for data that outlives the process. It may jump, so that it is
+// never used for timeouts.
 #pragma once
 
 #include <chrono>
--- a/src/core/words.h
+++ b/src/core/words.h
@@ -1,4 +1,4 @@
-// Words of a call on one line: what would end a word or a line is written as %XX.
+// Words of a call on one line, percent-encoded: bytes that would end a word or a line are written as %XX.
 #pragma once
 
 #include <algorithm>
@@ -26,7 +26,7 @@
     return result;
 }
 
-/// Nothing where a % is followed by no two digits.
+/// Returns nothing if a % is not followed by two hexadecimal digits.
 inline std::optional<std::string> percent_decode(std::string_view text) {
     const auto digit = [](char c) {
         return c >= '0' && c <= '9'   ? c - '0'
@@ -47,7 +47,7 @@
     return result;
 }
 
-/// The first word, and the rest.
+/// Splits a line into its first word and the rest.
 inline std::pair<std::string_view, std::string_view> split_first_word(std::string_view line) {
     const std::size_t end = std::min(line.find(' '), line.size());
     return {line.substr(0, end), line.substr(std::min(end + 1, line.size()))};
--- a/tests/core/events_test.cpp
+++ b/tests/core/events_test.cpp
@@ -1,4 +1,4 @@
-// The table of events, its page, and that telling never waits.
+// The event table, the page generated from it, and that logging never blocks.
 #include "core/events.h"
 
 #include <fcntl.h>
@@ -34,7 +34,7 @@
     EXPECT_EQ(page.str(), events_page()) << "martenford events > docs/operate/events.md";
 }
 
-/// What a process of its own says on a pipe while it tells this.
+/// Runs `what` in a child process and returns what that writes to standard error, a pipe.
 template <typename Tell>
 std::string output_of(Tell what, bool read_late = false) {
     std::array<int, 2> ends{};
@@ -50,7 +50,7 @@
     close(ends[1]);
     if (read_late) {
         int status = 0;
-        waitpid(child, &status, 0);  // it ends though nobody reads
+        waitpid(child, &status, 0);  // the child exits although nobody reads
         EXPECT_TRUE(WIFEXITED(status));
     }
     std::string output;
@@ -85,7 +85,7 @@
 TEST(Events, UnreadPipeDoesNotBlockLogging) {
     const std::string output = output_of(
         [] {
-            // More than a pipe holds, of all kinds.
+            // Events of all kinds, more than a pipe can hold.
             for (int round = 0; round < 60; ++round) {
                 for (const EventKind& kind : event_kinds()) log_event(kind.event, std::string(1500, 'x'));
             }
--- a/tests/core/pipe_test.cpp
+++ b/tests/core/pipe_test.cpp
@@ -1,4 +1,4 @@
-// What is held of a body on its way, against a plain model.
+// The buffer of a streamed body, compared with a simple model.
 #include "core/pipe.h"
 
 #include <gtest/gtest.h>
