--- a/src/http1/client_connection.cpp
+++ b/src/http1/client_connection.cpp
@@ -18,20 +18,20 @@
 
 namespace {
 
-constexpr double kMinBodyBytesPerSecond =
-    24'000;  // bytes a second, after as long again: the platform's send 64,000
-constexpr std::uint64_t kAssumedBodyBytes = 64 * 1024 * 1024;  // taken for the length of one that tells none
-constexpr Duration kAnswerStallTimeout = 10s;                  // for the client to read an answer
-/// For the client to read the last answer and close, and for it to stop sending: so long after the last bytes
-/// of a body that nobody wants.
+// Expected of a body, beyond a first allowance of head_time; the platform's clients send 64,000.
+constexpr double kMinBodyBytesPerSecond = 24'000;
+constexpr std::uint64_t kAssumedBodyBytes = 64 * 1024 * 1024;  // assumed for a body of unknown length
+constexpr Duration kAnswerStallTimeout = 10s;  // without progress, for the client to read an answer
+/// Time for the client to read the last answer and close, counted anew from the last bytes of an unwanted
+/// body.
 constexpr Duration kLingerTimeout = 1s;
-constexpr Duration kMaxLinger = 2500ms;  // in all
-constexpr Duration kEvacuationFirstRequestTimeout =
-    600ms;  // in which a new connection says what it wants then
+constexpr Duration kMaxLinger = 2500ms;  // in total
+// Time for a connection made during an evacuation to send its first request.
+constexpr Duration kEvacuationFirstRequestTimeout = 600ms;
 
-/// Whether the length of the body is told in one way that all read alike. Guards against a second
-/// request hidden in the body: Boost 1.74 refuses Content-Length beside Transfer-Encoding and lengths that
-/// differ, but takes the same length twice, and reads no body where a coding other than chunked is named.
+/// Whether the length of the body is stated in one way that all implementations read alike. Guards against
+/// request smuggling: Boost 1.74 rejects Content-Length beside Transfer-Encoding and differing lengths, but
+/// accepts the same length twice, and reads no body if a coding other than chunked is named.
 bool has_unambiguous_length(const http::request_header<>& message) {
     const auto lengths = message.count(http::field::content_length);
     const auto codings = message.count(http::field::transfer_encoding);
@@ -41,7 +41,7 @@
     return codings == 0 || boost::beast::iequals(message[http::field::transfer_encoding], "chunked");
 }
 
-/// The origin form of a target (RFC 9112, section 3.2): a client may write the whole URI.
+/// Converts a target in absolute form, which a client may send, to origin form (RFC 9112, section 3.2).
 std::string origin_form(boost::beast::string_view target) {
     constexpr std::string_view kScheme = "http://";
     std::string_view text(target.data(), target.size());
@@ -59,7 +59,7 @@
 void ClientConnection::start(HttpListener::Clients::iterator place) {
     position_ = place;
     await_request();
-    // In an evacuation none is held idle; whoever asks whether it is over does so at once.
+    // During an evacuation no connection is kept idle; a readiness check sends its request at once.
     const Duration most = listener_.evacuated() ? kEvacuationFirstRequestTimeout : limits().head_time;
     timer_.set(EventLoop::monotonic() + most, [self = shared_from_this()] { self->close(); });
     read();
@@ -120,7 +120,7 @@
 void ClientConnection::read() {
     if (stage_ == Stage::Closed || reading_) return;
     const bool passing = stage_ == Stage::Waiting && upload_;
-    if (passing && !upload_->has_room()) {  // whoever it goes to is slower
+    if (passing && !upload_->has_room()) {  // the receiver of the body is slower
         if (!paused_since_) paused_since_ = EventLoop::monotonic();
         return;
     }
@@ -166,7 +166,7 @@
     const bool open = stage_ == Stage::Waiting;
     const auto upload = std::exchange(upload_, nullptr);
     close();
-    // Before its body breaks off: guards against blaming the endpoint that was getting it.
+    // Before the body is broken off, so that the failure is not blamed on the endpoint that was receiving it.
     if (open) listener_.request_handler_.client_disconnected(id_);
     if (upload) upload->fail();
 }
@@ -175,12 +175,11 @@
     const bool arriving = stage_ == Stage::Waiting && upload_;
     if ((stage_ != Stage::Reading && !arriving) || buffer_.size() == 0) return;
     if (!parser_->got_some()) {
-        // The first request's time began with the connection.
+        // The time for the first request began with the connection.
         const Time from = had_request_ ? EventLoop::monotonic() : connected_;
         timer_.set(from + limits().head_time, [self = shared_from_this()] { self->handle_read_timeout(); });
     }
-    if (!arriving)
-        move_to(listener_.partial_);  // who keeps sending is the last to be closed for want of room
+    if (!arriving) move_to(listener_.partial_);  // a client that keeps sending is evicted last
     const bool had_head = parser_->is_header_done();
     const error_code error = feed(*parser_, buffer_);
     if (arriving && error) return abandon_upload();
@@ -197,13 +196,13 @@
     if (arriving) {
         received_ += parser_->get().body().size();
         upload_->put(std::exchange(parser_->get().body(), {}));
-        if (stage_ != Stage::Waiting || !upload_) return;  // its attempt ended at that
+        if (stage_ != Stage::Waiting || !upload_) return;  // its attempt ended synchronously
         if (parser_->is_done()) return handle_body_end();
         return set_body_deadline();
     }
     received_ = parser_->get().body().size();
     if (parser_->is_done()) return handle_request(false);
-    // A body too long to be held goes on as it comes; the request is taken with what is here.
+    // A body too long to buffer is streamed; the request is submitted with what has arrived.
     if (received_ > limits().max_buffered_body_bytes) return handle_request(true);
     if (!had_head) expect_body();
     set_body_deadline();
@@ -217,7 +216,7 @@
         return;
     }
     http::response<http::empty_body> continue_response{http::status::continue_, 11};
-    // 25 bytes into the empty buffer of a socket on which nothing was written since its last answer.
+    // 25 bytes into the empty send buffer of a socket on which nothing was written since its last answer.
     error_code error;
     socket_.non_blocking(true, error);
     http::write(socket_, continue_response, error);
@@ -248,9 +247,9 @@
 void ClientConnection::abandon_upload() {
     const auto self = shared_from_this();
     const auto upload = std::exchange(upload_, nullptr);
-    held_answer_.reset();  // before it can end: the rejection is the one answer
-    listener_.request_handler_.client_disconnected(
-        id_);  // before the body breaks off, as in handle_disconnect()
+    held_answer_.reset();  // before it can end, so that the rejection is the only answer
+    // Before the body is broken off, as in handle_disconnect().
+    listener_.request_handler_.client_disconnected(id_);
     upload->fail();
     send_local_reply(http::status::bad_request, false);
 }
@@ -277,7 +276,7 @@
     auto& event = std::get<Request>(request);
     timeout_ = event.deadline - (now - time_since_last_data());
     if (arriving) {
-        // Its time begins with its last byte, which may be as far away as the slowest body allows.
+        // The client's timeout starts with the last byte, which may come as late as the slowest allowed body.
         const std::uint64_t whole = length ? *length : kAssumedBodyBytes;
         const std::chrono::duration<double> at_most{static_cast<double>(whole) / kMinBodyBytesPerSecond};
         event.deadline += limits().head_time + std::chrono::duration_cast<Duration>(at_most);
@@ -347,7 +346,7 @@
 }
 
 void ClientConnection::answer(std::uint64_t request, Answer&& answer) {
-    // Guards against the answer to an earlier request, whose client has gone on to the next one.
+    // Guards against the answer to an earlier request of a client that has gone on to its next one.
     if (stage_ != Stage::Waiting || request != request_number_) {
         if (answer.rest) answer.rest->stop_reading();
         return;
@@ -387,7 +386,7 @@
     ticket_ = std::move(answer.ticket);
     on_written_ = std::move(answer.on_written);
     body_ = std::move(answer.body);
-    // An HTTP/1.0 client knows no chunks: a body of untold length ends with its connection there.
+    // An HTTP/1.0 client cannot read chunks: a body of unknown length ends with the connection.
     const bool chunked = answer_rest_ && !answer.length && http_version_ >= 11;
     if (!answer_rest_) {
         head.content_length(body_.size());
@@ -397,7 +396,7 @@
         head.chunked(chunked);
     }
     const bool delimited = !answer_rest_ || answer.length || chunked;
-    // A body that is still arriving when its request is over is read no further.
+    // A request body that is still arriving when the answer is written is not read any further.
     write(std::move(head), keep_alive_ && delimited && !upload_);
 }
 
@@ -434,8 +433,8 @@
             self->await_request();
             self->timer_.set(EventLoop::monotonic() + self->limits().idle_time, [self] { self->close(); });
             self->parse();
-            // Guards against a full house in which nobody leaves: who waits outside may need this
-            // one's place.
+            // Guards against a listener at its limit where no connection closes: one waiting to be accepted
+            // may need this one's place.
             self->listener_.accept();
             self->read();
         });
--- a/src/http1/client_connection.h
+++ b/src/http1/client_connection.h
@@ -1,6 +1,5 @@
-// One client's connection of an HttpListener: reads requests, hands them to the request handler and writes
-// their answers. Private to the listener, which owns its life: each is in one of the listener's lists until
-// it is closed.
+// One client connection of an HttpListener: reads requests, passes them to the request handler and writes the
+// answers. Internal to the listener, which owns it: it is in one of the listener's lists until it is closed.
 #pragma once
 
 #include <boost/asio/ip/tcp.hpp>
@@ -24,8 +23,8 @@
 
 namespace martenford {
 
-/// One client's connection. A read is always pending, also while a request is open, so that a client that
-/// leaves is seen.
+/// A client connection. A read is always pending, also while a request is open, so that a client's disconnect
+/// is noticed.
 class ClientConnection : public std::enable_shared_from_this<ClientConnection> {
   public:
     ClientConnection(HttpListener& listener, asio::ip::tcp::socket socket)
@@ -36,30 +35,30 @@
           buffer_(kMaxBufferBytes),
           incoming_(kMaxBufferBytes) {}
     void start(HttpListener::Clients::iterator place);
-    /// Nothing of it is waiting to be read. Guards against closing a connection under a request that has come
-    /// whole and counts as taken.
+    /// Whether no received bytes wait to be read. Guards against closing a connection whose next request has
+    /// arrived completely and therefore counts as accepted.
     bool has_no_unread_data() const;
-    /// Silent, and no byte of a next request has been read either.
+    /// Whether it is between requests, also by what has not been read yet.
     bool idle() const { return between_requests() && has_no_unread_data(); }
-    /// The same, as far as has been read.
+    /// Whether no byte of a next request has been read.
     bool between_requests() const {
         return stage_ == Stage::Reading && !parser_->got_some() && buffer_.size() == 0;
     }
-    /// Bytes that the kernel holds and the client's kernel has not acknowledged.
+    /// Bytes in the kernel's send queue that the client has not acknowledged.
     std::uint64_t unsent_bytes();
-    /// Its request was read whole, its client still waits, and no answer was begun before the drain: one that
-    /// was can't be taken back.
+    /// Whether its request was read completely, its client still waits, and no answer was begun before the
+    /// drain. An answer that has begun cannot be replaced by a failure.
     bool awaits_answer() const;
-    /// Answers that the request failed, unless an answer has begun: the process is about to end.
+    /// Fails the request unless an answer to it has begun, because the process is about to end.
     void give_up();
-    /// Since when it has its place among those like it.
+    /// Since when it has been in its present list.
     Time in_list_since() const { return in_list_since_; }
     void close();
 
   private:
     enum class Stage {
         Reading,    // the next request
-        Waiting,    // for its answer
+        Waiting,    // for the answer
         Writing,    // the answer
         Lingering,  // until the client closes
         Closed
@@ -68,64 +67,64 @@
     const ListenerLimits& limits() const { return listener_.protocol_.limits(); }
     void await_request();
 
-    /// To the end of one of the listener's lists.
+    /// Moves it to the end of one of the listener's lists.
     void move_to(HttpListener::Clients& to);
     void read();
-    /// Puts what a read has brought behind what is not parsed yet.
+    /// Appends what the last read brought to the bytes that are not parsed yet.
     void append_incoming();
-    /// Notes bytes that come while a request is open, other than those of its body.
+    /// Counts bytes that arrive while a request is open and are not part of its body.
     void record_early_bytes(std::size_t size);
     void handle_disconnect();
     void parse();
 
-    /// Answers a client that asks whether to send its body (RFC 9110, section 10.1.1), and turns away at
-    /// once one whose length is more than may be or can be read in two ways.
+    /// Answers "Expect: 100-continue" (RFC 9110, section 10.1.1). A body that is too long or whose length is
+    /// ambiguous is rejected instead.
     void expect_body();
 
-    /// A body may be slow, but not stand still.
+    /// Sets the time by which more of the body must have arrived: a body may be slow, but must not stall.
     void set_body_deadline();
-    /// It was not read for a while: its time stands still until it is.
+    /// Extends that time after reading was paused, when the pause was not the client's doing.
     void restart_body_deadline();
     void handle_read_timeout();
 
-    /// The rest of a request that has been taken will not come, or can't be read.
+    /// The rest of a submitted request will not arrive or cannot be parsed.
     void abandon_upload();
-    /// The request is whole, or (`arriving`) the rest of its body is passed on as it comes.
+    /// The request is complete or, with `arriving`, the rest of its body is streamed.
     void handle_request(bool arriving);
     void answer_readiness(bool keep);
-    /// The request as the request handler gets it, without what concerns this connection alone.
+    /// Builds the message for the request handler, without the fields that concern this connection alone.
     std::shared_ptr<HttpMessage> make_message(bool arriving);
 
-    /// The last byte of a body that went on as it came.
+    /// The last byte of a streamed body has been read.
     void handle_body_end();
 
-    /// Guards against an answer that is still owed when SIGKILL comes.
+    /// While draining, guards against an answer that is still due when SIGKILL comes.
     void limit_deadline(Time& deadline) const;
 
-    /// How long the last byte has been waiting here to be read. Guards against counting the client's time
-    /// from when the loop got to its request.
+    /// How long the last bytes have waited in the kernel. The client's timeout counts from their arrival, not
+    /// from when the event loop got to them.
     Duration time_since_last_data();
-    /// @param request number of the request on this connection that the answer is to.
+    /// @param request number of the request, on this connection, that this answers
     void answer(std::uint64_t request, Answer&& answer);
 
-    /// Guards against an answer that breaks off because this process ends: nothing of it is written before
-    /// all of it has come. Where it does not come in time, give_up() says so.
+    /// Buffers an answer until it is complete before any of it is written, so that the end of this process
+    /// cannot truncate it. If it is not complete in time, give_up() fails the request.
     void hold(Answer&& answer);
     void write_answer(Answer&& answer);
-    /// Fails the request whose answer names another one.
+    /// Fails the request because its answer names another request.
     void withhold(Answer&& answer);
 
-    /// Answers without the module.
+    /// Sends an answer without a body that this proxy makes itself.
     void send_local_reply(http::status status, bool keep, Duration retry_after = {},
                           const std::vector<std::pair<std::string, std::string>>& fields = {});
     void write(MessageWriter<false>::Head&& head, bool keep);
-    /// A client may be slow, but not stand still.
+    /// A client may read slowly, but must not stall.
     void restart_write_timer();
-    /// The client must see that what it has got is not whole: a reset does that for every framing.
+    /// Resets the connection: whatever the framing, this shows the client that its answer is truncated.
     void reset();
 
-    /// Waits for the client to close first. Guards against a reset that takes the answer with it, where bytes
-    /// of the client's are still unread.
+    /// Half-closes the connection and waits for the client to close it. Closing at once with unread bytes
+    /// would send a reset, on which the client may lose the answer.
     void linger();
     void restart_linger_timer();
 
@@ -133,9 +132,9 @@
     asio::ip::tcp::socket socket_;
     Timer timer_;
     ConnectionRecord record_;
-    boost::beast::flat_buffer buffer_;  // read and not parsed yet
-    /// What the pending read writes to. Parsing consumes buffer_, which would move under a read into it: its
-    /// bytes would be counted where those of an earlier request lie.
+    boost::beast::flat_buffer buffer_;  // read, but not parsed yet
+    /// The target of the pending read. A read into buffer_ itself would go wrong: parsing moves its contents,
+    /// and the bytes read would be taken from where earlier ones lie.
     boost::beast::flat_buffer incoming_;
     HttpListener::Clients::iterator position_;
     HttpListener::Clients* list_ = &listener_.idle_;
@@ -143,26 +142,26 @@
     const Time connected_ = EventLoop::monotonic();
     Time in_list_since_ = connected_;
     bool reading_ = false, keep_alive_ = false, had_request_ = false, continue_sent_ = false;
-    bool answer_begun_in_drain_ = false;  // the answer
+    bool answer_begun_in_drain_ = false;  // of the present answer
     std::optional<Parser<true>> parser_;
     decision::RequestId id_;
-    std::uint64_t request_number_ =
-        0;  // number of the present request among those that the request handler was handed
-    unsigned http_version_ = 11;  // of HTTP, as its client speaks it
-    // A body that goes on as it comes.
+    // Number of the present request among those passed to the request handler.
+    std::uint64_t request_number_ = 0;
+    unsigned http_version_ = 11;  // HTTP version of the client's request
+    // A streamed body of a request.
     std::shared_ptr<Pipe> upload_;
     std::uint64_t received_ = 0;  // bytes of the body
     Time header_time_{};
-    Duration paused_time_{};  // in which it was not read, since nobody took it
+    Duration paused_time_{};  // time in which the body was not read, because the endpoint took none of it
     std::optional<Time> paused_since_;
-    Duration timeout_{};  // that its client waits, from the last byte on
-    Time deadline_{};     // until which it waits; in a drain the request handler may have been told an
-                       // earlier one
+    Duration timeout_{};  // the client's timeout, from the last byte of its request
+    Time deadline_{};     // end of that timeout; while draining, the request handler may have been given an
+                          // earlier one
     // The answer.
     std::unique_ptr<HeldAnswer> held_answer_;
     std::string body_;
     std::shared_ptr<Pipe> answer_rest_;
-    RequestCounters::Ticket ticket_;  // where there is a rest
+    RequestCounters::Ticket ticket_;  // set with a streamed answer
     std::function<void()> on_written_;
     std::shared_ptr<MessageWriter<false>> reply_;
     Time linger_end_{};
--- a/src/http1/endpoint_client.cpp
+++ b/src/http1/endpoint_client.cpp
@@ -24,13 +24,14 @@
       limits_(limits),
       max_connections_(max_connections),
       max_per_endpoint_(per_endpoint),
-      opened_(counters.counter("connections.opened", "connections that were begun to endpoints")),
-      evicted_(counters.counter("connections.evicted", "idle ones closed to make room for another")),
-      no_room_(counters.counter("connections.no_room", "attempts not sent for want of a connection")),
+      opened_(counters.counter("connections.opened", "connections opened to endpoints")),
+      evicted_(counters.counter("connections.evicted", "idle connections closed to make room for another")),
+      no_room_(counters.counter("connections.no_room", "attempts not sent because of a connection limit")),
       written_(counters.counter("attempts.written", "attempts whose last byte was written")),
-      skipped_(counters.counter("answers.skipped", "answers to another request than the one that waited")) {
-    counters.gauge("connections.open", "to endpoints", [this] { return static_cast<double>(open_count_); });
-    counters.gauge("connections.idle", "of them, carrying nothing",
+      skipped_(counters.counter("answers.skipped", "answers skipped because they are to another request")) {
+    counters.gauge("connections.open", "connections to endpoints",
+                   [this] { return static_cast<double>(open_count_); });
+    counters.gauge("connections.idle", "connections to endpoints that carry no request",
                    [this] { return static_cast<double>(by_idle_time_.size()); });
 }
 Http1EndpointClient::~Http1EndpointClient() = default;
@@ -55,7 +56,7 @@
     RequestWriter::Head head{request->head};
     protocol_.prepare(head, *request, id, end);
     if (!request->rest) {
-        // A safe request has no body, and endpoints may not expect to be told so.
+        // A GET without a body has no Content-Length; some endpoints may not expect one.
         const bool bare = request->body.empty() && head.method() == http::verb::get;
         head.content_length(bare ? boost::optional<std::uint64_t>{} : request->body.size());
     } else if (request->length) {
@@ -80,7 +81,8 @@
     const auto pool = pools_.find(id);
     auto connection = pool == pools_.end() ? nullptr : acquire(id, pool->second, message.get());
     if (!connection) {
-        // Guards against blaming the endpoint for our own lack of places, or for having left the list.
+        // Not ConnectFailed, which would blame the endpoint for our own connection limit or for having left
+        // the list.
         Result result;
         result.status = Status::NotSent;
         done(std::move(result));
@@ -124,7 +126,7 @@
     return std::make_shared<EndpointConnection>(*this, id, pool.address, opened_.value());
 }
 
-/// Closes the connection that has been idle longest. Guards against running out of descriptors.
+/// Closes the connection that has been idle longest. Guards against running out of file descriptors.
 bool Http1EndpointClient::evict_idle() {
     if (by_idle_time_.empty()) return false;
     const auto oldest = by_idle_time_.front()->shared_from_this();
@@ -136,8 +138,8 @@
 
 void Http1EndpointClient::connection_closed(const EndpointConnection& connection) {
     --open_count_;
-    // A pool that was removed and came back counts anew. What is left of the old one may be taken off it:
-    // then the endpoint has a connection more than its share for a while.
+    // An endpoint that was removed and added again has a new pool. Closing connections of the old pool lowers
+    // its count too, so that the endpoint may exceed its limit by those for a while.
     const auto pool = pools_.find(connection.id);
     if (pool != pools_.end() && pool->second.open > 0) --pool->second.open;
 }
--- a/src/http1/endpoint_client.h
+++ b/src/http1/endpoint_client.h
@@ -1,4 +1,5 @@
-// Connections to endpoints: a pool each, attempts and probes on them, and what became of each.
+// HTTP/1.1 client for endpoints: a connection pool for each, which sends attempts and probes and reports how
+// each ended.
 #pragma once
 
 #include <functional>
@@ -20,10 +21,9 @@
 
 class Http1EndpointClient : public EndpointClient, public EndpointTable {
   public:
-    /// Holds `most` connections, and `per_endpoint` to each endpoint (0: no bound of its own). An attempt
-    /// that would need one more takes the place of the connection that has been idle longest; where none is
-    /// idle, or its endpoint has as many as it may, it ends as never sent.
-    /// `protocol` outlives it.
+    /// Opens at most `max_connections`, and `per_endpoint` to each endpoint (0: no limit per endpoint). At
+    /// the total limit a new connection replaces the one that has been idle longest. If none is idle, or the
+    /// endpoint is at its own limit, the attempt ends as NotSent. `protocol` outlives it.
     Http1EndpointClient(EventLoop& loop, ClientProtocol& protocol, const decision::Limits& limits,
                         std::size_t max_connections, std::size_t per_endpoint, Counters& counters);
     ~Http1EndpointClient() override;
@@ -31,13 +31,13 @@
     void set_endpoint(EndpointId id, const Address& address, bool ready) override;
     void remove(EndpointId id) override;
 
-    /// The message is an HttpMessage.
+    /// The message must be an HttpMessage.
     Handle send(EndpointId id, std::shared_ptr<const Message> message, Time end, Done done) override;
     void probe(EndpointId id, Done done) override;
     void close_idle_connections(EndpointId id) override;
-    /// From here on it holds so many; idle ones over that are closed at once, others as they end.
+    /// Changes the limit. Idle connections in excess of it are closed at once, others as their requests end.
     void set_max_connections(std::size_t max_connections);
-    /// Answers that came where another one was expected, and were skipped.
+    /// Number of answers to another request than the waiting one, which were skipped.
     std::uint64_t skipped_answers() const { return skipped_.value(); }
 
   private:
@@ -46,18 +46,18 @@
         Address address;
         bool ready = false;
         std::uint32_t open = 0;                                 // to its present and to earlier addresses
-        std::vector<std::shared_ptr<EndpointConnection>> idle;  // the one used last stands last
+        std::vector<std::shared_ptr<EndpointConnection>> idle;  // most recently used last
     };
-    /// All idle ones over all pools, the one idle for longest first: found without a look at the others.
+    /// All idle connections of all pools, longest idle first, so that eviction need not search the pools.
     using ByIdleTime = std::list<EndpointConnection*>;
     using RequestWriter = MessageWriter<true>;
 
     Handle start(EndpointId id, std::shared_ptr<const HttpMessage> message,
                  std::shared_ptr<RequestWriter> outgoing, Time end, Done done);
-    /// An idle connection, or a new one; null where there is no room.
+    /// Returns an idle connection or a new one; null if the limits allow none.
     std::shared_ptr<EndpointConnection> acquire(EndpointId id, Pool& pool, const HttpMessage* message);
-    /// The one used last of those that may carry the message; null where there is none. A null message is a
-    /// probe.
+    /// Returns the most recently used idle connection that may send the message; null if there is none. A
+    /// null message is a probe.
     std::shared_ptr<EndpointConnection> acquire_idle(Pool& pool, const HttpMessage* message);
     bool evict_idle();
     bool may_keep(const EndpointConnection& connection) const;
--- a/src/http1/endpoint_connection.cpp
+++ b/src/http1/endpoint_connection.cpp
@@ -15,11 +15,11 @@
 
 namespace {
 
-constexpr int kMaxInterimAnswers = 16;  // ahead of the one that counts: 1xx, and those to other requests
-/// An endpoint that gives nothing of a begun answer for so long has left it.
+constexpr int kMaxInterimAnswers = 16;  // 1xx answers and answers to other requests, before the expected one
+/// An endpoint that sends nothing of a begun answer for this long has abandoned it.
 constexpr Duration kStallTimeout = 10s;
 
-/// Whether a connect failed for want of something of our own.
+/// Whether a connect failed for lack of a local resource.
 bool is_local_resource_error(const error_code& error) {
     return error == asio::error::no_descriptors || error == asio::error::no_memory ||
            error == asio::error::no_buffer_space || error == boost::system::errc::address_not_available ||
@@ -133,10 +133,11 @@
     reset_parser(parser_);
     outgoing_->run(socket_, shared_from_this(), [self = shared_from_this()](const error_code& error) {
         if (self->stage_ != Stage::Writing) return;
-        // Not whole: an endpoint begins no request whose last byte has not come.
+        // Not written completely: an endpoint does not start a request before its last byte.
         if (error) return self->end_attempt(Status::ConnectFailed);
         self->stage_ = Stage::Waiting;
-        if (self->message_) self->pool_.written(*self->message_, self->id);  // probes are no attempts
+        if (self->message_)
+            self->pool_.written(*self->message_, self->id);  // probes do not count as attempts
         self->parse();
         if (self->stage_ == Stage::Waiting && self->read_error_) self->handle_read_end(self->read_error_);
         self->continue_reading();
@@ -156,9 +157,9 @@
                                 self->buffer_.commit(size);
                                 if (error) return self->handle_read_end(error);
                                 if (self->stage_ == Stage::Idle)
-                                    return self->close_idle();  // nothing was asked
-                                // Guards against bytes that were on their way before the request was: an
-                                // answer that starts before its request is whole is none.
+                                    return self->close_idle();  // unrequested bytes
+                                // Guards against bytes that were sent before the request: an answer that
+                                // starts before its request is written completely is not an answer to it.
                                 if (self->stage_ == Stage::Writing) {
                                     return self->handle_early_bytes(http::error::unexpected_body);
                                 }
@@ -192,18 +193,18 @@
             if (const auto status = classify()) return complete_attempt(*status, false);
         }
     }
-    if (stage_ == Stage::Streaming) return close();  // its caller sees that it is not whole
+    if (stage_ == Stage::Streaming) return close();  // its caller sees the truncation
     end_attempt(Status::Reset);
 }
 
 void EndpointConnection::parse() {
     for (;;) {
-        if (feed(*parser_, buffer_)) {  // nobody can tell what it answers
+        if (feed(*parser_, buffer_)) {  // it is unknown which request this answers
             return stage_ == Stage::Streaming ? close() : end_attempt(Status::Error);
         }
         if (stage_ == Stage::Streaming) return forward_piece();
         if (!parser_->is_done()) break;
-        // Guards against taking word that the answer is to come for the answer.
+        // Guards against taking an interim answer for the final one.
         if (parser_->get().result_int() / 100 != 1) break;
         if (++interim_count_ > kMaxInterimAnswers) return end_attempt(Status::Error);
         reset_parser(parser_);
@@ -215,7 +216,7 @@
 void EndpointConnection::handle_complete_answer() {
     const auto status = classify();
     if (status) return complete_attempt(*status, ends_cleanly());
-    // Guards against taking a late or surplus answer of an earlier request for the one to this.
+    // Guards against taking a late or surplus answer to an earlier request for the answer to this one.
     pool_.skipped_.add();
     ++origin_.skipped;
     if (++interim_count_ > kMaxInterimAnswers || !parser_->keep_alive()) return end_attempt(Status::Reset);
@@ -226,16 +227,16 @@
 void EndpointConnection::handle_partial_answer() {
     const auto& held = parser_->get().body();
     const auto length = parser_->content_length();
-    // A long one goes on before it is whole: it may be longer than what can be held, and its caller waits
-    // for its first bytes. Guards, by the bytes wanted, against lengths that no body follows: those can
-    // still go again.
+    // A long answer is streamed before it is complete: it may exceed what can be buffered, and its caller
+    // waits for its first bytes. The threshold guards against a stated length that no body follows: until it
+    // is reached the request can still be retried.
     if (held.size() <=
         (length && *length > kMaxBufferedBodyBytes ? kStreamThresholdBytes : kMaxBufferedBodyBytes))
         return;
     const auto status = classify();
-    // Somebody else's: read to its end and skipped.
+    // The answer to another request is read to its end and skipped.
     if (!status) return parser_->get().body().clear();
-    if (*status != Status::Ok) return end_attempt(*status);  // its words are no use
+    if (*status != Status::Ok) return end_attempt(*status);  // the body of a failure is not used
     begin_streaming();
 }
 
@@ -270,11 +271,11 @@
                   head_of(answer)};
     if (const auto length = parser_->content_length()) result.length = *length;
     result.rest = answer_rest_ = std::make_shared<Pipe>(kMaxPipeBytes);
-    // Held by its pipe until the answer's end: while its caller is slow it reads nothing, and no handler
-    // holds it.
+    // The pipe holds a reference to this until the answer ends: while the caller is slow no read is pending
+    // that would hold one.
     answer_rest_->on_writable([self = shared_from_this()] {
         if (self->stage_ != Stage::Streaming) return;
-        if (self->answer_rest_->reader_closed()) return self->close();  // its caller has left
+        if (self->answer_rest_->reader_closed()) return self->close();  // its caller disconnected
         self->continue_reading();
     });
     stage_ = Stage::Streaming;
@@ -294,7 +295,7 @@
 void EndpointConnection::finish_streaming(bool keep) {
     const auto self = shared_from_this();
     answer_rest_->put(std::exchange(parser_->get().body(), {}));
-    if (!answer_rest_) return;  // its caller left at that
+    if (!answer_rest_) return;  // its caller disconnected meanwhile
     stage_timer_.cancel();
     std::exchange(answer_rest_, nullptr)->finish();
     if (stage_ == Stage::Closed) return;
@@ -354,7 +355,7 @@
 }
 
 void EndpointConnection::release() {
-    // A write may still refer to the message of an attempt that was given up; the last handler frees it.
+    // A pending write may still refer to the message of an attempt that was given up; its handler frees it.
     if (stage_ == Stage::Closed) return;
     outgoing_.reset();
     message_.reset();
--- a/src/http1/endpoint_connection.h
+++ b/src/http1/endpoint_connection.h
@@ -1,5 +1,5 @@
-// One connection of an Http1EndpointClient to an endpoint: writes a request, reads its answer, and tells how
-// the attempt ended. Private to the pool.
+// One connection of an Http1EndpointClient to an endpoint: writes a request, reads its answer and reports how
+// the attempt ended. Internal to the pool.
 #pragma once
 
 #include <boost/asio/ip/tcp.hpp>
@@ -17,90 +17,91 @@
 
 namespace martenford {
 
-/// One connection to an endpoint. It carries one request at a time; a read is always pending, so that a close
-/// is seen while it carries none.
+/// A connection to an endpoint. It carries one request at a time. A read is always pending, so that a close
+/// is noticed while it is idle.
 class EndpointConnection : public EndpointClient::Attempt,
                            public std::enable_shared_from_this<EndpointConnection> {
   public:
-    /// @param number among those that its pool opened
+    /// @param number its number among the connections that the pool opened
     EndpointConnection(Http1EndpointClient& pool, EndpointId id, const Address& address,
                        std::uint64_t number);
 
     const EndpointId id;
     const Address address;
-    std::optional<Http1EndpointClient::ByIdleTime::iterator> idle_position;  // while it is idle
+    std::optional<Http1EndpointClient::ByIdleTime::iterator> idle_position;  // set while it is idle
 
-    /// Sends a request, or with a null message a probe; `done` is called once with how that ended.
+    /// Sends a request, or a probe if the message is null. `done` is called once with the result.
     void start(std::shared_ptr<const HttpMessage> message,
                std::shared_ptr<Http1EndpointClient::RequestWriter> outgoing, Time end,
                EndpointClient::Done done);
-    /// Whether it has carried no attempt of this request. Guards against a late answer to that attempt, which
-    /// names this request too.
+    /// Whether it has carried no earlier attempt of this request. Guards against a late answer to that
+    /// attempt, which names this request too.
     bool may_send(const HttpMessage& message) const;
-    /// Whether it can carry a request: the endpoint has neither closed it nor said anything unasked. Guards
-    /// against taking what is left of an earlier answer for the answer to the next request.
+    /// Whether it can carry another request: the endpoint has neither closed it nor sent unexpected bytes.
+    /// Guards against taking the rest of an earlier answer for the answer to the next request.
     bool is_reusable();
-    /// For an attempt that is no longer wanted.
+    /// Cancels an attempt that is no longer wanted.
     void cancel() override;
     void withdraw_if_unsent() override;
     void set_deadline(Time end) override;
-    /// For one that carries nothing.
+    /// Only for a connection that carries no attempt.
     void close();
 
   private:
-    /// Streaming: the attempt has ended as served, and the rest of its answer goes on through a pipe.
+    /// Streaming: the attempt has ended successfully, and the rest of its answer is passed on through a pipe.
     enum class Stage { Connecting, Writing, Waiting, Streaming, Idle, Closed };
 
-    /// Whether a part of the request's body has yet to come from its caller.
+    /// Whether a part of the request's body has yet to arrive from the caller.
     bool request_arriving() const;
-    /// Before that an attempt has not run. Where bytes are held here alone the endpoint can't have the last
-    /// one.
+    /// Whether the last byte of the request may have been sent. Until then the attempt has not run, since the
+    /// endpoint cannot have the whole request.
     bool request_written() const;
 
     void connect();
     void write();
     void read();
-    /// Reads on, unless a read is pending or whoever the answer goes to is slower.
+    /// Reads on, unless a read is pending or the receiver of the answer is slower.
     void continue_reading();
 
-    /// Whether the request was written whole is known once its write has ended, which takes as long as its
-    /// caller takes to send it: one that is still arriving is over at once, and never ran.
+    /// The endpoint sent bytes or closed before the request was written. If its body is still arriving, the
+    /// attempt ends at once, and never ran. Otherwise the error is kept until the write has ended, because
+    /// only then it is known whether the request was written completely.
     void handle_early_bytes(const error_code& error);
 
-    /// The endpoint closed the connection, or it broke.
+    /// The endpoint closed the connection, or it failed.
     void handle_read_end(const error_code& error);
 
-    /// Takes what has been read into the answer that is expected.
+    /// Parses what has been read as the expected answer.
     void parse();
     void handle_complete_answer();
-    /// The head of an answer has come, and a part of its body.
+    /// The head of an answer and a part of its body have been read.
     void handle_partial_answer();
-    /// Whether the connection may carry another request: the answer ended where it should, and nothing came
-    /// before its request was written.
+    /// Whether the connection may carry another request: the answer ended where its framing says, and nothing
+    /// arrived before the request was written.
     bool ends_cleanly();
 
-    /// How the attempt ended by the answer that has come; empty: it answers another request.
+    /// How the attempt ended according to this answer; empty if it answers another request.
     std::optional<decision::Status> classify();
-    /// The head as the caller is to get it; null where answers are not passed on with theirs.
+    /// The head for the caller; null if the protocol does not forward heads.
     std::shared_ptr<const AnswerHead> head_of(const http::response<IncrementalBody>& answer) const;
 
-    /// Ends the attempt as served, with an answer of which more is to come.
+    /// Ends the attempt as a success, with an answer whose body is streamed.
     void begin_streaming();
     void forward_piece();
-    /// @param keep whether the connection may carry another request.
+    /// @param keep whether the connection may carry another request
     void finish_streaming(bool keep);
-    /// Goes back to its pool, for the next attempt.
+    /// Returns it to its pool for the next attempt.
     void return_to_pool();
 
-    /// Ends the attempt with the whole answer that has come.
+    /// Ends the attempt with the complete answer.
     void complete_attempt(decision::Status status, bool keep);
 
-    /// Ends the attempt that this connection carries, and the connection with it.
+    /// Ends the attempt and closes the connection.
     void end_attempt(decision::Status status);
 
-    /// Closes an idle connection, and takes it from its pool.
+    /// Closes an idle connection and removes it from its pool.
     void close_idle();
-    /// Lets the request go.
+    /// Frees the request.
     void release();
 
     Http1EndpointClient& pool_;
@@ -108,16 +109,16 @@
     Timer stage_timer_, deadline_timer_;
     boost::beast::flat_buffer buffer_;
     Stage stage_ = Stage::Connecting;
-    error_code read_error_;  // of a read while the request was being written
+    error_code read_error_;  // error of a read while the request was being written
     bool reading_ = false;
     int interim_count_ = 0;
     std::optional<Parser<false>> parser_;
     std::shared_ptr<const HttpMessage> message_;
     std::shared_ptr<Http1EndpointClient::RequestWriter> outgoing_;
-    std::shared_ptr<Pipe> answer_rest_;  // of the answer that passes through
+    std::shared_ptr<Pipe> answer_rest_;  // of a streamed answer
     EndpointClient::Done done_;
     ExchangeRecord exchanges_;
-    AnswerOrigin origin_;  // of the answer that is expected
+    AnswerOrigin origin_;  // of the expected answer
 };
 
 }  // namespace martenford
--- a/src/http1/exchange_record.h
+++ b/src/http1/exchange_record.h
@@ -1,4 +1,4 @@
-// The names of the requests that one connection has carried. Pure.
+// The names of the requests that a connection has carried. Does no I/O.
 #pragma once
 
 #include <algorithm>
@@ -9,11 +9,11 @@
 
 namespace martenford {
 
-/// Keeps digests: two names with one digest look like the same name, which costs a new connection and nothing
+/// Stores hashes. Two names with the same hash count as one name, which costs a new connection and nothing
 /// else. Bounded: a connection whose record is full carries no further request.
 class ExchangeRecord {
   public:
-    /// Eight kilobytes of digests. A new connection for each thousand requests is no load.
+    /// 8 KiB of hashes. A new connection per thousand requests is no noticeable load.
     static constexpr std::size_t kMaxExchanges = 1024;
 
     /// An empty name is not recorded.
--- a/src/http1/held_answer.cpp
+++ b/src/http1/held_answer.cpp
@@ -18,7 +18,7 @@
 
 void HeldAnswer::start(Callback ended) {
     ended_ = std::move(ended);
-    // An answer whose length is known not to fit is not collected in vain.
+    // An answer whose stated length does not fit is not buffered at all.
     const std::size_t bytes = answer_.length.value_or(answer_.body.size());
     if (!limit_.add(bytes)) return end(End::LimitReached);
     counted_bytes_ = bytes;
@@ -27,7 +27,7 @@
 
 void HeldAnswer::read() {
     Pipe& rest = *answer_.rest;
-    // Not called from within take(), which may let the writer go on: this object could be destroyed there.
+    // No notifications during take(): it may resume the writer, whose callback could destroy this object.
     rest.on_readable(nullptr);
     while (!rest.empty()) {
         if (!append(rest.take())) return end(End::LimitReached);
@@ -40,7 +40,7 @@
 bool HeldAnswer::append(std::string&& piece) {
     const std::size_t bytes = piece.size();
     answer_.body.append(piece);
-    if (answer_.length) return true;  // counted as a whole
+    if (answer_.length) return true;  // its whole length was added at the start
     if (!limit_.add(bytes)) return false;
     counted_bytes_ += bytes;
     return true;
--- a/src/http1/http.h
+++ b/src/http1/http.h
@@ -1,4 +1,4 @@
-// What callers' and endpoints' connections share: the bounds of a message, and reading one piece by piece.
+// Shared by client and endpoint connections: message size limits, incremental reading and writing.
 #pragma once
 
 #include <algorithm>
@@ -28,20 +28,21 @@
 namespace http = boost::beast::http;
 using boost::system::error_code;
 
-constexpr std::size_t kMaxBufferedBodyBytes =
-    64 * 1024;  // up to here a body is held whole, so that it can go again
-constexpr std::size_t kStreamThresholdBytes = 16 * 1024;   // of an answer that is said to be longer than that
-constexpr std::uint64_t kMaxBodyBytes = 40 * 1024 * 1024;  // the platform's longest have 32 MB
-constexpr std::size_t kMaxPipeBytes = 32 * 1024;           // of a body that passes through
+// A body up to this size is buffered whole, so that it can be sent again.
+constexpr std::size_t kMaxBufferedBodyBytes = 64 * 1024;
+// An answer stated to be longer than that is streamed once this much has arrived.
+constexpr std::size_t kStreamThresholdBytes = 16 * 1024;
+constexpr std::uint64_t kMaxBodyBytes = 40 * 1024 * 1024;  // the longest bodies of the platform have 32 MB
+constexpr std::size_t kMaxPipeBytes = 32 * 1024;           // buffered of a streamed body
 constexpr std::size_t kMaxHeaderBytes = 8 * 1024;
 constexpr std::size_t kReadBytes = 4 * 1024;
-constexpr std::size_t kStreamReadBytes = 32 * 1024;  // read at once of a body that passes through
-constexpr std::size_t kMaxBufferBytes =
-    kStreamReadBytes + kReadBytes;  // heads never fill it: kMaxHeaderBytes bounds them
+constexpr std::size_t kStreamReadBytes = 32 * 1024;  // per read of a streamed body
+// Never filled by a head: kMaxHeaderBytes limits it.
+constexpr std::size_t kMaxBufferBytes = kStreamReadBytes + kReadBytes;
 
-/// Bounds what the kernel holds of what was written. Guards against megabytes on the way to a slow reader, of
-/// which a third must drain before the next piece may go: with the kernel's own choice that takes longer than
-/// a peer may stand still.
+/// Limits what the kernel buffers of written data. Guards against megabytes queued for a slow reader, a third
+/// of which must drain before the next write: with the kernel's default size that takes longer than the stall
+/// timeouts allow.
 constexpr int kSendBufferBytes = 64 * 1024;
 template <class Socket>
 void limit_send_buffer(Socket& socket) {
@@ -49,17 +50,17 @@
     socket.set_option(typename Socket::send_buffer_size(kSendBufferBytes), ignored);
 }
 
-/// A body as the pieces of it that have come and were not taken yet. Unlike Beast's string_body it reserves
-/// nothing on the strength of a stated length.
+/// A Beast body that holds the pieces that have arrived and were not taken yet. Unlike string_body it does
+/// not allocate a stated length in advance.
 struct IncrementalBody {
     using value_type = std::string;
     class reader {
       public:
         template <bool isRequest, class Fields>
         reader(http::header<isRequest, Fields>& head, value_type& held) : held_(held) {
-            // Beast puts the trailers of a chunked body among the fields (RFC 9110, section 6.5.1, forbids it
-            // but for those known to allow it). Guards against a trailer taken for the message's own word:
-            // which request it answers, that it was never run, whose tenant it is.
+            // Beast adds the trailers of a chunked body to the header fields, which RFC 9110, section 6.5.1,
+            // forbids except for fields known to allow it. Guards against a trailer being taken for a header
+            // of the message: which request it answers, that it never ran, whose tenant it is.
             keep_head_ = [this, &head] {
                 if (head.count(http::field::transfer_encoding) > 0)
                     drop_trailers_ = [&head, fields = Fields(head)] { static_cast<Fields&>(head) = fields; };
@@ -92,8 +93,8 @@
     };
 };
 
-/// A caller's request as it came, less what concerns its connection alone. Its body is whole, or the rest of
-/// it comes through a pipe.
+/// A client's request without the fields that concern its connection alone. Its body is complete, or its rest
+/// comes through a pipe.
 struct HttpMessage : Message {
     explicit HttpMessage(http::request<IncrementalBody>&& from)
         : head(std::move(from.base())), body(std::move(from.body())) {}
@@ -108,10 +109,11 @@
     bool resendable() const override { return !rest || !rest_begun; }
 
     http::request_header<> head;
-    mutable std::string body;  // where a rest follows it, this goes out ahead and is let go
+    mutable std::string body;  // the first part of a streamed body is sent from here and then freed
     std::shared_ptr<Pipe> rest;
-    std::optional<std::uint64_t> length;  // of the whole, where there is a rest and the caller told it
-    mutable bool rest_begun = false;      // an attempt has taken of the rest
+    std::optional<std::uint64_t>
+        length;                       // of the whole body, if it is streamed and the client stated its length
+    mutable bool rest_begun = false;  // an attempt has read from `rest`
 };
 
 template <bool isRequest>
@@ -125,12 +127,13 @@
     parser->body_limit(max_body_bytes);
 }
 
-/// Moves what the buffer holds into the parser, up to the message's end. No error where more must come.
+/// Moves the contents of the buffer into the parser, up to the end of the message. Needing more input is not
+/// an error.
 template <bool isRequest>
 error_code feed(Parser<isRequest>& parser, boost::beast::flat_buffer& buffer) {
     while (buffer.size() > 0 && !parser.is_done()) {
-        // Guards against a body over the limit: where it begins in the same read as its header ends, an eager
-        // parser of Boost 1.74 forgets that it found the stated length too large.
+        // Guards against a body over the limit. If a body starts in the same read in which the header ends,
+        // an eager parser of Boost 1.74 ignores that the stated length is over the limit.
         parser.eager(parser.is_header_done());
         error_code error;
         buffer.consume(parser.put(buffer.data(), error));
@@ -140,37 +143,36 @@
     return {};
 }
 
-/// A time as Retry-After has it: seconds, with a fraction.
+/// Formats a time for Retry-After: seconds, with a fraction.
 inline std::string seconds_text(Duration time) {
     return std::to_string(std::chrono::duration<double>(time).count());
 }
 
-/// Reads at most as much as a connection may hold unparsed: little, but for a body that passes through.
+/// Size of the next read. It bounds the unparsed bytes of a connection: few, except for a streamed body.
 inline std::size_t read_size(const boost::beast::flat_buffer& buffer, bool passing) {
     return passing ? std::min(kStreamReadBytes, buffer.max_size() - buffer.size()) : kReadBytes;
 }
 
-/// Writes a message whose body is at hand, or comes through a pipe.
+/// Writes a message whose body is complete or comes through a pipe.
 template <bool isRequest>
 class MessageWriter : public std::enable_shared_from_this<MessageWriter<isRequest>> {
   public:
     using Head = http::message<isRequest, http::buffer_body>;
 
-    /// `rest` follows `body`; the head says how long the two are together, or that they come in chunks.
+    /// `rest` follows `body`. The head states the length of both together, or chunked encoding.
     MessageWriter(Head head, std::string_view body, std::shared_ptr<Pipe> rest)
         : message_(std::move(head)), serializer_(message_), rest_(std::move(rest)) {
         set_piece(body.data(), body.size(), rest_ != nullptr);
     }
 
     const Head& head() const { return message_; }
-    /// Called after each piece that has gone out.
+    /// Called after each piece that has been written.
     std::function<void()> on_progress;
-    /// Called when the first piece of the rest is taken: it is held here alone from then on.
+    /// Called when the first piece of the rest is taken; from then on the writer has the only copy.
     std::function<void()> on_rest;
 
-    /// Writes to the end and calls `done` once with how that went; partial_message where the rest was broken
-    /// off.
-    /// `owner` holds the socket and the body, and is held while a write is pending.
+    /// Writes the message and calls `done` once with the result: partial_message if the rest was broken off.
+    /// `owner` keeps the socket and the body alive while a write is pending.
     template <class Socket>
     void run(Socket& socket, const std::shared_ptr<void>& owner,
              std::function<void(const error_code&)> done) {
@@ -186,7 +188,7 @@
     }
     /// Whether the writer waits for more of the rest.
     bool waiting() const { return waiting_; }
-    /// Calls nothing any more.
+    /// No callback is called after this.
     void stop() {
         done_ = nullptr;
         on_progress = nullptr;
@@ -220,7 +222,7 @@
         }
         if (on_rest) std::exchange(on_rest, nullptr)();
         piece_ = rest_->take();
-        // What was taken may have let more in, from within.
+        // Taking may have let the pipe's writer add more, synchronously.
         if (piece_.empty() && rest_->state() == Pipe::State::Failed) return end(http::error::partial_message);
         const bool more = rest_->state() != Pipe::State::Complete || !rest_->empty();
         set_piece(piece_.data(), piece_.size(), more);
--- a/src/http1/listener.cpp
+++ b/src/http1/listener.cpp
@@ -15,15 +15,16 @@
 
 namespace {
 
-constexpr int kMaxEvictionCandidates = 8;  // at connections, to find one that can make room
-constexpr Duration kMinQuietTime = 300ms;  // a connection that has said nothing for so long may not mean to
-constexpr Duration kAcceptRetryDelay = 20ms;  // after running out of descriptors
-constexpr Duration kEvacuationNotice =
-    300ms;  // after an evacuation began, by when no front sends anybody new
-constexpr Duration kEvacuationCloseDelay = 1s;  // and by when idle connections are closed
-constexpr Duration kGiveUpDelay = 20ms;  // the request handler's own deadline, at the same time, says more
-constexpr Duration kEvacuationRefuseDelay =
-    1800ms;  // from when on requests are refused: none of the last 2 s may be held
+constexpr int kMaxEvictionCandidates = 8;  // examined in search of one to evict
+constexpr Duration kMinQuietTime = 300ms;  // a connection silent for this long is not expected to send soon
+constexpr Duration kAcceptRetryDelay = 20ms;  // after running out of file descriptors
+// After this time from the start of an evacuation no client is routed here anew.
+constexpr Duration kEvacuationNotice = 300ms;
+constexpr Duration kEvacuationCloseDelay = 1s;  // idle connections are closed this long after its start
+// Giving up later than the request handler's own deadline, which gives a more precise answer.
+constexpr Duration kGiveUpDelay = 20ms;
+// After this time in an evacuation requests are refused, because none may be held in its last 2 s.
+constexpr Duration kEvacuationRefuseDelay = 1800ms;
 
 }  // namespace
 
@@ -40,18 +41,19 @@
       evacuation_timer_(loop),
       give_up_timer_(loop),
       evicted_(
-          counters.counter("clients.evicted", "connections without a whole request closed to make room")),
-      withheld_(counters.counter("answers.withheld", "answers to another request than the one that waited")),
+          counters.counter("clients.evicted", "connections without a complete request closed to make room")),
+      withheld_(counters.counter("answers.withheld", "answers withheld because they are to another request")),
       early_(counters.counter("clients.early", "reads that brought bytes while a request was open")) {
-    counters.gauge("clients.open", "connections of clients",
+    counters.gauge("clients.open", "client connections",
                    [this] { return static_cast<double>(open_connections()); });
 }
 HttpListener::~HttpListener() = default;
 
 void HttpListener::listen(const Address& address) {
     acceptor_.open(address.protocol());
-    acceptor_.set_option(asio::socket_base::reuse_address(true));  // a restart takes over its address at once
-    // Its successor may listen beside it.
+    acceptor_.set_option(
+        asio::socket_base::reuse_address(true));  // a restarted process can bind its address at once
+    // A successor process may listen on the same address.
     acceptor_.set_option(asio::detail::socket_option::boolean<SOL_SOCKET, SO_REUSEPORT>(true));
     acceptor_.bind(address);
     acceptor_.listen(asio::socket_base::max_listen_connections);
@@ -68,9 +70,9 @@
 void HttpListener::accept() {
     if (accepting_ || !acceptor_.is_open()) return;
     if (full()) {
-        evict_one();  // goes on when one closes
-        // Guards against a house that filled within one turn, with bytes of all still to be read: once they
-        // are, one can be closed.
+        evict_one();  // accepting resumes when a connection closes
+        // Guards against a listener that filled up within one turn of the event loop, where all connections
+        // have unread bytes: once these are read, one can be evicted.
         if (full()) accept_retry_timer_.set(EventLoop::monotonic() + kAcceptRetryDelay, [this] { accept(); });
         return;
     }
@@ -82,7 +84,7 @@
 }
 
 void HttpListener::accepted(const error_code& error, asio::ip::tcp::socket socket) {
-    // Also where the listener has been given up since: this one had been accepted before.
+    // Also after accepting was stopped: this connection had been accepted before.
     if (!error) {
         error_code ignored;
         socket.set_option(asio::ip::tcp::no_delay(true), ignored);
@@ -93,20 +95,19 @@
     if (!acceptor_.is_open()) return;
     if (error == asio::error::no_descriptors || error == boost::system::errc::too_many_files_open_in_system ||
         error == asio::error::no_memory || error == asio::error::no_buffer_space) {
-        // Guards against spinning on a listener that stays ready while nothing can be accepted.
+        // Guards against spinning on a socket that stays ready while nothing can be accepted.
         evict_one();
         return accept_retry_timer_.set(EventLoop::monotonic() + kAcceptRetryDelay, [this] { accept(); });
     }
     accept();
 }
 
-/// Closes the connection that has gone longest without a whole request: one that is between requests, says
-/// nothing, or sends its request too slowly. Guards against a house full of such clients that keeps out those
-/// who want something.
+/// Evicts the connection that has been without a complete request for longest: one between requests, silent,
+/// or sending too slowly. Guards against such clients filling the listener and keeping out others.
 bool HttpListener::evict_one() {
     const auto quiet = first_without_unread_data(idle_), half = first_without_unread_data(partial_);
     const Time settled = EventLoop::monotonic() - kMinQuietTime;
-    // One that has only just connected is about to say something, more likely than one that stopped half way.
+    // A connection that was just made is more likely to send soon than one that stopped within a request.
     const auto& gone = quiet && quiet->in_list_since() <= settled                        ? quiet
                        : half && (half->in_list_since() <= settled || !quiet)            ? half
                        : quiet && half && half->in_list_since() < quiet->in_list_since() ? half
@@ -120,7 +121,7 @@
 std::shared_ptr<ClientConnection> HttpListener::first_without_unread_data(Clients& among) {
     for (int looks = 0; looks < kMaxEvictionCandidates && !among.empty(); ++looks) {
         if (auto client = among.front().lock(); client && client->has_no_unread_data()) return client;
-        among.splice(among.end(), among, among.begin());  // its turn to be read comes first
+        among.splice(among.end(), among, among.begin());  // skipped: its data is read first
     }
     return nullptr;
 }
@@ -149,7 +150,8 @@
         hold_limit_ = std::make_unique<HoldLimit>(times.max_held_bytes);
         give_up_timer_.set(answer_deadline_ + kGiveUpDelay, [this] { give_up(); });
     }
-    if (replaced_) return stop_accepting();  // what waits in the listener is its other holder's
+    if (replaced_)
+        return stop_accepting();  // pending connections belong to the other process that holds the socket
     drain_timer_.set(EventLoop::monotonic() + times.accept_period, [this] { stop_accepting(); });
 }
 
@@ -160,13 +162,13 @@
 }
 
 void HttpListener::stop_accepting() {
-    // What the kernel has accepted by now is taken over first; the loop has run all that was ready.
-    // Taken out of the loop before it is closed: where another process holds the listener too, a close alone
-    // would leave it registered here.
+    // Connections that the kernel has accepted were taken over first: the event loop has run all ready
+    // handlers. The descriptor is released from Asio before it is closed: if another process holds the socket
+    // too, a close alone would leave it registered here.
     error_code ignored;
     if (const int descriptor = acceptor_.release(ignored); !ignored) ::close(descriptor);
-    // Clients go on using open connections, and there may be nobody else to turn to while a fleet restarts:
-    // these are served for as long as their answers will be in time.
+    // Clients keep using open connections, and may have no other proxy to turn to while a whole fleet
+    // restarts. These are served as long as their answers can be in time.
     const DrainTimes times = protocol_.drain_times();
     drain_timer_.set(
         std::max(EventLoop::monotonic() + times.request_grace, answer_deadline_ - times.answer_only_period),
@@ -179,8 +181,8 @@
     if (empty()) finish_drain();
 }
 
-/// Tells once that nothing is left. Guards against a process with two fronts that takes one's end told twice
-/// for both ends.
+/// Reports the end of the drain once. Guards against a process with two listeners that would take two reports
+/// of one for the end of both.
 void HttpListener::finish_drain() {
     if (!std::exchange(drain_finished_, true)) on_drained_();
 }
--- a/src/http1/listener.h
+++ b/src/http1/listener.h
@@ -1,4 +1,5 @@
-// The HTTP listener and its clients' connections: request to event, the one final answer, /-/ready.
+// HTTP listener and its client connections: turns requests into events, writes the one final answer, and
+// answers /-/ready.
 #pragma once
 
 #include <boost/asio/ip/tcp.hpp>
@@ -20,52 +21,54 @@
 class HoldLimit;
 class ServerProtocol;
 
-/// What a front still owes its clients.
+/// What a listener still owes its clients.
 struct ClientBacklog {
-    std::size_t requests = 0;         ///< taken, and their answers not written whole
-    std::size_t awaited_answers = 0;  ///< of these: read whole, in time, and none begun before the drain
-    std::uint64_t unsent_bytes = 0;   ///< written, and not acknowledged by the client's kernel
+    std::size_t requests = 0;  ///< requests accepted whose answers are not completely written
+    /// Those of them that were read completely, before their deadline, without an answer begun before the
+    /// drain.
+    std::size_t awaited_answers = 0;
+    std::uint64_t unsent_bytes = 0;  ///< written, but not acknowledged by the client's kernel
 };
 
 class HttpListener {
   public:
-    /// Holds this many connections at most. Throws boost::system::system_error where it can't listen.
-    /// `request_handler` and `protocol` outlive it.
+    /// Accepts at most this many connections. `request_handler` and `protocol` outlive it.
     HttpListener(EventLoop& loop, RequestHandler& request_handler, ServerProtocol& protocol,
                  std::size_t max_connections, std::function<bool()> ready, Counters& counters);
     ~HttpListener();
 
-    /// Listens, beside others that share the address with SO_REUSEPORT. Throws boost::system::system_error
-    /// where it can't.
+    /// Listens with SO_REUSEPORT, beside other processes on the same address. Throws
+    /// boost::system::system_error if that fails.
     void listen(const Address& address);
-    /// Takes over a listening socket, with the connections that wait in it.
+    /// Takes over a listening socket, with its queue of pending connections.
     void adopt(int descriptor);
     bool listening() const { return acceptor_.is_open(); }
     int native_handle() { return acceptor_.native_handle(); }
 
-    /// Stops in order: accepts and serves what still comes, answers all that was taken, then calls `done`
-    /// once. Where another process accepts from the same listener (`replaced`), nothing more is accepted
-    /// here, and clients are told to come back on new connections. With DrainTimes::max_held_bytes no answer
-    /// is begun that could break off at the process's end.
+    /// Graceful shutdown: accepts and serves what still arrives, answers all requests, then calls `done`
+    /// once. If another process accepts from the same socket (`replaced`), accepting stops at once and
+    /// clients are asked to reconnect. With DrainTimes::max_held_bytes no answer is begun that the end of the
+    /// process could truncate.
     void drain(std::function<void()> done, bool replaced);
-    /// Sends clients away while the process stays: not ready, their connections closed as they fall idle,
-    /// within 4 s (of the platform's drain), without a request lost. A second call changes nothing.
+    /// Sends clients away while the process stays up: reports not ready and closes connections as they become
+    /// idle, within 4 s (the time that the platform allows for a drain), without losing a request. A second
+    /// call has no effect.
     void evacuate();
-    /// Ends that.
+    /// Ends an evacuation.
     void activate();
     bool evacuated() const { return evacuated_since_.has_value(); }
-    /// From here on it holds so many; those that carry no request are closed to get there.
+    /// Changes the limit on connections; those without a request are closed to get down to it.
     void set_max_connections(std::size_t max_connections);
 
-    /// Answers that named another request than the one that waited, and were withheld.
+    /// Number of answers that named another request than the waiting one and were withheld.
     [[nodiscard]] std::uint64_t withheld_answers() const { return withheld_.value(); }
-    /// Reads that brought bytes while their connection's request was open: a client that does not wait for
-    /// its answer, or whose answer's end was seen here later than there.
+    /// Number of reads that brought bytes while the connection's request was open: the client does not wait
+    /// for its answer, or saw the end of the answer before this process did.
     [[nodiscard]] std::uint64_t early_reads() const { return early_.value(); }
-    /// Looks at every connection: for the log of a shutdown, not for each request.
+    /// Examines every connection: for the log of a shutdown, not for use per request.
     [[nodiscard]] ClientBacklog backlog() const;
 
-    /// Where it listens: the port is the system's choice where the configuration says 0.
+    /// The local address; its port was chosen by the system if port 0 was configured.
     Address local_address() const { return acceptor_.local_endpoint(); }
     bool draining() const { return static_cast<bool>(on_drained_); }
     /// Whether new clients are wanted.
@@ -76,19 +79,19 @@
     using Clients = std::list<std::weak_ptr<ClientConnection>>;
 
     bool rejects_new_clients() const { return draining() || evacuated(); }
-    /// Whether connections are given up after their answer.
+    /// Whether connections are closed after their answer.
     bool closes_after_answer() const;
-    /// Whether requests are refused, in an evacuation that should be over.
+    /// Whether requests are refused, in an evacuation that should be over by now.
     bool refuses_requests() const;
     void close_idle();
-    /// Whether answers that may come whole only after the drain are held until they are.
+    /// Whether answers that may not be complete before the drain ends are held until they are.
     bool holds_answers() const { return hold_limit_ != nullptr; }
-    /// Answers every request that has no answer yet: the drain is over.
+    /// Fails all requests that have no answer yet: the drain is over.
     void give_up();
 
     void accept();
     void accepted(const boost::system::error_code& error, asio::ip::tcp::socket socket);
-    /// False: nobody can be closed now.
+    /// Closes one connection to make room. Returns false if none can be closed now.
     bool evict_one();
     std::shared_ptr<ClientConnection> first_without_unread_data(Clients& among);
     void connection_closed(Clients& among, Clients::iterator place);
@@ -105,19 +108,19 @@
     std::size_t max_connections_;
     std::function<bool()> ready_;
     asio::ip::tcp::acceptor acceptor_;
-    // Each in the order in which that began; the first are closed where room is wanted.
-    Clients idle_;     // those that have said nothing since their last answer
-    Clients partial_;  // those whose request has begun to come, by when it last did
-    Clients active_;   // those with a request under way, which are never closed to make room
+    // Each list is in order of entry; connections are evicted from the front.
+    Clients idle_;     // no byte received since the last answer
+    Clients partial_;  // a request has begun to arrive; ordered by the last read
+    Clients active_;   // a request is being handled; never evicted
     bool accepting_ = false;
     Timer accept_retry_timer_, drain_timer_, evacuation_timer_, give_up_timer_;
-    std::optional<Time> evacuated_since_;  // since when
+    std::optional<Time> evacuated_since_;  // start of the evacuation
     bool replaced_ = false;
     Counter &evicted_, &withheld_, &early_;
-    std::uint64_t last_connection_ = 0;  // numbers those that are accepted
+    std::uint64_t last_connection_ = 0;  // number of the connection accepted last
     std::function<void()> on_drained_;
-    Time answer_deadline_{};                 // after SIGTERM: when all that is taken must be answered
-    std::unique_ptr<HoldLimit> hold_limit_;  // null: answers are passed on as they come
+    Time answer_deadline_{};                 // while draining: when all accepted requests must be answered
+    std::unique_ptr<HoldLimit> hold_limit_;  // null: answers are passed on as they arrive
     bool stopped_serving_ = false, drain_finished_ = false;
 };
 
--- a/src/http1/protocol.cpp
+++ b/src/http1/protocol.cpp
@@ -18,20 +18,20 @@
     return value;
 }
 
-// ---- the platform in service ----------------------------------------------------------------------
+// ---- the sidecar platform
 
 namespace {
 
 constexpr std::size_t kMaxIdBytes = 128;
 constexpr std::int64_t kMaxTimeoutMs = 24 * 3600 * 1000;
-constexpr Duration kAcceptPeriod = 450ms;       // connections come for 0.4 s after SIGTERM
-constexpr Duration kRequestGrace = 200ms;       // and the requests on them
-constexpr Duration kKillDelay = 700ms;          // SIGKILL comes this much later than the longest deadline
-constexpr Duration kMaxKillDeadline = 3s;       // of which no more than this counts
-constexpr Duration kKillMargin = 150ms;         // all answers are out by this much before it
-constexpr Duration kAnswerOnlyPeriod = 1500ms;  // and no more requests are wanted by this much before that
-
-std::uint64_t hash(std::string_view text) {  // FNV-1a: requests on one key meet the same number everywhere
+constexpr Duration kAcceptPeriod = 450ms;       // clients connect for up to 0.4 s after SIGTERM
+constexpr Duration kRequestGrace = 200ms;       // for requests on those connections
+constexpr Duration kKillDelay = 700ms;          // SIGKILL comes this much after the longest deadline
+constexpr Duration kMaxKillDeadline = 3s;       // the part of that deadline that counts at most
+constexpr Duration kKillMargin = 150ms;         // all answers are written this much before SIGKILL
+constexpr Duration kAnswerOnlyPeriod = 1500ms;  // no new requests this much before the end of answers
+
+std::uint64_t hash(std::string_view text) {  // FNV-1a: every process maps a key to the same number
     std::uint64_t value = 14695981039346656037u;
     for (const char c : text) value = (value ^ static_cast<unsigned char>(c)) * 1099511628211u;
     return value;
@@ -46,7 +46,7 @@
             kAnswerOnlyPeriod};
 }
 
-/// The event that a message stands for, or the status that turns it away.
+/// Returns the event for a message, or the status that rejects it.
 std::variant<Request, LocalReply> SidecarServerProtocol::read(Fields& message, Time arrived) {
     const Settings& settings = settings_;
     const auto id = message["X-Request-ID"], name = message["X-Priority-Class"];
--- a/src/http1/protocol.h
+++ b/src/http1/protocol.h
@@ -1,6 +1,6 @@
-// What differs between the deployments that speak HTTP/1.1: which fields a request must have, what proves
-// that one never ran, what an answer says beside its body. Fronts and backs read and write; a protocol says
-// what it means.
+// What differs between deployments that speak HTTP/1.1: which fields a request must have, what proves that a
+// request never ran, what an answer carries besides its body. Listeners and endpoint clients do the reading
+// and writing.
 #pragma once
 
 #include <boost/beast/http/fields.hpp>
@@ -18,7 +18,7 @@
 
 namespace martenford {
 
-/// The head of an endpoint's answer as it came, less what concerns its connection alone.
+/// The head of an endpoint's answer, without the fields that concern its connection alone.
 class HttpAnswerHead : public AnswerHead {
   public:
     unsigned status = 0;
@@ -26,33 +26,33 @@
     AnswerOrigin origin;
 };
 
-/// What callers may send and how long they may take. Bytes, and times by the steady clock.
+/// Limits on requests and client connections. Sizes are in bytes, times by the monotonic clock.
 struct ListenerLimits {
-    Duration head_time = 2600ms;  ///< a head must be whole in this time from its first byte, the first on a
-                                  ///< connection from the connect
-    Duration idle_time = 15s;     ///< a connection between requests is kept for this long
+    Duration head_time = 2600ms;  ///< time in which a head must be complete: from its first byte, or from the
+                                  ///< connect for the first request on a connection
+    Duration idle_time = 15s;     ///< time for which a connection without a request is kept open
     std::size_t max_header_bytes = kMaxHeaderBytes;
     std::uint64_t max_body_bytes = kMaxBodyBytes;
-    std::size_t max_buffered_body_bytes =
-        kMaxBufferedBodyBytes;  ///< up to here a body is held whole; longer ones go on as they come
+    /// A body up to this size is buffered whole; longer ones are streamed.
+    std::size_t max_buffered_body_bytes = kMaxBufferedBodyBytes;
 };
 
-/// What is done after SIGTERM, counted from it.
+/// The phases of a shutdown, counted from SIGTERM.
 struct DrainTimes {
     Duration accept_period{};       ///< connections are accepted for so long
-    Duration request_grace{};       ///< and the requests on them are taken for this much longer, at least
-    Duration answer_deadline{};     ///< all that was taken is answered by then
-    Duration answer_only_period{};  ///< and no more requests are taken for so long before that
-    /// The process ends soon after `answer_deadline`, whatever is under way. Answers to requests whose
-    /// deadline is later are held until they are whole, up to so many bytes in all; those that are not whole
-    /// at `answer_deadline` are given up. 0: answers are passed on as they come.
+    Duration request_grace{};       ///< requests on them are accepted for at least this much longer
+    Duration answer_deadline{};     ///< all accepted requests are answered by then
+    Duration answer_only_period{};  ///< no new requests are accepted for so long before that
+    /// The process ends soon after `answer_deadline`, whatever is in flight. Answers to requests with a later
+    /// deadline are held until they are complete, up to this many bytes in all; those that are incomplete at
+    /// `answer_deadline` are given up. 0: answers are passed on as they arrive.
     std::size_t max_held_bytes = 0;
 };
 
-/// An answer without the request handler.
+/// An answer made without the request handler.
 struct LocalReply {
     http::status status = http::status::bad_request;
-    bool keep = true;  ///< the connection, where its client wants that
+    bool keep = true;  ///< keep the connection open, if its client wants that
     Duration retry_after{};
     std::vector<std::pair<std::string, std::string>> fields{};
 };
@@ -63,19 +63,19 @@
     virtual ~ServerProtocol() = default;
     virtual const ListenerLimits& limits() const = 0;
     virtual DrainTimes drain_times() const = 0;
-    /// Where callers ask whether the process is ready; empty: not on this port.
+    /// The path of the readiness check; empty: none on this port.
     virtual std::string_view ready_path() const { return {}; }
-    /// The event that a request stands for, or what turns it away. `arrived` is when its last byte came.
-    /// Fields may be added and taken off.
+    /// Returns the event for a request, or the reply that rejects it. `arrived` is when its last byte was
+    /// received. May add and remove fields.
     virtual std::variant<decision::Request, LocalReply> read(Fields& head, Time arrived) = 0;
-    /// The status and the fields of the answer to request `id`; its length and its connection are the
-    /// front's.
+    /// Sets the status and the fields of the answer to request `id`. The listener sets its length and
+    /// connection fields.
     virtual void write(const Answer& answer, const decision::RequestId& id,
                        http::response_header<>& head) = 0;
     /// Returns false if the answer is an endpoint's and names another request than `id`. Such an answer is
-    /// withheld, and the client told that its request failed.
+    /// withheld, and the client is told that its request failed.
     [[nodiscard]] virtual bool is_answer_to(const Answer&, const decision::RequestId&) const { return true; }
-    /// An answer was withheld. `record` tells what its client's connection carried last.
+    /// Called when an answer was withheld. `record` tells what the client's connection carried last.
     virtual void on_withheld(const Answer&, const decision::RequestId&, const ConnectionRecord& record) {
         (void)record;
     }
@@ -84,27 +84,27 @@
 class ClientProtocol {
   public:
     virtual ~ClientProtocol() = default;
-    /// Adds and takes off fields of a request before it goes to `to`; the attempt ends at `end`.
+    /// Adds and removes fields of a request before it is sent to `to`; the attempt times out at `end`.
     virtual void prepare(http::request_header<>& head, const HttpMessage& message, EndpointId to,
                          Time end) = 0;
-    /// Whether the message's body goes out with it now.
+    /// Whether this attempt carries the body of the message.
     virtual bool carries_body(const HttpMessage&) const { return true; }
-    /// The name by which answers tell which request they answer, where endpoints may answer late or twice.
-    /// A connection carries each name once at most: a late answer to a request's earlier attempt would look
-    /// like the answer to this one. Empty: answers name no request.
+    /// The name by which answers identify their request, for endpoints that may answer late or twice. A
+    /// connection carries each name at most once: a late answer to an earlier attempt of a request would look
+    /// like the answer to this one. Empty: answers do not name their request.
     virtual std::string_view exchange_name(const HttpMessage&) const { return {}; }
-    /// The request that asks an endpoint for its health.
+    /// Builds the health check request.
     virtual void prepare_probe(http::request_header<>& head) = 0;
-    /// How the attempt ended. Nothing: the answer is not to this request, and is passed over.
+    /// How the attempt ended. Empty: this answers another request, and is skipped.
     virtual std::optional<decision::Status> classify(const http::response_header<>& head,
                                                      const HttpMessage* message, EndpointId from) = 0;
-    /// Whether answers are passed on with their heads.
+    /// Whether the heads of answers are forwarded.
     virtual bool forwards_heads() const { return false; }
-    /// Whether the end of a connection may end an answer of untold length.
+    /// Whether an answer without a stated length may end with the connection.
     virtual bool allows_close_delimited() const { return true; }
 };
 
-/// Takes off what concerns one connection alone (RFC 9110, section 7.6.1).
+/// Removes the fields that concern one connection alone (RFC 9110, section 7.6.1).
 template <class Fields>
 void strip_connection_fields(Fields& fields) {
     const auto listed = std::string(fields[http::field::connection]);
@@ -120,10 +120,10 @@
     }
 }
 
-/// A whole number and nothing else; nothing where the text is none.
+/// Parses text that consists of an integer and nothing else.
 std::optional<std::int64_t> parse_integer(boost::beast::string_view text);
 
-/// The protocol of the platform in service: X-Request-ID, X-Timeout-Ms and the rest of it.
+/// The protocol of the platform's sidecars, with X-Request-ID, X-Timeout-Ms and so on.
 class SidecarServerProtocol : public ServerProtocol {
   public:
     explicit SidecarServerProtocol(const decision::Settings& settings) : settings_(settings) {}
--- a/tests/http1/endpoint_client_test.cpp
+++ b/tests/http1/endpoint_client_test.cpp
@@ -19,7 +19,7 @@
         "POST /post/7f3a?a=b%20c HTTP/1.1\r\nHost: service.internal\r\nX-Request-ID: r1\r\n"
         "X-Priority-Class: post\r\nX-Timeout-Ms: 60000\r\nIdempotency-Key: k1\r\n"
         "Connection: keep-alive, X-Hop\r\nX-Hop: 1\r\nContent-Length: 5\r\n\r\na\r\n\0b");
-    // The text ends at its zero byte: the last two of the five bytes follow.
+    // The C string ends at its zero byte: send the last two of the five body bytes separately.
     client.send(std::string("\0b", 2));
     Peer at_endpoint = endpoint.accept();
     const std::string request = at_endpoint.receive();
@@ -80,7 +80,7 @@
     client.send(debit("r2"));
     at_endpoint.receive();
     at_endpoint.send(answer(503, "", "X-Not-Processed: 1\r\n"));
-    EXPECT_TRUE(has(at_endpoint.receive(), "X-Request-ID: r2"));  // sent again
+    EXPECT_TRUE(has(at_endpoint.receive(), "X-Request-ID: r2"));  // the retry
     at_endpoint.send(answer(200, "done"));
     EXPECT_EQ(body_of(client.receive()), "done");
 }
@@ -96,14 +96,14 @@
     EXPECT_TRUE(endpoint.no_connection_pending());
 }
 
-/// An endpoint says no more than this to a request that may be repeated.
+/// An endpoint sends only `said` in answer to a request that may be retried.
 void expect_second_attempt(Sidecar& sidecar, Listener& endpoint, const std::string& said) {
     Peer client = sidecar.client();
     client.send(look("r1"));
     Peer silent = endpoint.accept();
     EXPECT_TRUE(has(silent.receive(), "X-Request-ID: r1\r\n"));
     silent.send(said);
-    ASSERT_TRUE(silent.is_closed());  // the first is over before the second begins
+    ASSERT_TRUE(silent.is_closed());  // the first attempt ends before the second begins
     Peer second = endpoint.accept();
     EXPECT_TRUE(has(second.receive(), "X-Request-ID: r1\r\n"));
     second.send(answer(200, "again"));
@@ -154,7 +154,8 @@
     Peer next = endpoint.accept();
     EXPECT_TRUE(has(next.receive(), "X-Request-ID: r2"));
     next.send(answer(500));
-    EXPECT_TRUE(has(next.receive(), "X-Request-ID: r2"));  // after a wait in which r1 would have come too
+    EXPECT_TRUE(has(next.receive(),
+                    "X-Request-ID: r2"));  // after a delay in which a retry of r1 would have arrived too
     EXPECT_TRUE(endpoint.no_connection_pending());
 }
 
@@ -182,7 +183,7 @@
         "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: <x>; rel=preload\r\n\r\n";
     at_endpoint.send(early + answer(200, "1"));
     EXPECT_EQ(body_of(client.receive()), "1");
-    client.send(debit("r2"));  // on the same connection: nothing was left over
+    client.send(debit("r2"));  // on the same connection, which has no bytes left over
     EXPECT_TRUE(has(at_endpoint.receive(), "X-Request-ID: r2"));
     std::string many;
     for (int i = 0; i < 1000; ++i) many += "HTTP/1.1 102 x\r\n\r\n";
@@ -200,7 +201,7 @@
         at_endpoint.send(answer(200, "1") + more);
         EXPECT_EQ(body_of(client.receive()), "1");
         client.send(debit("r2"));
-        Peer next = endpoint.accept();  // the connection is not used again
+        Peer next = endpoint.accept();  // the connection is not reused
         EXPECT_TRUE(has(next.receive(), "X-Request-ID: r2"));
         next.send(answer(200, "2"));
         EXPECT_EQ(body_of(client.receive()), "2");
@@ -208,7 +209,7 @@
         EXPECT_TRUE(has(next.receive(), "X-Request-ID: r3"));
         next.send(answer(200, "3"));
         EXPECT_EQ(body_of(client.receive()), "3");
-        next.send(more);  // while it carries nothing
+        next.send(more);  // while it is idle
         EXPECT_TRUE(next.is_closed());
     }
 }
@@ -221,7 +222,8 @@
     Peer client = sidecar.client();
     Peer* at_open = nullptr;
     std::optional<Peer> connection;
-    // Either may be drawn first; over this many requests the refused one is, and no request is lost to it.
+    // Either endpoint may be chosen first. Over this many requests the refused one is chosen too, and no
+    // request fails because of it.
     for (int i = 0; i < 12; ++i) {
         client.send(debit("r" + std::to_string(i)));
         if (!at_open) at_open = &connection.emplace(open.accept());
@@ -239,8 +241,8 @@
     first.send(look("r1"));
     Peer at_endpoint = endpoint.accept();
     at_endpoint.receive();
-    // The one connection is in use: the second waits for a try that finds it idle, or is refused; it never
-    // opens one.
+    // The only connection is in use: the second request is retried until it is idle, or refused; it never
+    // opens another one.
     second.send(look("r2"));
     EXPECT_TRUE(at_endpoint.silent());
     at_endpoint.send(answer(200, "1"));
@@ -264,7 +266,7 @@
     }
     Sidecar sidecar(config(discovery.address(), known), "[connections]\nmost = 2\n");
     std::vector<Peer> at;
-    std::vector<std::size_t> order;  // of the endpoints, as they were first used
+    std::vector<std::size_t> order;  // of the endpoints, by first use
     Peer client = sidecar.client();
     for (int i = 0; i < 100; ++i) {
         client.send(look("r" + std::to_string(i)));
@@ -275,7 +277,7 @@
         ASSERT_LT(which, polls.size());
         const bool fresh = which >= at.size();
         if (at.size() == 2 && (fresh || at[which].is_closed())) {
-            // The third needs room: one of the others is closed for it, and one only.
+            // The third endpoint needs a connection: exactly one of the others is closed for it.
             const std::size_t closed = fresh ? first_of({at[0].poll_for(), at[1].poll_for()}) : which;
             ASSERT_LT(closed, 2u);
             EXPECT_TRUE(!fresh || at[closed].is_closed());
--- a/tests/http1/listener_test.cpp
+++ b/tests/http1/listener_test.cpp
@@ -1,4 +1,4 @@
-// What callers may send, and how many of them there may be.
+// Which requests clients may send, and how many clients there may be.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -69,7 +69,7 @@
         EXPECT_TRUE(client.is_closed()) << text;
     }
     EXPECT_TRUE(endpoint.no_connection_pending());
-    Peer client = sidecar.client();  // the one coding that is taken
+    Peer client = sidecar.client();  // the only coding that is accepted
     client.send(head + "Transfer-Encoding: chunked\r\n\r\n3\r\npay\r\n0\r\n\r\n");
     EXPECT_EQ(body_of(endpoint.accept().receive()), "pay");
 }
@@ -126,7 +126,7 @@
     EXPECT_EQ(body_of(client.receive()), "1");
 }
 
-/// A platform's limit of 64 leaves 16 for clients and 16 for endpoints.
+/// A limit of 64 sockets leaves 16 for clients and 16 for endpoints.
 constexpr int kMaxClients = 16;
 constexpr std::size_t kLimit = 64;
 
@@ -151,7 +151,8 @@
     EXPECT_LE(max_seen, kLimit);
     EXPECT_TRUE(endpoint.no_connection_pending());  // one connection was enough for all
     for (int i = 0; i < 10; ++i)
-        EXPECT_TRUE(clients[static_cast<std::size_t>(i)].is_closed()) << i;  // the eldest made room
+        EXPECT_TRUE(clients[static_cast<std::size_t>(i)].is_closed())
+            << i;  // the oldest connections were evicted
 }
 
 }  // namespace
--- a/tests/http1/streaming_test.cpp
+++ b/tests/http1/streaming_test.cpp
@@ -1,4 +1,5 @@
-// Bodies that are longer than what is held: they pass through in both directions, and what breaks shows.
+// Bodies too long to be buffered are streamed in both directions, and a truncated body is visible to its
+// receiver.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -14,11 +15,11 @@
 using namespace martenford::standins;
 
 constexpr std::size_t kMega = 1024 * 1024;
-constexpr double kMaxGrowthMb = 8.0;  // MB, where 32 pass through
+constexpr double kMaxGrowthMb = 8.0;  // in MB, while 32 MB pass through
 
 class BodyStreaming : public testing::Test {
   protected:
-    /// Bytes that tell where in the body they stand.
+    /// Bytes that depend on their position in the body.
     static std::string piece(std::size_t from, std::size_t size) {
         std::string text(size, '\0');
         for (std::size_t i = 0; i < size; ++i)
@@ -30,7 +31,8 @@
                "\r\nX-Priority-Class: debit\r\nX-Timeout-Ms: " + std::to_string(timeout_ms) + "\r\n" +
                framing + "\r\n";
     }
-    /// Reads until `size` bytes of body have come; checks each against piece(). Gives how many did.
+    /// Reads until `size` bytes of the body have arrived and compares them with piece(). Returns how many
+    /// arrived.
     static std::size_t read_body(Peer& peer, std::string begun, std::size_t size) {
         std::size_t got = 0;
         for (std::string some = std::move(begun);; some = peer.receive_some()) {
@@ -63,7 +65,7 @@
     Listener discovery, endpoint;
     Sidecar sidecar{with_console(config(discovery.address(), target("s-1", endpoint.address()))),
                     "",
-                    // Sanitized it would keep what it frees, and its memory would tell nothing.
+                    // The address sanitizer delays freeing memory, which would spoil the measurement.
                     {"ASAN_OPTIONS=quarantine_size_mb=1:thread_local_quarantine_size_kb=64"}};
 };
 
@@ -95,7 +97,7 @@
     EXPECT_EQ(got, size);
     EXPECT_LT(std::max(max_seen, sidecar.memory_mb()), before + kMaxGrowthMb);
     EXPECT_EQ(sidecar.metric("success.look"), 1.0);
-    client.send(look("r2"));  // both connections go on
+    client.send(look("r2"));  // both connections stay usable
     EXPECT_TRUE(has(at_endpoint.receive(), "X-Request-ID: r2"));
 }
 
@@ -106,7 +108,7 @@
     at_endpoint.receive();
     std::string whole;
     for (int i = 0; i < 40; ++i) whole += piece(whole.size(), 10'000);
-    std::thread sender([&] {  // more than what all buffers on the way hold
+    std::thread sender([&] {  // more than all buffers on the way can hold
         at_endpoint.send("HTTP/1.1 200 x\r\nTransfer-Encoding: chunked\r\n\r\n");
         for (std::size_t at = 0; at < whole.size(); at += 10'000)
             at_endpoint.send(chunk(whole.substr(at, 10'000)));
@@ -123,7 +125,7 @@
     }
     sender.join();
     EXPECT_TRUE(begun.ends_with("0\r\n\r\n"));
-    std::string body;  // of the chunks that the sidecar made
+    std::string body;  // of the chunks that the sidecar wrote
     for (std::size_t at = 0;;) {
         const std::size_t size = std::strtoul(begun.c_str() + at, nullptr, 16);
         if (size == 0) break;
@@ -147,7 +149,8 @@
         std::string begun;
         EXPECT_EQ(status_of(read_head(client, begun)), 200);
         at_endpoint.reset();
-        const std::string all = begun + client.receive_all();  // ends though the body has not
+        // The connection ends although the body has not.
+        const std::string all = begun + client.receive_all();
         EXPECT_LT(all.size(), 300'000u);
         EXPECT_FALSE(all.ends_with("0\r\n\r\n")) << "a broken answer that looks whole";
         EXPECT_TRUE(endpoint.no_connection_pending());
@@ -212,7 +215,7 @@
         whole += piece(whole.size(), 9'000);
         client.send(chunk(whole.substr(whole.size() - 9'000)));
     }
-    client.send("0\r\n\r\n" + debit("r2"));  // the next request right behind
+    client.send("0\r\n\r\n" + debit("r2"));  // the next request follows directly
     Peer at_endpoint = endpoint.accept();
     std::string begun;
     const std::string head = read_head(at_endpoint, begun);
@@ -233,7 +236,7 @@
     read_head(at_endpoint, begun);
     EXPECT_GT(read_body(at_endpoint, begun, 200'000), 0u);
     at_endpoint.reset();
-    EXPECT_EQ(status_of(client.receive()), 503);  // harmless to repeat, and at once
+    EXPECT_EQ(status_of(client.receive()), 503);  // safe to retry, and without delay
     EXPECT_TRUE(endpoint.no_connection_pending()) << "a part of the body is gone: it can't be sent again";
     EXPECT_EQ(sidecar.metric("backend_calls"), 0.0);
 }
@@ -304,8 +307,8 @@
     Peer at_endpoint = endpoint.accept();
     std::string begun;
     read_head(at_endpoint, begun);
-    // The endpoint reads nothing for longer than a client may stand still: a clean condition to wait for is
-    // not to be had, so a half-sent request on another connection tells when that time has passed.
+    // The endpoint reads nothing for longer than a client may stall. No event marks that time, so that the
+    // timeout of an incomplete request on another connection stands in for it.
     Peer half = sidecar.client();
     half.send("GET /look/1 HTTP/1.1\r\n");
     EXPECT_EQ(status_of(half.receive()), 408);
@@ -321,7 +324,7 @@
     Peer at_endpoint = endpoint.accept();
     std::string begun;
     read_head(at_endpoint, begun);
-    Peer timed = sidecar.client();  // as long again as the request may take
+    Peer timed = sidecar.client();  // twice the timeout of the first request
     timed.send(debit("r2", 800));
     Peer mute = endpoint.accept();
     mute.receive();
@@ -333,7 +336,7 @@
     client.send(post_head("r3", "Content-Length: 200000\r\n", 300) + piece(0, 200'000));
     read_head(at_endpoint, begun);
     EXPECT_EQ(read_body(at_endpoint, begun, 200'000), 200'000u);
-    EXPECT_EQ(status_of(client.receive()), 502);  // and ends in its time
+    EXPECT_EQ(status_of(client.receive()), 502);  // and times out
 }
 
 TEST_F(BodyStreaming, ExpectContinueIsAnswered) {
