--- a/src/config/config.cpp
+++ b/src/config/config.cpp
@@ -13,7 +13,8 @@
 
 constexpr std::size_t kMinSockets = 64;
 
-/// A variable, if one is named, overrides the field beside it, or stands in for it.
+/// Reads a text field. An environment variable, if `variable` names one that is set, takes precedence over
+/// the field.
 std::string text(const object& from, const char* variable, std::string_view field) {
     if (const char* value = variable ? std::getenv(variable) : nullptr; value && *value) return value;
     return std::string(require_string(from, field));
@@ -22,7 +23,7 @@
 Address address(const object& from, const char* variable, std::string_view field) {
     const std::string value = text(from, variable, field);
     if (const auto parsed = parse_address(value)) return *parsed;
-    throw_field_error("field '" + std::string(field) + "' is no address: '" + value + "'");
+    throw_field_error("field '" + std::string(field) + "' is not an address: '" + value + "'");
 }
 
 std::vector<std::string> names(const object& from, std::string_view field) {
@@ -33,18 +34,18 @@
     return result;
 }
 
-/// Hexadecimal digits, 64 bits of them.
+/// A 64-bit number in hexadecimal digits.
 std::uint64_t read_seed(const object& from) {
     const std::string_view digits = require_string(from, "seed");
     std::uint64_t seed = 0;
     const char* end = digits.data() + digits.size();
     const auto [stop, fault] = std::from_chars(digits.data(), end, seed, 16);
     if (fault != std::errc{} || stop != end)
-        throw_field_error("field 'seed' is no hexadecimal number of 64 bits");
+        throw_field_error("field 'seed' is not a 64-bit hexadecimal number");
     return seed;
 }
 
-/// Loads the file and reads it by `read`; what is wrong with it names the field.
+/// Loads the configuration file and passes it to `read`. Errors name the file and the field.
 template <typename Read>
 auto with_config_file(Read read) {
     const char* path = std::getenv("PROXY_CONFIG");
@@ -58,7 +59,7 @@
         return read(as<object>(root, "PROXY_CONFIG", "an object"));
     } catch (const FieldError& error) {
         throw ConfigError(std::string(path) + ": " + error.what());
-    } catch (const std::invalid_argument& error) {  // settings that make no sense
+    } catch (const std::invalid_argument& error) {  // settings that are inconsistent
         throw ConfigError(std::string(path) + ": " + error.what());
     }
 }
@@ -93,7 +94,7 @@
     return with_config_file([](const object& top) {
         const Config whole = read_all(top);
         decision::validate(whole.settings);
-        // The variable is the start's: only the file can have changed since.
+        // Not the environment variable, which belongs to the start: only the file can have changed since.
         return address(top, nullptr, "discovery");
     });
 }
--- a/src/config/config.h
+++ b/src/config/config.h
@@ -1,4 +1,4 @@
-// What the platform tells a sidecar: the file at PROXY_CONFIG and the variables beside it.
+// The platform's configuration of a sidecar: the file named by PROXY_CONFIG and environment variables.
 #pragma once
 
 #include <cstddef>
@@ -11,7 +11,7 @@
 
 namespace martenford {
 
-/// The text names the field or variable.
+/// The message names the field or variable.
 struct ConfigError : std::runtime_error {
     using std::runtime_error::runtime_error;
 };
@@ -20,7 +20,7 @@
     std::string name;
     Address listen;
     Address discovery;
-    std::optional<Address> console;  ///< where operators call
+    std::optional<Address> console;  ///< address of the operators' console
     std::uint64_t seed = 0;
     std::size_t sockets = 1024;
     Names names;
@@ -28,10 +28,10 @@
     decision::Settings settings;
 };
 
-/// Reads the environment and the file that it names. Throws ConfigError.
+/// Reads the environment and the configuration file. Throws ConfigError.
 Config read_config();
-/// Reads the file again and gives its `discovery`, whatever the variable beside it said at the start. Throws
-/// ConfigError, also where another field of the new file is wrong.
+/// Reads the file again and returns its `discovery` address, ignoring the environment variable. Throws
+/// ConfigError, also if another field of the new file is invalid.
 Address reload_discovery_address();
 
 }  // namespace martenford
--- a/src/config/fields.h
+++ b/src/config/fields.h
@@ -1,4 +1,4 @@
-// Typed access to the fields of a JSON object; what is missing or wrong is named. No decisions.
+// Typed access to the fields of a JSON object. Errors name the field that is missing or invalid.
 #pragma once
 
 #include <simdjson.h>
@@ -22,7 +22,7 @@
 using simdjson::dom::element;
 using simdjson::dom::object;
 
-/// Malformed input: the text names the field.
+/// Malformed input; the message names the field.
 struct FieldError : std::runtime_error {
     using std::runtime_error::runtime_error;
 };
@@ -31,7 +31,7 @@
     throw FieldError(what);
 }
 
-/// The value of a field; nothing where it is absent or null.
+/// Returns the value of a field; nothing if it is absent or null.
 inline std::optional<element> find(const object& from, std::string_view name) {
     element value;
     if (from[name].get(value) != simdjson::SUCCESS || value.is_null()) return std::nullopt;
@@ -53,7 +53,7 @@
 
 inline std::uint64_t to_unsigned(const element& value, std::string_view name,
                                  std::uint64_t max = std::numeric_limits<std::uint64_t>::max()) {
-    const auto number = as<std::uint64_t>(value, name, "a whole number of 0 or more");
+    const auto number = as<std::uint64_t>(value, name, "a non-negative integer");
     if (number > max) throw_field_error("field '" + std::string(name) + "' is out of range");
     return number;
 }
@@ -67,7 +67,7 @@
     return value ? static_cast<std::uint32_t>(to_unsigned(*value, name, kMaxU32)) : fallback;
 }
 inline Duration to_duration(const element& value, std::string_view name) {
-    return Duration{as<std::int64_t>(value, name, "a time in whole nanoseconds")};
+    return Duration{as<std::int64_t>(value, name, "a time in integer nanoseconds")};
 }
 inline Duration to_nonnegative_duration(const element& value, std::string_view name) {
     const Duration span = to_duration(value, name);
@@ -101,7 +101,7 @@
 inline object require_object(const object& from, std::string_view name) {
     return as<object>(require(from, name), name, "an object");
 }
-/// An absent array reads as an empty one.
+/// Returns the elements of an array; none if the field is absent.
 inline std::vector<element> elements(const object& from, std::string_view name) {
     std::vector<element> result;
     if (const auto value = find(from, name)) {
@@ -110,7 +110,8 @@
     return result;
 }
 
-/// How many names a list gives; one where it is absent or empty, as everything has some zone, kind and tier.
+/// Number of entries of a list of names; one if it is absent or empty, because every endpoint has some zone,
+/// kind and tier.
 inline std::uint32_t count_or_one(const object& from, std::string_view name) {
     return std::max<std::uint32_t>(1, static_cast<std::uint32_t>(elements(from, name).size()));
 }
@@ -121,7 +122,7 @@
     for (const auto& [name_text, meaning] : values) {
         if (name_text == text) return meaning;
     }
-    throw_field_error("field '" + std::string(name) + "' has an unknown word");
+    throw_field_error("field '" + std::string(name) + "' has an unknown value");
 }
 
 }  // namespace martenford::decision::json
--- a/src/config/read_settings.cpp
+++ b/src/config/read_settings.cpp
@@ -49,7 +49,7 @@
     result.fall_multiple = require_number(from, "fall_multiple");
     result.tip_after = require_duration(from, "tip_after");
     result.turn_gap = duration_or_zero(from, "turn_gap");
-    // Any one of the three says that attempts are rationed; validation finds what is missing then.
+    // Any of the three fields enables the attempt budget; validate() reports which of the others are missing.
     if (find(from, "extra_floor") || find(from, "resend_ratio") || find(from, "look_back")) {
         result.attempt_budget = {number_or(from, "extra_floor", 0.0), number_or(from, "resend_ratio", 0.0),
                                  duration_or_zero(from, "look_back")};
--- a/src/config/read_settings.h
+++ b/src/config/read_settings.h
@@ -1,11 +1,12 @@
-// The settings object, as the bench's wire and the sidecar's configuration both give it. No decisions.
+// Reads the settings object, whose form is the same in the simulator's protocol and in the sidecar's
+// configuration.
 #pragma once
 
 #include "config/fields.h"
 
 namespace martenford::decision::json {
 
-/// Throws FieldError that names the field where the object is malformed or makes no sense.
+/// Throws FieldError, which names the field, if the object is malformed or inconsistent.
 Settings read_settings(const object& from);
 
 }  // namespace martenford::decision::json
--- a/src/config/targets.cpp
+++ b/src/config/targets.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-constexpr std::int64_t kMaxBootMs = std::int64_t{1} << 42;  // the year 2109: what is later is no time
+constexpr std::int64_t kMaxBootMs = std::int64_t{1} << 42;  // in the year 2109; a later time is invalid
 
 std::optional<std::uint32_t> index_of(const std::vector<std::string>& names, std::string_view name) {
     if (names.empty()) return 0;
@@ -29,13 +29,14 @@
                                                             {{"Ready", Availability::Ready},
                                                              {"Terminating", Availability::Draining},
                                                              {"Gone", Availability::Gone}});
-    if (result.endpoint.availability == Availability::Gone) return result;  // nothing more is needed
+    if (result.endpoint.availability == Availability::Gone) return result;  // the other fields are not needed
     const auto address = parse_address(require_string(from, "endpoint"));
-    if (!address) throw_field_error("field 'endpoint' is no address");
+    if (!address) throw_field_error("field 'endpoint' is not an address");
     result.address = *address;
-    // The zone may decide where a keyed repeat goes: one that the settings don't name is no use.
+    // The zone may decide which endpoint gets a retry with an idempotency key, so that an unknown zone makes
+    // the entry unusable.
     const auto zone = find(from, "az") ? index_of(names.zones, require_string(from, "az")) : 0;
-    if (!zone) throw_field_error("field 'az' names no zone of the settings");
+    if (!zone) throw_field_error("field 'az' names a zone that the settings do not list");
     result.endpoint.zone = *zone;
     if (find(from, "model"))
         result.endpoint.kind = index_of(names.kinds, require_string(from, "model")).value_or(0);
@@ -45,7 +46,7 @@
         throw_field_error("field 'capacity_hint' is out of range");
     }
     if (const auto boot = find(from, "boot_ms")) {
-        result.boot_ms = as<std::int64_t>(*boot, "boot_ms", "a time in whole milliseconds");
+        result.boot_ms = as<std::int64_t>(*boot, "boot_ms", "a time in integer milliseconds");
         if (result.boot_ms < 0 || result.boot_ms > kMaxBootMs)
             throw_field_error("field 'boot_ms' is out of range");
     }
@@ -70,11 +71,11 @@
             result.unreadable.emplace_back(uid);
         }
     }
-    // One line for a list, however long: nothing from the network may fill the log.
+    // One line per list, whatever its length: input from the network must not flood the log.
     if (!result.unreadable.empty()) {
         log_event(martenford::Event::EntriesSkipped,
-                  "discovery: entries were skipped: " + std::to_string(result.unreadable.size()) +
-                      "; the first: " + first);
+                  "discovery: unreadable entries skipped: " + std::to_string(result.unreadable.size()) +
+                      "; first error: " + first);
     }
     return result;
 }
--- a/src/config/targets.h
+++ b/src/config/targets.h
@@ -1,4 +1,4 @@
-// Lists of endpoints in discovery's form.
+// Parses lists of endpoints in the format of the discovery service.
 #pragma once
 
 #include <cstdint>
@@ -13,13 +13,13 @@
 
 namespace martenford {
 
-/// The names that stand for indices in the settings.
+/// The names to which indices in the settings refer.
 struct Names {
     std::vector<std::string> zones, kinds;
 };
 
-/// Throws FieldError where the list as a whole makes no sense; entries that make none are skipped, with one
-/// line of log for all of them.
+/// Throws FieldError if the list as a whole is invalid. Invalid entries are skipped, with one log line for
+/// all of them.
 TargetList parse_targets(const decision::json::object& from, const Names& names);
 
 }  // namespace martenford
--- a/src/config/toml_reader.h
+++ b/src/config/toml_reader.h
@@ -1,4 +1,4 @@
-// Our own TOML files: fields taken one by one, and whatever is wrong pointed at by file, line and column.
+// Reads our own TOML files field by field. Errors give file, line and column.
 #pragma once
 
 #include <fmt/format.h>
@@ -18,17 +18,17 @@
 
 namespace martenford {
 
-/// One line: "file:line:column: what is wrong".
+/// One line: "file:line:column: message".
 struct TomlError : std::runtime_error {
     using std::runtime_error::runtime_error;
 };
 
-/// Entries of one array at most: events, overrides and so on.
+/// Maximum entries of an array: events, overrides and so on.
 constexpr std::size_t kMaxTomlItems = 10'000;
-/// Bytes of a file at most; a slip of the pen would otherwise fill the machine.
+/// Maximum size of a file. Guards against exhausting memory on a file named by mistake.
 constexpr std::size_t kMaxTomlFileBytes = 1 << 20;
 
-/// Knows where it is in the file, so that whatever is wrong can be pointed at.
+/// Knows the file name, so that errors can point into the file.
 class TomlReader {
   public:
     explicit TomlReader(std::string file) : file_(std::move(file)) {}
@@ -42,7 +42,7 @@
         fail(at.source(), what, column);
     }
 
-    /// A table whose fields are taken one by one; what nobody took is unknown.
+    /// A table whose fields are read one by one. Fields that were never asked for count as unknown.
     class Table {
       public:
         Table(const TomlReader& reader, const toml::table& table, std::string name)
@@ -114,7 +114,7 @@
             }
             reader_.fail(*node, fmt::format("'{}' must be one of {}", key, allowed));
         }
-        /// A table within; nothing where it is absent.
+        /// Returns a nested table; nothing if it is absent.
         std::optional<Table> table(std::string_view key) {
             const auto* node = find(key);
             if (!node) return std::nullopt;
@@ -139,7 +139,7 @@
                 reader_.fail(*node, fmt::format("'{}' has too many entries", key));
             return result;
         }
-        /// To be called last.
+        /// Fails on a field that was not read. Call it last.
         void reject_unknown_fields() const {
             for (const auto& [key, node] : table_) {
                 if (!taken_.contains(std::string(key.str()))) {
@@ -162,10 +162,10 @@
     std::string file_;
 };
 
-/// The text of a file. Throws TomlError where it can't be read or is too large.
+/// Returns the contents of a file. Throws TomlError if it cannot be read or is too large.
 std::string read_toml_file(const std::string& path);
 
-/// Parses a text and gives it to `read(reader, root)`. Throws TomlError.
+/// Parses TOML text and passes it to `read(reader, root)`. Throws TomlError.
 template <typename Read>
 auto parse_toml(std::string_view text, const std::string& file, Read read) {
     const TomlReader reader(file);
@@ -173,7 +173,7 @@
         const toml::table root = toml::parse(text, file);
         return read(reader, root);
     } catch (const toml::parse_error& error) {
-        // Some of the library's messages run over several lines.
+        // Some messages of the library contain line breaks.
         std::string what(error.description());
         std::replace(what.begin(), what.end(), '\n', ' ');
         reader.fail(error.source(), what);
--- a/src/config/units.cpp
+++ b/src/config/units.cpp
@@ -8,7 +8,7 @@
 namespace martenford {
 
 namespace {
-constexpr double kMaxSeconds = 86'400.0;  // a longer scenario is a slip of the pen
+constexpr double kMaxSeconds = 86'400.0;  // guards against typing errors in the length of a scenario
 constexpr double kMaxFactor = 1000.0;
 }  // namespace
 
--- a/src/config/units.h
+++ b/src/config/units.h
@@ -1,4 +1,4 @@
-// Times, shares and factors as our own files write them.
+// Durations, percentages and factors as our own files write them.
 #pragma once
 
 #include <optional>
@@ -9,16 +9,16 @@
 
 namespace martenford {
 
-/// "1.2s", "300ms", "80us", "2m"; nothing where the text is no such time, is negative or is over a day.
+/// Parses "1.2s", "300ms", "80us", "2m"; returns nothing if the text is malformed, negative or over a day.
 std::optional<Duration> parse_duration(std::string_view text);
-/// "50%" as 0.5; nothing outside 0% to 100%.
+/// Parses "50%" as 0.5; returns nothing outside 0% to 100%.
 std::optional<double> parse_percent(std::string_view text);
-/// "x2.4" as 2.4; nothing unless above 0 and at most 1000.
+/// Parses "x2.4" as 2.4; returns nothing unless it is above 0 and at most 1000.
 std::optional<double> parse_factor(std::string_view text);
-/// A plain decimal number, whole text.
+/// Parses a decimal number that makes up the whole text.
 std::optional<double> parse_number(std::string_view text);
 
-/// "12.345 s": three decimals.
+/// Formats as "12.345 s", with three decimals.
 std::string format_seconds(Duration d);
 
 inline double seconds(Duration d) {
--- a/src/framing/frame.cpp
+++ b/src/framing/frame.cpp
@@ -24,7 +24,7 @@
 }  // namespace
 
 std::string encode_frame(std::string_view message, std::size_t max_bytes) {
-    if (message.size() > max_bytes) throw FrameError("a message is longer than a frame may be");
+    if (message.size() > max_bytes) throw FrameError("message exceeds the maximum frame size");
     std::string frame;
     frame.reserve(kFrameHeaderBytes + message.size());
     put32(frame, static_cast<std::uint32_t>(message.size()));
@@ -37,10 +37,10 @@
     const std::string_view rest = std::string_view(buffer_).substr(consumed_);
     if (rest.size() < kFrameHeaderBytes) return std::nullopt;
     const std::size_t size = get32(rest);
-    if (size > max_bytes_) throw FrameError("a frame is longer than one may be");
+    if (size > max_bytes_) throw FrameError("frame exceeds the maximum size");
     if (rest.size() < kFrameHeaderBytes + size) return std::nullopt;
     const std::string_view message = rest.substr(kFrameHeaderBytes, size);
-    if (checksum(message) != get32(rest.substr(4))) throw FrameError("a frame's checksum is wrong");
+    if (checksum(message) != get32(rest.substr(4))) throw FrameError("frame checksum does not match");
     consumed_ += kFrameHeaderBytes + size;
     return message;
 }
--- a/tests/config/config_test.cpp
+++ b/tests/config/config_test.cpp
@@ -1,4 +1,5 @@
-// What the platform tells the program, and what is said where that is wrong.
+// Errors in the platform's configuration and in the program's own file: one line that names the field, and
+// exit code 2.
 #include <gtest/gtest.h>
 
 #include <algorithm>
