--- a/tests/process/process_test.cpp
+++ b/tests/process/process_test.cpp
@@ -1,4 +1,4 @@
-// The life of the process.
+// Readiness, graceful shutdown and command line of the process.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -23,7 +23,7 @@
     Peer watch = discovery.accept();
     watch.receive();
     watch.send(answer(200, list(42, true, target("s-1", endpoint.address()))));
-    watch.receive();  // the next watch: the answer has been taken in
+    watch.receive();  // the next watch request: the previous answer has been applied
     client.send("GET /-/ready HTTP/1.1\r\nHost: a\r\n\r\n");
     EXPECT_EQ(status_of(client.receive()), 200);
 }
@@ -38,7 +38,7 @@
     sidecar.terminate();
     std::string ready;
     Peer late = sidecar.client();
-    do {  // until the signal has been seen
+    do {  // until the signal has been handled
         late = sidecar.client();
         late.send("GET /-/ready HTTP/1.1\r\nHost: a\r\n\r\n");
         ready = late.receive();
@@ -46,12 +46,12 @@
     EXPECT_TRUE(has(ready, "Connection: close\r\n")) << ready;
     at_endpoint.send(answer(200, "1"));
     EXPECT_EQ(body_of(open.receive()), "1");
-    // Open connections are served on for a while, in a time that is no longer than what SIGKILL leaves.
+    // Open connections are still served for a while, with timeouts that end before SIGKILL comes.
     open.send(look("r2"));
     const std::string request = at_endpoint.receive();
     EXPECT_TRUE(has(request, "X-Request-ID: r2"));
     EXPECT_LE(std::atoi(request.c_str() + request.find("X-Timeout-Ms: ") + 14), 3'700);
-    EXPECT_TRUE(idle.is_closed());  // then those that carry nothing are closed
+    EXPECT_TRUE(idle.is_closed());  // then idle connections are closed
     at_endpoint.send(answer(200, "2"));
     const std::string reply = open.receive();
     EXPECT_EQ(body_of(reply), "2");
--- a/tests/standins/scripted_peers.h
+++ b/tests/standins/scripted_peers.h
@@ -1,4 +1,4 @@
-// The sidecar as a process of its own, and scripted peers round it on loopback sockets.
+// Runs the sidecar as a process, with scripted clients, endpoints and services on loopback sockets.
 #pragma once
 
 #include <arpa/inet.h>
@@ -24,9 +24,10 @@
 
 namespace martenford::standins {
 
-inline constexpr int kReceiveTimeoutMs = 20'000;  // for what must come; nothing is asserted on how soon
+// For anything that must arrive; tests do not assert how soon.
+inline constexpr int kReceiveTimeoutMs = 20'000;
 
-/// A file descriptor of the test's.
+/// Owns a file descriptor.
 class Descriptor {
   public:
     explicit Descriptor(int fd = -1) : fd_(fd) {}
@@ -48,7 +49,7 @@
     int fd_;
 };
 
-/// One end of a connection; messages are as the script's peers send them: a head and a stated length.
+/// One end of a connection. Messages consist of a head and a body with Content-Length.
 class Peer {
   public:
     explicit Peer(Descriptor fd) : fd_(std::move(fd)) {}
@@ -64,11 +65,11 @@
     void send(const std::string& text) {
         for (std::size_t done = 0; done < text.size();) {
             const auto n = ::send(fd_.get(), text.data() + done, text.size() - done, MSG_NOSIGNAL);
-            if (n <= 0) return;  // the other side has had enough; what it answered is what counts
+            if (n <= 0) return;  // the other side has closed; its answer is what the test checks
             done += static_cast<std::size_t>(n);
         }
     }
-    /// The next whole message, or what came of it before the connection ended.
+    /// Returns the next complete message, or its part if the connection ends before.
     std::string receive() {
         for (;;) {
             if (const auto size = message_size(); size && read_.size() >= *size) {
@@ -79,25 +80,25 @@
             if (!fill()) return std::exchange(read_, {});
         }
     }
-    /// All that comes until the other side closes.
+    /// Returns everything until the other side closes.
     std::string receive_all() {
         while (fill()) {
         }
         return std::exchange(read_, {});
     }
-    /// What comes next, at least one byte of it; empty: the connection has ended.
+    /// Returns the next bytes, at least one; empty if the connection has ended.
     std::string receive_some() {
         if (read_.empty()) fill();
         return std::exchange(read_, {});
     }
-    /// Whether the other side closes, with nothing more to say.
+    /// Whether the other side closes without sending anything more.
     bool is_closed() { return read_.empty() && !fill() && read_.empty(); }
     pollfd poll_for() const { return {fd_.get(), POLLIN, 0}; }
     bool readable(int wait_ms) const { return !read_.empty() || fd_.readable(wait_ms); }
     bool silent() { return read_.empty() && !fd_.readable(0); }
-    /// Says that nothing more comes.
+    /// Half-closes the connection.
     void shutdown_send() { shutdown(fd_.get(), SHUT_WR); }
-    /// Ends the connection with a reset.
+    /// Closes the connection with a reset.
     void reset() {
         const linger now{1, 0};
         setsockopt(fd_.get(), SOL_SOCKET, SO_LINGER, &now, sizeof now);
@@ -128,7 +129,7 @@
 
 class Listener {
   public:
-    // Not left to the sidecar, where it would stay open.
+    // Not inherited by the sidecar, which would keep it open.
     Listener() : fd_(socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0)) {
         sockaddr_in address{};
         address.sin_family = AF_INET;
@@ -155,8 +156,7 @@
     int port_ = 0;
 };
 
-/// Waits until one of these has something to read, and says which; their number where none had in ten
-/// seconds.
+/// Waits until one of these is readable and returns its index; their number if none was within ten seconds.
 inline std::size_t first_of(std::vector<pollfd> those) {
     if (poll(those.data(), those.size(), 10'000) > 0) {
         for (std::size_t i = 0; i < those.size(); ++i) {
@@ -195,15 +195,15 @@
            R"("ramp_time":5000000000,"stop_sending_within":1000000000,"tip_after":1000000000}}})";
 }
 
-/// The same with an address where operators call.
+/// The same configuration with a console address.
 inline std::string with_console(const std::string& config) {
     return R"({"console":"127.0.0.1:0",)" + config.substr(1);
 }
 
 class Sidecar {
   public:
-    /// `own`: the text of its own configuration file; empty: it has none. `variables`: further ones of its
-    /// environment, as NAME=VALUE.
+    /// `own`: contents of the program's own configuration file; empty for none. `variables`: more environment
+    /// variables, as NAME=VALUE.
     explicit Sidecar(const std::string& config, const std::string& own = "",
                      std::vector<std::string> variables = {}) {
         char path[] = "/tmp/martenford-test-XXXXXX";
@@ -237,7 +237,7 @@
         unlink(path_.c_str());
         unlink(own_path_.c_str());
     }
-    /// The port that it says it listens on.
+    /// The listening port, from the log.
     int port() {
         if (port_ == 0) {
             const std::string line = await_log("listening on ");
@@ -246,36 +246,36 @@
         return port_;
     }
     Peer client() { return Peer::to(port()); }
-    /// The port where operators call; it is logged before the one where clients connect.
+    /// The console port, which is logged before the listening port.
     int console_port() {
         if (console_port_ == 0) await_log("operators call at ");
         return console_port_;
     }
-    /// What the console says to one line, until it closes.
+    /// Returns the console's reply to one line, up to its close.
     std::string call(const std::string& line) {
         Peer caller = Peer::to(console_port());
         caller.send(line + "\n");
         return caller.receive_all();
     }
-    /// A figure of its telemetry; -1 where it has none of this name.
+    /// Returns a value of the telemetry; -1 if there is none with this name.
     double metric(const std::string& name) {
         const std::string all = "\n" + call("telemetry"), at = "\nsidecar." + name + ":";
         const auto found = all.find(at);
         return found == std::string::npos ? -1.0 : std::atof(all.c_str() + found + at.size());
     }
-    /// How many descriptors it holds now.
+    /// Number of its open file descriptors.
     std::size_t descriptors() const {
         const auto all = std::filesystem::directory_iterator("/proc/" + std::to_string(pid_) + "/fd");
         return static_cast<std::size_t>(std::distance(begin(all), end(all)));
     }
-    /// Its resident memory now, in MB.
+    /// Its resident memory in MB.
     double memory_mb() const {
         std::ifstream file("/proc/" + std::to_string(pid_) + "/statm");
         double whole = 0, resident = 0;
         file >> whole >> resident;
         return resident * static_cast<double>(sysconf(_SC_PAGESIZE)) / 1e6;
     }
-    /// The first line of its log that holds this text.
+    /// Returns the first log line that contains this text.
     std::string await_log(const std::string& text) {
         for (std::string line; log_line(line);) {
             if (line.find(text) != std::string::npos) return line;
@@ -290,7 +290,7 @@
     }
     void terminate() const { kill(pid_, SIGTERM); }
     void stop() const { kill(pid_, SIGKILL); }
-    /// Puts another configuration in the place of the one that it has, and says so.
+    /// Replaces its configuration file and sends SIGHUP.
     void reload(const std::string& config) const {
         std::ofstream(path_) << config;
         kill(pid_, SIGHUP);
@@ -307,7 +307,7 @@
             if (const auto end = read_.find('\n'); end != std::string::npos) {
                 line = read_.substr(0, end);
                 read_.erase(0, end + 1);
-                // It comes before the line that port() waits for.
+                // It is logged before the line that port() waits for.
                 if (line.find("operators call at ") != std::string::npos) {
                     console_port_ = std::atoi(line.c_str() + line.rfind(':') + 1);
                 }
@@ -352,7 +352,7 @@
     return text.find(part) != std::string::npos;
 }
 
-/// One endpoint that is known from the start, and a discovery that is never answered.
+/// A sidecar with one endpoint known from the start, and a discovery service that never answers.
 class OneEndpoint : public testing::Test {
   protected:
     Listener discovery, endpoint;
