--- a/src/http1/http.h
+++ b/src/http1/http.h
@@ -50,8 +50,8 @@
     socket.set_option(typename Socket::send_buffer_size(kSendBufferBytes), ignored);
 }
 
-/// A Beast body that holds the pieces that have arrived and were not taken yet. Unlike string_body it does
-/// not allocate a stated length in advance.
+/// A Beast body that holds the pieces that have arrived and were not taken yet. Unlike string_body it
+/// reserves at most kMaxBufferedBodyBytes for a stated length.
 struct IncrementalBody {
     using value_type = std::string;
     class reader {
