--- a/src/assembly/features.cpp
+++ b/src/assembly/features.cpp
@@ -41,12 +41,12 @@
 
 ledger::ClassOptions read_promise(Table& from, ledger::ClassOptions result) {
     from.choice("level", result.level,
-                {{"off", ledger::Level::Off},
-                 {"async", ledger::Level::Async},
-                 {"group", ledger::Level::Group},
-                 {"sync", ledger::Level::Sync}});
+                {{"off", ledger::Durability::Off},
+                 {"async", ledger::Durability::Async},
+                 {"group", ledger::Durability::Group},
+                 {"sync", ledger::Durability::Sync}});
     from.choice("outage", result.outage,
-                {{"refuse", ledger::Outage::Refuse}, {"go-on", ledger::Outage::GoOn}});
+                {{"refuse", ledger::OutagePolicy::Refuse}, {"go-on", ledger::OutagePolicy::SendUnjournaled}});
     return result;
 }
 
@@ -56,27 +56,27 @@
     if (result.directory.empty()) from.fail("'directory' is empty");
     from.string("helper", result.helper);
     from.string("digest_key", result.key_file);
-    from.duration("hold", result.hold, true);
-    if (result.hold > kMostHold) from.fail("'hold' is over 10s: no request waits for so long");
-    result.unsafe = read_promise(from, result.unsafe);
+    from.duration("hold", result.hold_timeout, true);
+    if (result.hold_timeout > kMostHold) from.fail("'hold' is over 10s: no request waits for so long");
+    result.non_idempotent = read_promise(from, result.non_idempotent);
     std::uint64_t megabytes = 0;
     from.integer("most_mb", megabytes, 1, kMostMegabytes);
-    result.most_bytes = megabytes << 20;
-    from.integer("batch_records", result.batch.most_records, 1, 100'000);
+    result.max_bytes = megabytes << 20;
+    from.integer("batch_records", result.batch.max_records, 1, 100'000);
     from.duration("batch_delay", result.batch.delay);
-    if (result.batch.delay >= result.hold) from.fail("'batch_delay' is not below 'hold'");
-    from.integer("queue_records", result.queue.most_records, 100, 10'000'000);
-    from.duration("ack_within", result.queue.ack_within, true);
+    if (result.batch.delay >= result.hold_timeout) from.fail("'batch_delay' is not below 'hold'");
+    from.integer("queue_records", result.queue.max_records, 100, 10'000'000);
+    from.duration("ack_within", result.queue.ack_timeout, true);
     std::int64_t days = 30, archive_days = 400;
     from.integer("keep_days", days, 1, 36'500);
     from.integer("keep_archive_days", archive_days, 1, 36'500);
     if (archive_days < days) from.fail("'keep_archive_days' is less than 'keep_days'");
-    result.keep = std::chrono::hours(24 * days);
-    result.keep_archives = std::chrono::hours(24 * archive_days);
+    result.journal_retention = std::chrono::hours(24 * days);
+    result.archive_retention = std::chrono::hours(24 * archive_days);
     for (Table& each : from.tables("class")) {
         std::string name;
         each.string("name", name, true);
-        const auto promise = read_promise(each, result.unsafe);
+        const auto promise = read_promise(each, result.non_idempotent);
         if (!result.classes.emplace(name, promise).second) each.fail("class '" + name + "' stands twice");
         each.reject_unknown_fields();
     }
@@ -119,24 +119,25 @@
     read_address(from, "advertise", result.advertise, false);
     result.seeds = read_addresses(from, "seeds", false);
     result.permitted = read_addresses(from, "permitted", true);
-    from.integer("links", result.most_links, 4, 4096);
-    std::size_t queued_kb = result.most_queued / 1024;
+    from.integer("links", result.max_links, 4, 4096);
+    std::size_t queued_kb = result.max_queued_bytes / 1024;
     from.integer("queued_kb", queued_kb, 64, 64 * 1024);
-    result.most_queued = queued_kb * 1024;
-    fleet::Pace& pace = result.pace;
-    from.duration("probe_every", pace.probe_every, true);
-    from.duration("probe_patience", pace.probe_patience, true);
-    from.integer("helpers", pace.helpers, 0, 16);
-    from.duration("gossip_every", pace.gossip_every, true);
-    from.integer("gossip_to", pace.gossip_to, 1, 16);
-    from.duration("stall", pace.stall, true);
-    from.duration("gone", pace.gone, true);
-    from.duration("exchange_every", pace.exchange_every, true);
-    from.duration("reconnect_every", pace.reconnect_every, true);
-    from.duration("forget_after", pace.forget_after, true);
-    if (pace.probe_patience >= pace.probe_every) from.fail("'probe_patience' is not below 'probe_every'");
-    if (pace.stall > kMostStall) from.fail("'stall' is over 60s: nobody would be missed");
-    if (pace.gone > pace.stall) from.fail("'gone' is over 'stall'");
+    result.max_queued_bytes = queued_kb * 1024;
+    fleet::ProtocolOptions& protocol = result.protocol;
+    from.duration("probe_every", protocol.probe_interval, true);
+    from.duration("probe_patience", protocol.probe_timeout, true);
+    from.integer("helpers", protocol.indirect_probes, 0, 16);
+    from.duration("gossip_every", protocol.gossip_interval, true);
+    from.integer("gossip_to", protocol.gossip_fanout, 1, 16);
+    from.duration("stall", protocol.stall_tolerance, true);
+    from.duration("gone", protocol.not_listening_tolerance, true);
+    from.duration("exchange_every", protocol.sync_interval, true);
+    from.duration("reconnect_every", protocol.reconnect_interval, true);
+    from.duration("forget_after", protocol.forget_after, true);
+    if (protocol.probe_timeout >= protocol.probe_interval)
+        from.fail("'probe_patience' is not below 'probe_every'");
+    if (protocol.stall_tolerance > kMostStall) from.fail("'stall' is over 60s: nobody would be missed");
+    if (protocol.not_listening_tolerance > protocol.stall_tolerance) from.fail("'gone' is over 'stall'");
     from.reject_unknown_fields();
     return result;
 }
@@ -144,15 +145,15 @@
 replica::Options read_state(Table& from, bool fleet) {
     replica::Options result;
     if (!fleet) from.fail("needs [fleet]: there is nobody to share state with");
-    replica::Pace& pace = result.pace;
+    replica::ReplicationSettings& pace = result.replication;
     from.duration("push_every", pace.push_every, true);
     from.integer("push_to", pace.push_to, 1, 16);
     from.integer("push_times", pace.push_times, 1, 8);
     from.duration("compare_every", pace.compare_every, true);
     from.duration("tombstones", pace.tombstones, true);
-    std::size_t kb = pace.bytes_a_second / 1024;
+    std::size_t kb = pace.bytes_per_second / 1024;
     from.integer("kb_a_second", kb, 64, 64 * 1024);
-    pace.bytes_a_second = kb * 1024;
+    pace.bytes_per_second = kb * 1024;
     from.string("registry", result.registry);
     from.string("directory", result.directory);
     from.string("helper", result.helper);
@@ -186,9 +187,9 @@
         if (auto table = top.table("ledger")) result.ledger = read_ledger(*table);
         if (auto table = top.table("telemetry")) {
             telemetry::Options& into = result.telemetry.emplace();
-            table->integer("stories", into.stories.most, 10, 100'000);
-            table->duration("stretch", into.stories.stretch, true);
-            table->integer("values", into.causes.most_values, 16, 100'000);
+            table->integer("stories", into.sampler.max_traces, 10, 100'000);
+            table->duration("stretch", into.sampler.window, true);
+            table->integer("values", into.causes.max_values, 16, 100'000);
             table->reject_unknown_fields();
         }
         top.reject_unknown_fields();
@@ -203,8 +204,8 @@
 Membership::Options membership_options(const Features& features, const decision::Settings& settings) {
     Membership::Options result;
     if (!features.caution_share) return result;
-    result.caution_share = *features.caution_share;
-    result.caution = decision::scaled(settings.rules.drain_grace, kDoubtShare);
+    result.max_removal_share = *features.caution_share;
+    result.removal_delay = decision::scaled(settings.rules.drain_grace, kDoubtShare);
     return result;
 }
 
