--- a/src/ledger/archive.cpp
+++ b/src/ledger/archive.cpp
@@ -33,7 +33,7 @@
 constexpr const char* kManifestFile = "archives.json";
 constexpr std::uint32_t kManifestVersion = 1;
 constexpr int kZstdLevel = 9;
-/// Of one archive, unpacked: a file that claims more is no archive of ours.
+/// Maximum uncompressed size of an archive. A file that claims more was not written by this program.
 constexpr std::size_t kMaxRawBytes = 256 * 1024 * 1024;
 
 std::string to_hex(const unsigned char* bytes, std::size_t size) {
@@ -57,7 +57,7 @@
     throw StoreError(errno == ENOSPC ? Fault::Full : Fault::ReadOnly, path + ": " + std::strerror(errno));
 }
 
-/// On disk under this name, whole, or not at all.
+/// Replaces the file atomically: after a crash it has either its old or its new contents.
 void write_durably(const std::string& path, std::string_view bytes) {
     const std::string temporary = path + ".new";
     const int file = ::open(temporary.c_str(), O_CREAT | O_TRUNC | O_WRONLY | O_CLOEXEC, 0600);
@@ -140,9 +140,10 @@
     const std::string text = read_file(path(kManifestFile));
     if (text.empty()) return result;
     if (!google::protobuf::util::JsonStringToMessage(text, &result).ok())
-        throw StoreError(Fault::Corrupt, path(kManifestFile) + ": can't be read");
+        throw StoreError(Fault::Corrupt, path(kManifestFile) + ": is not a valid manifest");
     if (result.version() > kManifestVersion)
-        throw StoreError(Fault::Newer, path(kManifestFile) + ": written by a later version of this program");
+        throw StoreError(Fault::Newer,
+                         path(kManifestFile) + ": was written by a newer version of this program");
     return result;
 }
 
@@ -151,7 +152,7 @@
     google::protobuf::util::JsonPrintOptions pretty;
     pretty.add_whitespace = true;
     if (!google::protobuf::util::MessageToJsonString(manifest, &text, pretty).ok())
-        throw StoreError(Fault::Other, path(kManifestFile) + ": can't be written as JSON");
+        throw StoreError(Fault::Other, path(kManifestFile) + ": cannot be serialised as JSON");
     write_durably(path(kManifestFile), text);
 }
 
@@ -182,7 +183,8 @@
     info.set_last_ms(entries.back().history.taken_ms());
     info.set_raw_bytes(raw.size());
     info.set_bytes(compressed.size());
-    // Named by what is in it: after a crash half way the same requests make the same file again.
+    // The name depends on the contents, so that repeating this after a crash part-way recreates the same
+    // file.
     info.set_file("archive-" + std::to_string(info.first_ms()) + "-" + info.sha256().substr(0, 12) + ".zst");
     write_durably(path(info.file()), compressed);
     write_durably(path(filter_file(info.file())), filter.bytes());
@@ -211,7 +213,7 @@
         }
     }
     if (removed.empty()) return 0;
-    write_manifest(remaining);  // first: a file that is listed is there
+    write_manifest(remaining);  // before the files are deleted: a listed file always exists
     for (const std::string& file : removed) {
         ::unlink(path(file).c_str());
         ::unlink(path(filter_file(file)).c_str());
@@ -219,7 +221,8 @@
     return removed.size();
 }
 
-/// Reads the few bytes that decide. Where the filter is missing or not as long as it was the archive is read.
+/// Reads only the few bytes that decide. If the filter is missing or shorter than expected, the archive
+/// counts as possibly containing the text and is read.
 bool Archives::may_contain(const story::ArchiveInfo& info, const std::string& text) {
     const int file = ::open(path(filter_file(info.file())).c_str(), O_RDONLY | O_CLOEXEC);
     if (file < 0) return true;
@@ -241,8 +244,8 @@
     ++archives_read_;
     const std::string compressed = read_file(path(info.file()));
     if (sha256(compressed) != info.sha256()) {
-        errors_.push_back(info.file() + ": is not as it was written (SHA-256); its " +
-                          std::to_string(info.requests()) + " requests are passed over");
+        errors_.push_back(info.file() + ": SHA-256 mismatch; its " + std::to_string(info.requests()) +
+                          " requests are skipped");
         return true;
     }
     const auto size = ZSTD_getFrameContentSize(compressed.data(), compressed.size());
@@ -250,14 +253,14 @@
     if (size <= kMaxRawBytes) raw.resize(size);
     if (raw.empty() ||
         ZSTD_isError(ZSTD_decompress(raw.data(), raw.size(), compressed.data(), compressed.size()))) {
-        errors_.push_back(info.file() + ": can't be unpacked");
+        errors_.push_back(info.file() + ": cannot be decompressed");
         return true;
     }
     google::protobuf::io::ArrayInputStream stream(raw.data(), static_cast<int>(raw.size()));
     for (bool end = false; !end;) {
         story::Story story;
         if (!google::protobuf::util::ParseDelimitedFromZeroCopyStream(&story, &stream, &end)) {
-            if (!end) errors_.push_back(info.file() + ": a request in it can't be read");
+            if (!end) errors_.push_back(info.file() + ": contains a request that cannot be parsed");
             return true;
         }
         if (!visit(story)) return false;
@@ -309,11 +312,11 @@
         if (errors_.size() > before) {
             found.push_back(errors_.back());
         } else if (requests != info.requests()) {
-            found.push_back(info.file() + ": holds " + std::to_string(requests) + " requests, not " +
+            found.push_back(info.file() + ": contains " + std::to_string(requests) + " requests instead of " +
                             std::to_string(info.requests()));
         }
         if (sha256(read_file(path(filter_file(info.file())))) != info.filter_sha256())
-            found.push_back(filter_file(info.file()) + ": is not as it was written (SHA-256)");
+            found.push_back(filter_file(info.file()) + ": SHA-256 mismatch");
     }
     return found;
 }
--- a/src/ledger/archive.h
+++ b/src/ledger/archive.h
@@ -1,5 +1,6 @@
-// Settled requests that are old, out of the journal's file and in compressed ones: a manifest lists each with
-// its SHA-256, and a filter beside each says whether it can hold an id or a key. Blocking, as the book is.
+// Compressed archives of old settled requests that were moved out of the journal database. A manifest lists
+// each archive with its SHA-256; a Bloom filter beside each archive tells whether it can contain an id or an
+// idempotency key. Calls block, like those of JournalDatabase.
 #pragma once
 
 #include <cstdint>
@@ -17,33 +18,34 @@
 class ArchiveInfo;
 }  // namespace story
 
-/// As exports and archives have it.
+/// Converts an entry to the message that archives store and exports print.
 story::Story to_proto(const Entry& entry);
 
 class Archives {
   public:
-    /// Requests in one archive at most: compressing and taking them out of the file holds up a batch for some
-    /// tens of milliseconds.
+    /// Maximum number of requests in one archive. Compressing them and deleting them from the database delays
+    /// the writer's next batch by some tens of milliseconds.
     static constexpr std::size_t kMaxRequests = 5000;
 
     explicit Archives(std::string directory);
 
-    /// Moves up to kMaxRequests settled requests taken before this into a new archive, unless there are
-    /// fewer than `least`. Gives how many. A crash at any point leaves each request in the file, in an
-    /// archive, or in both.
+    /// Moves up to kMaxRequests settled requests that were taken before `before_ms` into a new archive,
+    /// unless there are fewer than `min_requests`. Returns the number of requests moved. After a crash at any
+    /// point each request is in the database, in an archive, or in both.
     std::size_t move_settled(JournalDatabase& database, std::int64_t before_ms, std::size_t min_requests);
-    /// Removes archives all of whose requests were taken before this.
+    /// Deletes archives in which every request was taken before `before_ms`. Returns how many.
     std::size_t prune(std::int64_t before_ms);
 
-    using Visitor = std::function<bool(const story::Story&)>;  ///< false: enough
-    /// Requests of this id, or with it as key. What can't be read is said in `troubles()` and passed over.
+    using Visitor = std::function<bool(const story::Story&)>;  ///< returns false to stop
+    /// Visits requests with this id, or with this idempotency key if `key` is set. Unreadable archives are
+    /// skipped and reported by errors().
     void by_id_or_key(const std::string& id_or_key, bool key, const Visitor& visit);
     void by_time(std::int64_t from_ms, std::int64_t to_ms, const Visitor& visit);
     struct Totals {
         std::uint64_t archives = 0, requests = 0, raw_bytes = 0, bytes = 0;
     };
     Totals totals() const;
-    /// What is wrong with each archive, a line each.
+    /// Checks every archive and returns one line per problem found.
     std::vector<std::string> verify();
     const std::vector<std::string>& errors() const { return errors_; }
     std::uint64_t archives_read() const { return archives_read_; }
--- a/src/ledger/digest.cpp
+++ b/src/ledger/digest.cpp
@@ -13,10 +13,10 @@
 
 namespace {
 constexpr std::size_t kMinKeyBytes = 16, kMaxKeyBytes = 4096;
-constexpr std::size_t kDigestBytes = 16;  // one in 2^64 pairs meets by chance
+constexpr std::size_t kDigestBytes = 16;  // a chance collision is expected only after about 2^64 digests
 }  // namespace
 
-/// Keyed once; each digest works on a copy.
+/// Initialised with the key once; each digest works on a copy.
 struct BodyDigest::Mac {
     EVP_MAC* mac = nullptr;
     EVP_MAC_CTX* keyed = nullptr;
@@ -29,9 +29,9 @@
 BodyDigest::BodyDigest(const std::string& key_file) : mac_(std::make_unique<Mac>()) {
     std::ifstream file(key_file, std::ios::binary);
     std::string key((std::istreambuf_iterator<char>(file)), {});
-    if (!file && key.empty()) throw std::runtime_error(key_file + ": can't be read");
+    if (!file && key.empty()) throw std::runtime_error(key_file + ": cannot be read");
     if (key.size() < kMinKeyBytes || key.size() > kMaxKeyBytes)
-        throw std::runtime_error(key_file + ": a key has 16 to 4096 bytes");
+        throw std::runtime_error(key_file + ": the key must have 16 to 4096 bytes");
     mac_->mac = EVP_MAC_fetch(nullptr, "HMAC", nullptr);
     mac_->keyed = mac_->mac ? EVP_MAC_CTX_new(mac_->mac) : nullptr;
     std::string hash = "SHA256";
@@ -39,7 +39,7 @@
                                      OSSL_PARAM_construct_end()};
     if (!mac_->keyed || EVP_MAC_init(mac_->keyed, reinterpret_cast<const unsigned char*>(key.data()),
                                      key.size(), parameters) != 1)
-        throw std::runtime_error(key_file + ": no HMAC-SHA-256 here");
+        throw std::runtime_error(key_file + ": HMAC-SHA-256 is not available");
 }
 BodyDigest::~BodyDigest() = default;
 
--- a/src/ledger/digest.h
+++ b/src/ledger/digest.h
@@ -1,5 +1,6 @@
-// A keyed digest of a body: two requests with one body have one digest, and who has no key learns nothing of
-// it, although amounts could be guessed. HMAC-SHA-256 (RFC 2104, FIPS 180-4), cut to 16 bytes.
+// Keyed digest of a request body. Two requests with the same body have the same digest, and without the key
+// nothing can be learned about the body, even though amounts are easy to guess. HMAC-SHA-256 (RFC 2104, FIPS
+// 180-4), truncated to 16 bytes.
 #pragma once
 
 #include <memory>
@@ -10,7 +11,7 @@
 
 class BodyDigest {
   public:
-    /// Reads the key: 16 to 4,096 bytes. Throws std::runtime_error, naming the file.
+    /// Reads the key, 16 to 4,096 bytes. Throws std::runtime_error that names the file.
     explicit BodyDigest(const std::string& key_file);
     ~BodyDigest();
     BodyDigest(const BodyDigest&) = delete;
--- a/src/ledger/filter.h
+++ b/src/ledger/filter.h
@@ -1,5 +1,6 @@
-// A Bloom filter (B. Bloom, 1970) over texts: whether an archive can hold an id, without reading it. The
-// probes follow from two hashes (A. Kirsch, M. Mitzenmacher, "Less Hashing, Same Performance", 2006).
+// Bloom filter (B. Bloom, 1970) over strings: tells whether an archive can contain an id without reading the
+// archive. The probes are derived from two hashes (A. Kirsch, M. Mitzenmacher, "Less Hashing, Same
+// Performance", 2006).
 #pragma once
 
 #include <cstddef>
@@ -11,11 +12,11 @@
 
 class BloomFilter {
   public:
-    /// One false "it may" in some 120 at this size: 10 bits a text and 7 probes.
+    /// With 10 bits per string and 7 probes the false-positive rate is about 1 in 120.
     static constexpr std::uint64_t kBitsPerText = 10;
     static constexpr int kProbes = 7;
 
-    /// For so many texts.
+    /// Creates a filter sized for `texts` strings.
     explicit BloomFilter(std::size_t texts) : bytes_((texts * kBitsPerText + 64 + 7) / 8, '\0') {}
     void add(std::string_view text) {
         for_each_probe(text, bytes_.size(), [&](std::uint64_t bit) {
@@ -24,8 +25,8 @@
         });
     }
     const std::string& bytes() const { return bytes_; }
-    /// Whether the text may have been added; false is certain. `at(i)` gives byte i of a filter of `size`
-    /// bytes, so that a file needs no whole reading.
+    /// Returns false only if the string was certainly not added. `at(i)` returns byte i of a filter of `size`
+    /// bytes, so that a filter in a file need not be read whole.
     template <typename At>
     static bool may_contain(std::string_view text, std::size_t size, At at) {
         return size > 0 && for_each_probe(text, size, [&](std::uint64_t bit) {
--- a/src/ledger/frame.cpp
+++ b/src/ledger/frame.cpp
@@ -59,13 +59,12 @@
             record.payload = Written{from.written().attempt()};
             return record;
         case link::Record::kEnded:
-            if (from.ended().ending() >= kEndingCount)
-                throw FrameError("a record has an ending that is none");
+            if (from.ended().ending() >= kEndingCount) throw FrameError("a record has an unknown ending");
             record.payload = Ended{from.ended().attempt(), static_cast<Ending>(from.ended().ending())};
             return record;
         case link::Record::kAnswered:
             if (from.answered().answer() >= kFinalAnswerCount)
-                throw FrameError("a record has an answer that is none");
+                throw FrameError("a record has an unknown answer");
             record.payload = Answered{static_cast<FinalAnswer>(from.answered().answer())};
             return record;
         case link::Record::kGap:
@@ -74,7 +73,7 @@
         case link::Record::WHAT_NOT_SET:
             break;
     }
-    throw FrameError("a record says nothing");
+    throw FrameError("a record has no payload");
 }
 
 }  // namespace
@@ -111,7 +110,7 @@
         return Hello{hello.version(), hello.boot(), hello.name(), hello.started_ms()};
     }
     if (in.has_record()) return read_record(in.record());
-    throw FrameError("a message says nothing");
+    throw FrameError("a message has no payload");
 }
 
 FromWriter read_from_writer(std::string_view message) {
@@ -119,7 +118,7 @@
     if (in.has_ready()) return Ready{in.ready().version()};
     if (in.has_ack()) return Ack{in.ack().up_to()};
     if (in.has_trouble()) return Trouble{in.trouble().what()};
-    throw FrameError("a message says nothing");
+    throw FrameError("a message has no payload");
 }
 
 }  // namespace martenford::ledger
--- a/src/ledger/frame.h
+++ b/src/ledger/frame.h
@@ -1,4 +1,4 @@
-// Frames between a sidecar and its journal's writer: link.proto's messages, each with its length and
+// Frames between a sidecar and its journal writer: the messages of link.proto, each with its length and
 // checksum.
 #pragma once
 
@@ -36,10 +36,10 @@
 using ToWriter = std::variant<Hello, Record>;
 using FromWriter = std::variant<Ready, Ack, Trouble>;
 
-/// A whole frame. Throws FrameError where the message is longer than a frame may be.
+/// Encodes a message as a complete frame. Throws FrameError if the message exceeds the maximum frame size.
 std::string frame_of(const ToWriter& message);
 std::string frame_of(const FromWriter& message);
-/// Of a frame's message. Throws FrameError where it is none.
+/// Decodes the message of a frame. Throws FrameError if it is not a valid message.
 ToWriter read_to_writer(std::string_view message);
 FromWriter read_from_writer(std::string_view message);
 
--- a/src/ledger/group_commit.h
+++ b/src/ledger/group_commit.h
@@ -1,5 +1,5 @@
-// When a batch of records is closed and made durable. Pure: one sync costs the same for one record or a
-// thousand, so that whoever can wait a little shares one.
+// Group commit: decides when a batch of records is closed and made durable. A sync costs the same for one
+// record as for a thousand, so records that can wait briefly share one. No I/O.
 #pragma once
 
 #include <algorithm>
@@ -13,9 +13,9 @@
 class GroupCommit {
   public:
     struct Options {
-        std::size_t max_records = 1024;      ///< a transaction that is held in memory
-        std::size_t max_bytes = 512 * 1024;  ///< the same, of long ids and keys
-        Duration delay = 1ms;                ///< the first record of a batch waits so long at most
+        std::size_t max_records = 1024;      ///< bounds the memory of one transaction
+        std::size_t max_bytes = 512 * 1024;  ///< the same bound for records with long ids and keys
+        Duration delay = 1ms;                ///< longest time that the first record of a batch waits
     };
     explicit GroupCommit(const Options& options) : options_(options) {}
 
@@ -25,13 +25,13 @@
         urgent_ |= urgent;
     }
     bool due(Time now) const { return records_ > 0 && now >= *next_due(); }
-    /// When the batch must be closed if nothing more comes; nothing: it is empty.
+    /// When the batch must be closed if no more records arrive; nothing if it is empty.
     std::optional<Time> next_due() const {
         if (records_ == 0) return std::nullopt;
         const bool full = records_ >= options_.max_records || bytes_ >= options_.max_bytes;
         return full || urgent_ ? first_at_ : first_at_ + options_.delay;
     }
-    /// Whether more may be read into it.
+    /// Whether the batch can take more records.
     bool has_room() const { return records_ < options_.max_records && bytes_ < options_.max_bytes; }
     std::size_t records() const { return records_; }
     void reset() {
--- a/src/ledger/journal_database.cpp
+++ b/src/ledger/journal_database.cpp
@@ -11,10 +11,11 @@
 
 namespace {
 
-/// Requests under way that are kept in memory; one that is not is read from the file.
+/// Maximum number of open requests cached in memory; others are read from the database.
 constexpr std::size_t kMaxCached = 65'536;
 
-// `effect` is what Life says; `settled` is 1 once nothing more can come: it is over, or its boot has ended.
+// `effect` is RequestHistory::effect(). `settled` is 1 once no more records can come: the request is
+// complete, or its boot has ended.
 const std::vector<store::Migration> kSchema{
     {R"(CREATE TABLE boot (
           number INTEGER PRIMARY KEY AUTOINCREMENT,
@@ -42,8 +43,9 @@
         CREATE INDEX request_id ON request (id);
         CREATE INDEX request_key ON request (key) WHERE key IS NOT NULL;
         CREATE INDEX request_time ON request (taken_ms);)"},
-    // Few are open, or may have run: the list stays short whatever the file holds. One index for both
-    // questions: a request enters it with its intent and leaves it when it is known to be harmless.
+    // Few requests are open or may have run, so this partial index stays small whatever the size of the file.
+    // It serves both queries: a request enters it with its intent and leaves it once it is known to be
+    // harmless.
     {"CREATE INDEX request_doubt ON request (boot, serial) WHERE settled = 0 OR effect = 1;"},
 };
 
@@ -94,7 +96,7 @@
         database_.migrate(kSchema);
     } else if (database_.version() > static_cast<int>(kSchema.size())) {
         throw store::StoreError(store::Fault::Newer,
-                                directory + ": written by a later version of this program");
+                                directory + ": was written by a newer version of this program");
     }
 }
 JournalDatabase::~JournalDatabase() = default;
@@ -123,7 +125,7 @@
         last.bind_all(boot).step();
         last_serial_ = static_cast<std::uint64_t>(last.number(0));
     }
-    // By serial: each request is written once a batch, however many records it has there.
+    // By serial: each request is written once per batch, however many of the records belong to it.
     struct Change {
         RequestHistory before, after;
         bool exists = false;
@@ -157,7 +159,7 @@
             save(boot, serial, change.after, change.exists ? &change.before : nullptr);
         }
     });
-    // Only now: what was not committed must not be taken for known.
+    // Only after the commit: uncommitted data must not count as stored.
     last_serial_ = last_serial;
     for (auto& [serial, change] : changes) {
         if (change.after.is_complete()) {
@@ -170,7 +172,7 @@
 
 void JournalDatabase::save(std::int64_t boot, std::uint64_t serial, const RequestHistory& history,
                            const RequestHistory* before) {
-    if (before && *before == history) return;  // known already
+    if (before && *before == history) return;  // already stored
     auto& statements = prepared();
     const auto text_or_null = [](Statement& statement, int at, const std::string& text) {
         text.empty() ? statement.bind(at, Statement::Null{}) : statement.bind(at, std::string_view(text));
@@ -265,7 +267,7 @@
     return open_requests.size() < max_requests;
 }
 
-// ---- questions ------------------------------------------------------------------------------------
+// ---- queries --------------------------------------------------------------------------------------
 
 void JournalDatabase::visit_rows(Statement& rows, const Visitor& visit) {
     while (rows.step()) {
@@ -348,7 +350,7 @@
         while (rows.step()) found.push_back(rows.text(0) + ": " + what);
     };
     rows_that("SELECT id FROM request WHERE answer = 1 AND effect > 0 AND settled = 1 LIMIT 1000",
-              "its client was told that it never ran, and it may have");
+              "the client was told that it never ran, but it may have run");
     rows_that(
         "SELECT id FROM request r WHERE NOT EXISTS (SELECT 1 FROM attempt a WHERE a.boot = r.boot AND "
         "a.serial = r.serial) LIMIT 1000",
@@ -356,12 +358,12 @@
     rows_that(
         "SELECT r.id FROM request r JOIN attempt a ON a.boot = r.boot AND a.serial = r.serial WHERE "
         "a.ending IN (0,1,2,3,4,5) AND r.effect = 0 AND r.settled = 1 LIMIT 1000",
-        "is said never to have run beside an attempt that may have");
+        "is recorded as never run, but one of its attempts may have run");
     return found;
 }
 
 std::vector<Entry> JournalDatabase::settled_before(std::int64_t before_ms, std::size_t max_requests) {
-    // What may have run waits for somebody to look into it: it is not old before it is reconciled.
+    // A request that possibly ran waits for someone to investigate it, so it is not archived by age.
     Statement rows(
         database_,
         select("WHERE r.taken_ms < ? AND r.settled = 1 AND r.effect <> 1 ORDER BY r.taken_ms LIMIT ?"));
--- a/src/ledger/journal_database.h
+++ b/src/ledger/journal_database.h
@@ -1,5 +1,5 @@
-// The journal's file: what the writer puts into it and what people ask of it. It blocks; the helper alone
-// uses it.
+// The journal database: the SQLite file that the writer fills and that the ledger commands query. Calls
+// block; only the helper process uses it.
 #pragma once
 
 #include <cstdint>
@@ -18,13 +18,13 @@
 
 constexpr const char* kDatabaseFile = "ledger.db";
 
-/// A request as the file has it.
+/// A request as stored in the database.
 struct Entry {
-    std::int64_t boot = 0;  ///< the file's own number of the sidecar's start
+    std::int64_t boot = 0;  ///< number of the sidecar's start in this database
     std::uint64_t serial = 0;
-    std::string sidecar;  ///< by name
+    std::string sidecar;  ///< the sidecar's name
     RequestHistory history;
-    /// Absent while the boot that made it may still tell more.
+    /// Absent while the boot that recorded the request may still add to it.
     std::optional<Effect> concluded;
 };
 
@@ -33,39 +33,40 @@
     std::uint64_t id = 0;
     std::string name;
     std::int64_t started_ms = 0;
-    std::int64_t concluded_ms = 0;  ///< 0: it may still run
+    std::int64_t concluded_ms = 0;  ///< 0: it may still be running
 };
 
 class JournalDatabase {
   public:
-    /// Opens DIRECTORY/ledger.db. `for_writing` brings its schema up to date. Throws store::StoreError.
+    /// Opens DIRECTORY/ledger.db. `for_writing` migrates the schema. Throws store::StoreError.
     JournalDatabase(const std::string& directory, bool for_writing, const store::Options& options = {});
     ~JournalDatabase();
 
-    // ---- the writer's
-    /// The file's number of a boot; the same one again after the writer's own restart.
+    // ---- used by the writer
+    /// Returns the database's number of a boot; the same one again after a restart of the writer.
     std::int64_t register_boot(const Hello& hello);
-    /// All of these or none, durable on return. Records that are known already change nothing.
+    /// Writes all of the records or none; they are durable on return. Records that are already stored change
+    /// nothing.
     void write(std::int64_t boot, const std::vector<Record>& records);
-    /// Concludes what boots before this one left open, `most` requests a transaction. True: nothing is left.
-    /// Done again it changes nothing.
+    /// Concludes requests that earlier boots left open, up to `max_requests` per transaction. Returns true if
+    /// none are left. Idempotent.
     bool conclude_earlier_boots(std::int64_t boot, std::int64_t now_ms, std::size_t max_requests);
 
-    // ---- questions
-    using Visitor = std::function<bool(const Entry&)>;  ///< false: enough
+    // ---- queries
+    using Visitor = std::function<bool(const Entry&)>;  ///< returns false to stop
     void by_id(const std::string& id, const Visitor& visit);
     void by_key(const std::string& key, const Visitor& visit);
-    /// Taken within [from, to) of Unix time, in milliseconds, in that order.
+    /// Visits requests taken within [from_ms, to_ms), Unix time in milliseconds, in that order.
     void by_time(std::int64_t from_ms, std::int64_t to_ms, const Visitor& visit);
-    /// What may have run and no answer of an endpoint says so; with `under_way` also what a live boot has
-    /// open.
+    /// Visits requests that may have run without an endpoint's answer to confirm it. `under_way` also
+    /// includes those that a running boot has open.
     void unresolved(bool under_way, const Visitor& visit);
     struct GapInfo {
         std::int64_t boot = 0, from_ms = 0, to_ms = 0;
         std::uint64_t requests = 0;
         std::string reason;
     };
-    /// Those that touch [from, to].
+    /// Returns the gaps that overlap [from_ms, to_ms].
     std::vector<GapInfo> gaps(std::int64_t from_ms, std::int64_t to_ms);
     std::vector<BootInfo> boots();
     struct Stats {
@@ -73,15 +74,15 @@
         std::int64_t first_ms = 0, last_ms = 0;
     };
     Stats stats();
-    /// What is wrong with it, a line each: with the file, and with requests that contradict themselves.
+    /// Checks the file and looks for requests whose records are inconsistent. Returns one line per problem.
     std::vector<std::string> verify();
     int version() { return database_.version(); }
 
     // ---- retention
-    /// Up to `most` settled requests taken before this, oldest first: concluded or over, and never one that
-    /// is open.
+    /// Returns up to `max_requests` settled requests taken before `before_ms`, oldest first. Settled means
+    /// concluded or complete; an open request is never returned.
     std::vector<Entry> settled_before(std::int64_t before_ms, std::size_t max_requests);
-    /// Takes these out, in one transaction.
+    /// Deletes these entries in one transaction.
     void remove(const std::vector<Entry>& entries);
 
     store::Database& database() { return database_; }
@@ -91,18 +92,18 @@
     Statements& prepared();
     Entry entry_at(std::int64_t boot, std::uint64_t serial);
     std::optional<RequestHistory> load(std::int64_t boot, std::uint64_t serial);
-    /// `before`: as the file has it; null: it is not there.
+    /// `before` is the stored history; null if the request is not stored yet.
     void save(std::int64_t boot, std::uint64_t serial, const RequestHistory& history,
               const RequestHistory* before);
     void visit_rows(store::Statement& serials, const Visitor& visit);
 
     store::Database database_;
     std::unique_ptr<Statements> statements_;
-    /// Requests of the boot that writes, as the file has them: spares a read for each record. Those that are
-    /// over go.
+    /// Stored histories of the writing boot's open requests; saves one read per record. Completed requests
+    /// are dropped.
     std::unordered_map<std::uint64_t, RequestHistory> cached_;
     std::int64_t cached_boot_ = 0;
-    std::uint64_t last_serial_ = 0;  ///< of that boot in the file: what is above it need not be looked for
+    std::uint64_t last_serial_ = 0;  ///< highest stored serial of that boot; a higher one needs no lookup
 };
 
 }  // namespace martenford::ledger
--- a/src/ledger/pending_records.cpp
+++ b/src/ledger/pending_records.cpp
@@ -25,7 +25,7 @@
 
 std::string PendingRecords::take_unsent(std::size_t max_bytes, Time now) {
     std::string result;
-    // A writer in trouble keeps what it has and can't take more.
+    // A failing writer keeps what it has and cannot take more.
     if (health_ != Health::Up) return result;
     if (sent_ == 0 && !queue_.empty()) waiting_since_ = now;
     for (; sent_ < queue_.size() && (result.empty() || result.size() < max_bytes); ++sent_) {
@@ -68,7 +68,8 @@
 void PendingRecords::writer_lost(std::string why, Time now) {
     const bool was_stable =
         (health_ == Health::Up || health_ == Health::Failing) && now - ready_at_ >= options_.stable_after;
-    // Two that die young in a row are no accident: then nobody waits for the next.
+    // Two writers in a row that die soon after their start are no coincidence: requests no longer wait for
+    // the next one.
     restart_failed_ = !was_stable && (health_ == Health::Starting || backoff_ > Duration{});
     backoff_ = was_stable ? Duration{} : std::clamp(backoff_ * 2, options_.min_backoff, options_.max_backoff);
     restart_at_ = was_stable ? now : now + backoff_;
@@ -85,7 +86,8 @@
             if (sent_ == 0) return std::nullopt;
             return waiting_since_ + options_.ack_timeout;
         case Health::Failing:
-            return waiting_since_ + options_.start_timeout;  // it says again and again that it is in trouble
+            return waiting_since_ +
+                   options_.start_timeout;  // a failing writer reports its failure repeatedly
         case Health::Down:
             break;
     }
--- a/src/ledger/reconcile.cpp
+++ b/src/ledger/reconcile.cpp
@@ -12,15 +12,15 @@
 constexpr std::size_t kLinesPerTransaction = 50'000;
 constexpr std::size_t kMaxLineBytes = 64 * 1024;
 
-/// One record of RFC 4180, section 2; quoted fields may hold commas, quotes and line ends. False: there are
-/// no more.
+/// Reads one record of RFC 4180, section 2; quoted fields may contain commas, quotes and line breaks. Returns
+/// false at the end of the input.
 bool read_line(std::istream& from, std::vector<std::string>& fields, std::uint64_t& line) {
     fields.assign(1, {});
     bool quoted = false, read_any = false;
     std::size_t size = 0;
     for (int c; (c = from.get()) != std::istream::traits_type::eof(); read_any = true) {
         if (++size > kMaxLineBytes)
-            throw std::runtime_error("line " + std::to_string(line + 1) + ": is too long");
+            throw std::runtime_error("line " + std::to_string(line + 1) + ": the line is too long");
         if (quoted) {
             if (c != '"') {
                 fields.back() += static_cast<char>(c);
@@ -40,7 +40,8 @@
             fields.back() += static_cast<char>(c);
         }
     }
-    if (quoted) throw std::runtime_error("line " + std::to_string(line + 1) + ": a quote is not closed");
+    if (quoted)
+        throw std::runtime_error("line " + std::to_string(line + 1) + ": a quoted field is not closed");
     if (read_any) ++line;
     return read_any;
 }
@@ -56,9 +57,10 @@
     if (!read_line(record, fields, line)) throw std::runtime_error("line 1: the record is empty");
     const auto id_at = std::find(fields.begin(), fields.end(), "id") - fields.begin();
     const auto columns = fields.size();
-    if (static_cast<std::size_t>(id_at) == columns) throw std::runtime_error("line 1: names no column 'id'");
+    if (static_cast<std::size_t>(id_at) == columns)
+        throw std::runtime_error("line 1: there is no column 'id'");
 
-    // In a file of its own that goes with this connection: the journal is not touched, and nothing of it is
+    // The table is temporary and belongs to this connection: the journal is not changed, and nothing in it is
     // locked while the record is read.
     store::Database& db = database.database();
     db.execute(
@@ -73,7 +75,7 @@
             if (fields.size() == 1 && fields[0].empty()) continue;
             if (fields.size() != columns)
                 throw std::runtime_error("line " + std::to_string(line) + ": has " +
-                                         std::to_string(fields.size()) + " fields, not " +
+                                         std::to_string(fields.size()) + " fields instead of " +
                                          std::to_string(columns));
             insert.bind_all(std::string_view(fields[static_cast<std::size_t>(id_at)])).run();
             ++result.lines;
@@ -82,8 +84,8 @@
     }
     db.execute("PRAGMA query_only=1");
 
-    // A request that was repeated under one id on another sidecar is in the journal more than once: what any
-    // of them says of its effect counts.
+    // A request that was repeated with the same id through another sidecar is in the journal more than once;
+    // the strongest effect among its entries counts.
     store::Statement compared(
         db,
         "SELECT j.id, j.effect, j.settled, t.times FROM (SELECT id, MAX(effect) AS effect, "
--- a/src/ledger/recorder.cpp
+++ b/src/ledger/recorder.cpp
@@ -14,7 +14,8 @@
 
 namespace {
 
-/// That an attempt was written whole is told so late: most have ended by then.
+/// A complete write is recorded only after this delay; most attempts have ended by then and need no such
+/// record.
 constexpr Duration kWrittenDelay = 20ms;
 
 Ending ending_of(Status status) {
@@ -53,7 +54,7 @@
 
 }  // namespace
 
-/// An attempt whose intent is not durable yet, and what it is once it is: the back's own.
+/// An attempt whose intent is not durable yet. Once it is, this forwards to the back's own attempt.
 class Recorder::HeldAttempt : public Back::Attempt, public std::enable_shared_from_this<HeldAttempt> {
   public:
     HeldAttempt(Recorder& recorder, EndpointId id, std::shared_ptr<const Message> message, Time end,
@@ -68,31 +69,31 @@
           timeout_(recorder.scheduler_) {
         set_timeout();
     }
-    const bool refuse_on_outage;  ///< where the journal keeps nothing
+    const bool refuse_on_outage;  ///< whether the class refuses requests during a journal outage
 
     bool is_waiting() const { return static_cast<bool>(done_); }
-    /// The intent is durable, or need not be.
+    /// Called when the intent is durable or need not be.
     void release() {
         if (!is_waiting()) return;
         timeout_.cancel();
-        // Its time at the endpoint begins. Guards against a slow disk that the module takes for slow
-        // endpoints.
+        // The endpoint's time starts now. Otherwise the module would take a slow disk for slow endpoints.
         const auto self = shared_from_this();
         recorder_.release_(RequestId(message_->id()));
         if (!is_waiting()) return;
-        // Held by the back's attempt until that ends: the engine reaches it through here.
+        // The back's attempt keeps this object alive until it ends: the engine reaches the attempt through
+        // it.
         Done done = [self, done = std::exchange(done_, nullptr)](Result&& result) {
             done(std::move(result));
         };
         inner_ =
             recorder_.forward(endpoint_, std::exchange(message_, nullptr), end_, std::move(done), attempt_);
     }
-    /// It can't be made durable in time.
+    /// Called when the intent cannot be made durable in time.
     void withhold() {
         if (!is_waiting()) return;
         const RequestId id(message_->id());
         const auto self = shared_from_this();
-        recorder_.withhold(id);  // completes the request, and so withdraws this attempt
+        recorder_.withhold(id);  // completes the request, which withdraws this attempt
         end(Ending::Withheld, Status::NotSent);
     }
     void cancel() override {
@@ -146,9 +147,10 @@
       options_(options),
       written_timer_(scheduler),
       held_count_(counters.counter("ledger.held", "attempts that waited for their intent to be durable")),
-      refused_(counters.counter("ledger.refused", "requests refused since the journal could not take them")),
-      unjournaled_(
-          counters.counter("ledger.unjournaled", "attempts sent although the journal could not take them")) {
+      refused_(
+          counters.counter("ledger.refused", "requests refused because the journal could not record them")),
+      unjournaled_(counters.counter("ledger.unjournaled",
+                                    "attempts sent although the journal could not record them")) {
     for (const auto& each : classes) {
         const auto named = options.classes.find(each.name);
         const bool non_idempotent = each.effect == decision::Effect::SingleShot;
@@ -193,8 +195,8 @@
     request_state.in_flight.push_back({attempt, id});
     auto send_decision = link_.pending().decide(options.level, options.outage);
     if (send_decision != PendingRecords::SendDecision::Refuse) {
-        // Late is better than never: where it goes out unjournaled and there is room, the next writer is
-        // told.
+        // Try to record the intent also when the request is sent unjournaled: if there is room, the next
+        // writer receives it late rather than never.
         const bool journaled =
             append_intent(request_state, *message, id, attempt, options.level == Durability::Sync);
         request_state.journaled |= journaled;
@@ -242,7 +244,7 @@
     intent.id = message.id();
     intent.klass = class_names_[message.class_index];
     intent.key = message.key();
-    // Only the first: a body that has begun to go out is no longer held here.
+    // Only for the first attempt: once a body has begun to go out, it is no longer held here.
     if (digest_ && attempt == 0) intent.digest = digest_->compute(message.held_body());
     if (const auto endpoint_info = endpoints_.find(id); endpoint_info != endpoints_.end()) {
         intent.uid = endpoint_info->second.uid;
@@ -275,7 +277,7 @@
     }
 }
 
-/// Of those that have not ended since: what an ending tells needs no telling twice.
+/// Only for attempts that have not ended since: an ending makes a separate record unnecessary.
 void Recorder::append_written() {
     for (const auto& [id, attempt, at] : std::exchange(written_, {})) {
         const auto request_state = requests_.find(id);
@@ -329,7 +331,7 @@
     if (it != requests_.end() && it->second.complete && it->second.in_flight.empty()) requests_.erase(it);
 }
 
-/// Loudly: one line where it begins, and the figure.
+/// Logs one line when this begins, and counts every case.
 void Recorder::note_unjournaled() {
     unjournaled_.add();
     if (gap_.requests++ == 0) {
@@ -338,7 +340,7 @@
     }
     if (!std::exchange(unjournaled_logged_, true)) {
         martenford::tell(Event::JournalUnkept,
-                         "requests that must not run twice go out unjournaled: " + link_.pending().reason());
+                         "non-idempotent requests go out unjournaled: " + link_.pending().reason());
     }
 }
 
@@ -351,7 +353,7 @@
         held->release();
     }
     if (pending.health() == PendingRecords::Health::Up) return close_gap();
-    // Nothing can be made durable now. A writer that is started again at once may still be in time.
+    // Nothing can be made durable now. A writer that is restarted at once may still be in time.
     auto waiting = std::exchange(held_, {});
     for (auto& [sequence, held] : waiting) {
         if (pending.decide(Durability::Sync, OutagePolicy::Refuse) == PendingRecords::SendDecision::Hold) {
@@ -370,7 +372,7 @@
     if (gap_.requests > 0 && append(0, false, gap_)) gap_ = {};
 }
 
-// ---- who an endpoint is -----------------------------------------------------------------------------
+// ---- endpoint names and addresses -------------------------------------------------------------------
 
 void Recorder::name(EndpointId id, const std::string& uid) {
     endpoints_[id].uid = uid;
--- a/src/ledger/recorder.h
+++ b/src/ledger/recorder.h
@@ -1,5 +1,6 @@
-// Stands between the engine and a back: what must not run twice is told to the journal before its first byte
-// goes out, and how it ended after. The engine and the back know nothing of it.
+// A decorator between the engine and its back that writes the journal: it records a non-idempotent request
+// before its first byte is sent, and how the request ended afterwards. Neither the engine nor the back
+// depends on it.
 #pragma once
 
 #include <cstdint>
@@ -22,17 +23,18 @@
 
 class Recorder : public Back, public Placement, public Witness {
   public:
-    /// All references outlive it. Throws std::runtime_error where the digest's key can't be read.
+    /// All references must outlive the recorder. Throws std::runtime_error if the digest key cannot be read.
     Recorder(Scheduler& scheduler, Back& back, Placement& placement, WriterLink& link, const Options& options,
              const std::vector<decision::RequestClass>& classes, Counters& counters);
     ~Recorder() override;
 
-    /// Answers an open request at once: `refused`, or failed where something of it may have run.
+    /// Sets the callback that answers an open request at once: refused, or failed if a part of it may have
+    /// run.
     void on_give_up(std::function<void(const decision::RequestId&, bool refused)> give_up) {
         give_up_ = std::move(give_up);
     }
 
-    /// The first attempt of a request is on its way: it is held no more.
+    /// Sets the callback for the first attempt of a request being sent: the request is no longer held.
     void on_release(std::function<void(const decision::RequestId&)> release) {
         release_ = std::move(release);
     }
@@ -61,8 +63,8 @@
         std::uint32_t attempts = 0;
         std::vector<InFlight> in_flight;
         bool journaled =
-            false;  // the journal has an intent of it; what it has none of it hears no more about
-        bool may_have_run = false;  // by an attempt that has ended
+            false;  // an intent of this request is in the journal; without one nothing else is recorded of it
+        bool may_have_run = false;  // because of an attempt that has ended
         bool complete = false;
     };
     struct EndpointInfo {
@@ -95,16 +97,17 @@
     std::unique_ptr<BodyDigest> digest_;
     std::function<void(const decision::RequestId&, bool)> give_up_;
     std::function<void(const decision::RequestId&)> release_;
-    std::unordered_map<EndpointId, EndpointInfo> endpoints_;  // as many as discovery lists
+    std::unordered_map<EndpointId, EndpointInfo> endpoints_;  // one per endpoint that discovery lists
     std::unordered_map<decision::RequestId, RequestState> requests_;
     std::uint64_t serial_ = 0;
-    std::deque<std::pair<std::uint64_t, std::shared_ptr<HeldAttempt>>> held_;  // by sequence
+    std::deque<std::pair<std::uint64_t, std::shared_ptr<HeldAttempt>>>
+        held_;  // ordered by record sequence number
     struct WrittenAt {
         decision::RequestId id;
         std::uint32_t attempt = 0;
         std::int64_t wall_ms = 0;
     };
-    std::vector<WrittenAt> written_;  // in the last 20 ms, as many as were sent in it
+    std::vector<WrittenAt> written_;  // sent within the last 20 ms
     Timer written_timer_;
     Gap gap_;
     bool unjournaled_logged_ = false;
--- a/src/ledger/request_history.cpp
+++ b/src/ledger/request_history.cpp
@@ -20,8 +20,8 @@
     return true;
 }
 
-/// Of two endings that contradict each other the worse stays, so that the order in which they come is of no
-/// matter. An open one is none.
+/// Of two contradicting endings the worse one wins, so that their order does not matter. Open is not an
+/// ending.
 bool is_worse(Ending reported, Ending current) {
     if (reported == Ending::Open || reported == current) return false;
     if (current == Ending::Open) return true;
@@ -63,7 +63,7 @@
         case Ending::Withheld:
             return Effect::NeverRan;
         default:
-            return Effect::MayHaveRun;  // also of an ending that a later version knows
+            return Effect::MayHaveRun;  // also for endings that only a later version knows
     }
 }
 
@@ -84,7 +84,7 @@
             changed |= keep_min(attempt.address, intent.address);
             changed |= keep_min(attempt.intent_ms, record.wall_ms);
             if (keep_min(history.taken_mono_ns_,
-                         record.mono_ns)) {  // the clock that never steps says which is first
+                         record.mono_ns)) {  // the monotonic clock decides which intent was first
                 history.taken_ms_ = record.wall_ms;
                 changed = true;
             }
--- a/src/ledger/request_history.h
+++ b/src/ledger/request_history.h
@@ -1,8 +1,9 @@
-// The life of one request as its records tell it, and what follows for its effect. Pure.
+// The history of one request, merged from its records, and what follows from it for the request's effect. No
+// I/O.
 //
-// Records are joined, never overwritten: the same ones in any order and any number of times give the same
-// life, so that a writer that is sent them anew after its death changes nothing. Of two that contradict each
-// other the one that is worse for whoever relies on it stays.
+// Records are merged, never overwritten: the same records in any order and any number of times give the same
+// history, so that records that are sent again after the writer died change nothing. Of two contradicting
+// records the one that is worse for the caller wins.
 #pragma once
 
 #include <cstdint>
@@ -14,13 +15,13 @@
 
 namespace martenford::ledger {
 
-/// Attempts of one request at most that are kept apart; the module sends a handful.
+/// Maximum number of attempts kept per request; the module makes only a handful.
 constexpr std::uint32_t kMaxAttempts = 64;
 
 struct AttemptHistory {
     std::string uid, address;
     std::int64_t intent_ms = 0;   ///< Unix time; 0: no intent is known
-    std::int64_t written_ms = 0;  ///< 0: not known to have been written whole
+    std::int64_t written_ms = 0;  ///< 0: not known to have been written completely
     std::int64_t ended_ms = 0;
     Ending ending = Ending::Open;
     bool operator==(const AttemptHistory&) const = default;
@@ -28,17 +29,17 @@
 
 class RequestHistory {
   public:
-    /// Takes in a record of this request. False: it says what was known, or belongs to no request.
+    /// Merges a record of this request. Returns false if it adds nothing new or belongs to no request.
     bool merge(const Record& record);
 
-    /// What is certain of its effect from what is known now, and all that a restart can conclude if nothing
-    /// more comes: an attempt with an intent and no ending may have run.
+    /// What is certain about the effect from the records so far, and what a restart concludes if no more
+    /// arrive: an attempt with an intent but no ending may have run.
     Effect effect() const;
-    /// Why, in a few words, naming the attempt that decides.
+    /// A short explanation that names the deciding attempt.
     std::string reason() const;
-    /// Whether nothing more is to come: answered, and every attempt ended.
+    /// Whether no more records are expected: the request was answered and every attempt ended.
     bool is_complete() const;
-    /// Whether the client was told that nothing ran while something may have: a breach of the rules.
+    /// Whether the client was told that the request never ran although it may have; this must not happen.
     bool contradicts_itself() const {
         return answer_ == FinalAnswer::Refused && effect() != Effect::NeverRan && is_complete();
     }
@@ -53,7 +54,7 @@
     std::int64_t answered_ms() const { return answered_ms_; }
     const std::map<std::uint32_t, AttemptHistory>& attempts() const { return attempts_; }
 
-    /// A life as a file held it.
+    /// The columns of a request as stored in the database.
     struct StoredFields {
         std::string id, klass, key, digest;
         std::int64_t taken_ms = 0, taken_mono_ns = 0, answered_ms = 0;
--- a/src/ledger/writer.cpp
+++ b/src/ledger/writer.cpp
@@ -26,14 +26,14 @@
 
 namespace {
 
-constexpr Duration kLockTimeout = 3s;  // for an earlier writer to keep what it was sent, and end
+constexpr Duration kLockTimeout = 3s;  // time for an earlier writer to store what it received and exit
 constexpr Duration kLockRetry = 20ms;
-constexpr Duration kRetryDelay = 200ms;       // after a batch that could not be kept
-constexpr Duration kPredecessorPoll = 500ms;  // whether the elder has ended
-constexpr Duration kIdlePoll = 1s;            // without a record: time for what can wait
-constexpr std::size_t kConcludeBatch = 2000;  // requests a transaction: some 30 ms
+constexpr Duration kRetryDelay = 200ms;       // after a batch that could not be stored
+constexpr Duration kPredecessorPoll = 500ms;  // interval of the check whether the predecessor has exited
+constexpr Duration kIdlePoll = 1s;            // without records; leaves time for maintenance
+constexpr std::size_t kConcludeBatch = 2000;  // requests per transaction; takes about 30 ms
 constexpr std::size_t kReadBytes = 256 * 1024;
-constexpr std::size_t kMinArchiveRequests = 1000;  // settled requests that are worth an archive
+constexpr std::size_t kMinArchiveRequests = 1000;  // fewer settled requests are not worth an archive
 
 Time now() {
     return Time{std::chrono::duration_cast<Duration>(std::chrono::steady_clock::now().time_since_epoch())};
@@ -42,7 +42,7 @@
     std::this_thread::sleep_for(duration);
 }
 
-/// A file that one process at a time holds, for as long as it lives.
+/// A lock file held by at most one process, for as long as the process lives.
 class Lock {
   public:
     explicit Lock(const std::string& path) : file_(::open(path.c_str(), O_CREAT | O_RDWR | O_CLOEXEC, 0600)) {
@@ -101,8 +101,8 @@
     }
 
   private:
-    /// An heir writes beside its elder, whose file it is too: SQLite orders the two. What the elder left open
-    /// is looked into once its lock is free.
+    /// During a handover the successor's writer works on the same file beside its predecessor's; SQLite
+    /// serialises the two. What the predecessor left open is concluded once its lock is free.
     bool acquire_lock() {
         if (!options_.successor) return owner_lock_.lock_within(kLockTimeout);
         return owner_lock_.try_lock() || successor_lock_.lock_within(kLockTimeout);
@@ -110,7 +110,7 @@
     void open_database() {
         auto database = std::make_unique<JournalDatabase>(options_.directory, true, store_options());
         boot_ = database->register_boot(hello_);
-        // Only now. Guards against records without a boot, where the disk was full for that one step.
+        // Only now: if the disk was full just for register_boot(), records would be written without a boot.
         database_ = std::move(database);
         earlier_boots_concluded_ = false;
         owner_locked_ = owner_lock_.try_lock();
@@ -122,7 +122,7 @@
         return result;
     }
 
-    /// How long nothing needs to be done but to listen.
+    /// How long receive() may wait before something else has to be done.
     Duration poll_timeout() const {
         if (const auto due = commit_.next_due()) return std::max(Duration{}, *due - now());
         if (!earlier_boots_concluded_) return owner_locked_ ? Duration{} : kPredecessorPoll;
@@ -144,23 +144,23 @@
         }
     }
     void read_socket() {
-        // What did not fit the last batch comes first.
+        // Messages that did not fit into the last batch come first.
         if (!reader_.empty() && !commit_.has_room()) return;
         char bytes[kReadBytes];
         const auto size = ::recv(options_.descriptor, bytes, sizeof bytes, MSG_DONTWAIT);
         if (size > 0) return reader_.feed({bytes, static_cast<std::size_t>(size)});
         if (size < 0 && (errno == EAGAIN || errno == EINTR)) return;
-        input_closed_ = true;  // also by a reset: what came before it has been read
+        input_closed_ = true;  // also after a reset: everything before it has been read
     }
     void add_record(ToWriter&& message, std::size_t bytes) {
-        if (!std::holds_alternative<Record>(message)) throw FrameError("a second greeting");
+        if (!std::holds_alternative<Record>(message)) throw FrameError("unexpected second Hello message");
         auto& record = std::get<Record>(message);
         commit_.add(bytes, record.urgent, now());
         batch_.push_back(std::move(record));
     }
 
-    /// Until it is kept, whatever that takes: its sidecar decides what goes on meanwhile, and has its own
-    /// patience.
+    /// Retries until the batch is stored, however long that takes: the sidecar decides what happens to
+    /// requests meanwhile and has its own timeout.
     void commit_batch() {
         for (;;) {
             try {
@@ -169,8 +169,8 @@
                 break;
             } catch (const store::StoreError& error) {
                 log_error(error.what());
-                // After a failed sync nothing that the kernel holds of the file is to be trusted: opening it
-                // anew reads what is there and writes it again before anything is acknowledged.
+                // After a failed sync, the kernel's cache of the file cannot be trusted. Reopening the file
+                // reads what is really there, and the batch is written again before anything is acknowledged.
                 if (error.fault != store::Fault::Full && error.fault != store::Fault::Busy) database_.reset();
                 if (error.fault == store::Fault::Corrupt || error.fault == store::Fault::Newer) throw;
                 send_message(Trouble{std::string(store::name_of(error.fault)) + ": " + error.what()});
@@ -184,7 +184,7 @@
         send_message(Ack{up_to});
         add_buffered_records();
     }
-    /// Frames that were read already and had no room in the last batch.
+    /// Adds messages that were read already but did not fit into the last batch.
     void add_buffered_records() {
         while (commit_.has_room()) {
             const auto message = reader_.next();
@@ -192,13 +192,14 @@
             add_record(read_to_writer(*message), message->size());
         }
     }
-    /// Whether nobody waits for the batch any more, and it can't be kept.
+    /// Whether the sidecar is gone, so that nobody waits for a batch that cannot be stored.
     bool peer_closed() {
         pollfd poll_for{options_.descriptor, 0, 0};
         return ::poll(&poll_for, 1, 0) > 0 && (poll_for.revents & (POLLHUP | POLLERR));
     }
 
-    /// Off the busy time, in steps: what earlier boots left open, then what is old enough for an archive.
+    /// Runs while idle, in small steps: first concludes requests that earlier boots left open, then moves old
+    /// requests to archives.
     void run_maintenance() {
         try {
             if (!database_) open_database();
@@ -251,14 +252,15 @@
         return false;
     }
 
-    /// Its sidecar reads all the time; where it does not, it hears nothing and its patience ends.
+    /// The sidecar always reads its socket. If it does not, it receives nothing and its response timeout
+    /// expires.
     void send_message(const FromWriter& message) {
         const std::string frame = frame_of(message);
         for (std::size_t done = 0; done < frame.size();) {
             const auto n =
                 ::send(options_.descriptor, frame.data() + done, frame.size() - done, MSG_NOSIGNAL);
             if (n < 0 && errno == EINTR) continue;
-            if (n <= 0) return;  // it has gone; what it sent is kept all the same
+            if (n <= 0) return;  // the sidecar is gone; what it sent is stored all the same
             done += static_cast<std::size_t>(n);
         }
     }
@@ -281,14 +283,14 @@
 }  // namespace
 
 int run_writer(const WriterOptions& options) {
-    ::umask(0077);  // what was sent where is nobody else's matter
-    // It ends with its sidecar, after what the sidecar sent is kept: a signal to the group must not end it
-    // before.
+    ::umask(0077);  // the files show which requests went where; only their owner may read them
+    // The writer exits after its sidecar, once everything received is stored. A signal to the process group
+    // must not end it earlier.
     std::signal(SIGTERM, SIG_IGN);
     std::signal(SIGINT, SIG_IGN);
     std::signal(SIGHUP, SIG_IGN);
     std::signal(SIGPIPE, SIG_IGN);
-    std::signal(SIGXFSZ, SIG_IGN);  // a limit on files is a failed write
+    std::signal(SIGXFSZ, SIG_IGN);  // a file size limit then shows as a failed write
     try {
         return Writer(options).run();
     } catch (const FrameError& error) {
--- a/src/ledger/writer.h
+++ b/src/ledger/writer.h
@@ -1,5 +1,5 @@
-// The writer process: owns the journal's file, takes records from its sidecar, makes them durable in batches
-// and says so. It blocks, and that is why it is a process of its own.
+// The writer process: owns the journal database, receives records from its sidecar, makes them durable in
+// batches and acknowledges them. It is a separate process because it blocks.
 #pragma once
 
 #include <string>
@@ -11,7 +11,7 @@
 
 struct WriterOptions {
     std::string directory;
-    int descriptor = 3;      ///< the connected socket to the sidecar
+    int descriptor = 3;      ///< connected socket to the sidecar
     bool successor = false;  ///< an earlier process of the same sidecar may still be finishing
     std::uint64_t max_bytes = 0;
     GroupCommit::Options batch;
@@ -19,10 +19,10 @@
     Duration archive_retention{};
 };
 
-/// Exit codes of the writer that its sidecar tells apart.
+/// Exit codes of the writer process.
 constexpr int kWriterDone = 0, kWriterFailed = 1, kWriterNotOwner = 3, kWriterBadPeer = 4;
 
-/// Runs until the sidecar's end of the socket is closed and all that came from it is kept.
+/// Runs until the sidecar closes its end of the socket and everything received from it is stored.
 int run_writer(const WriterOptions& options);
 
 }  // namespace martenford::ledger
--- a/src/ledger/writer_link.cpp
+++ b/src/ledger/writer_link.cpp
@@ -23,8 +23,8 @@
 
 namespace {
 
-constexpr std::size_t kMaxWriteBytes = 64 * 1024;  // handed to the socket at once
-constexpr Duration kReapRetry = 50ms;  // a killed writer may hang in the kernel: it is not waited for
+constexpr std::size_t kMaxWriteBytes = 64 * 1024;  // per write to the socket
+constexpr Duration kReapRetry = 50ms;  // a killed writer may hang in the kernel, so its exit is polled for
 
 std::string milliseconds_text(Duration d) {
     return std::to_string(std::chrono::duration_cast<std::chrono::milliseconds>(d).count());
@@ -46,12 +46,12 @@
       records_(counters.counter("ledger.records", "records handed to the journal")),
       restarts_(counters.counter("ledger.writer_starts", "starts of the journal's writer")),
       failures_(counters.counter("ledger.writer_troubles",
-                                 "times that the writer died, hung or could keep nothing")) {
+                                 "times that the writer died, hung or could not store records")) {
     counters.gauge("ledger.waiting", "records not yet durable",
                    [this] { return static_cast<double>(pending_.records()); });
     counters.gauge("ledger.works", "1 while records are made durable",
                    [this] { return pending_.health() == PendingRecords::Health::Up ? 1.0 : 0.0; });
-    counters.gauge("ledger.dropped", "records that found no room",
+    counters.gauge("ledger.dropped", "records dropped for lack of room",
                    [this] { return static_cast<double>(pending_.dropped()); });
 }
 
@@ -71,12 +71,12 @@
 void WriterLink::start_writer() {
     int socket_ends[2];
     if (::socketpair(AF_UNIX, SOCK_STREAM | SOCK_CLOEXEC, 0, socket_ends) != 0)
-        return writer_lost(std::string("no socket for a writer: ") + std::strerror(errno));
+        return writer_lost(std::string("cannot create a socket for the writer: ") + std::strerror(errno));
     const bool spawned = spawn(socket_ends[1]);
     ::close(socket_ends[1]);
     if (!spawned) {
         ::close(socket_ends[0]);
-        return writer_lost("no writer can be started");
+        return writer_lost("the writer process cannot be started");
     }
     socket_ = std::make_shared<Socket>(loop_.io(), asio::local::stream_protocol(), socket_ends[0]);
     error_code ignored;
@@ -118,7 +118,7 @@
     try {
         frame = frame_of(ToWriter{std::move(record)});
     } catch (const FrameError&) {
-        return false;  // a name longer than the bounds of any front allow
+        return false;  // an id or key that is longer than any listener allows
     }
     if (!pending_.put(sequence_ + 1, std::move(frame))) return false;
     ++sequence_;
@@ -127,7 +127,7 @@
     return true;
 }
 
-/// At the end of the turn: what came in one turn goes out in one write.
+/// Flushes at the end of this turn of the loop, so that all records of the turn go out in one write.
 void WriterLink::schedule_flush() {
     if (std::exchange(flush_scheduled_, true)) return;
     asio::post(loop_.io(), [this] {
@@ -144,9 +144,9 @@
     arm_response_timer();
     asio::async_write(*socket_, asio::buffer(write_buffer_),
                       [this, socket = socket_](const error_code& error, std::size_t) {
-                          if (socket != socket_) return;  // of a writer that is gone
+                          if (socket != socket_) return;  // belongs to an earlier writer
                           write_pending_ = false;
-                          if (error) return writer_lost("its socket: " + error.message());
+                          if (error) return writer_lost("writing to its socket failed: " + error.message());
                           flush();
                       });
 }
@@ -155,7 +155,7 @@
     socket_->async_read_some(asio::buffer(read_buffer_),
                              [this, socket = socket_](const error_code& error, std::size_t size) {
                                  if (socket != socket_) return;
-                                 if (error) return writer_lost("the writer has ended");
+                                 if (error) return writer_lost("the writer has exited");
                                  try {
                                      reader_.feed({read_buffer_, size});
                                      while (const auto message = reader_.next())
@@ -188,11 +188,11 @@
     notify_change();
 }
 
-/// A line of log where that begins, none for each further start.
+/// Logs one line when an outage begins, and none for further restarts during it.
 void WriterLink::writer_lost(const std::string& why) {
     failures_.add();
     if (!std::exchange(outage_logged_, true))
-        tell(Event::JournalLost, "the journal's writer is lost, and started again: " + why);
+        tell(Event::JournalLost, "the journal's writer is lost and will be restarted: " + why);
     if (socket_) {
         error_code ignored;
         socket_->close(ignored);
@@ -220,7 +220,7 @@
     const auto until = pending_.response_deadline();
     if (!until) return response_timer_.cancel();
     response_timer_.set(*until, [this] {
-        if (pending_.is_unresponsive(Loop::monotonic())) return writer_lost("it owes an answer for too long");
+        if (pending_.is_unresponsive(Loop::monotonic())) return writer_lost("it did not respond in time");
         arm_response_timer();
     });
 }
--- a/src/ledger/writer_link.h
+++ b/src/ledger/writer_link.h
@@ -1,5 +1,5 @@
-// The sidecar's end of the socket to its journal's writer, and the writer's life: started, greeted, given
-// records, killed where it hangs, started again. On the loop; nothing here waits.
+// The sidecar's end of the socket to its journal writer, and the writer's life cycle: it starts the writer,
+// sends it records, kills it if it hangs and starts it again. Runs on the event loop and never blocks.
 #pragma once
 
 #include <sys/types.h>
@@ -20,21 +20,22 @@
 
 class WriterLink {
   public:
-    /// `boot`: of this process, random. Both references outlive it.
+    /// `boot` is the random id of this process. The references must outlive the link.
     WriterLink(Loop& loop, const Options& options, const std::string& sidecar, std::uint64_t boot,
                Counters& counters);
     ~WriterLink();
 
-    /// Starts the first writer. `heir`: an earlier process of this sidecar may still be finishing.
+    /// Starts the first writer. `successor`: an earlier process of this sidecar may still be finishing.
     void start(bool successor);
-    /// Called when records were acknowledged or the writer's state has changed.
+    /// Sets the callback for acknowledged records and for changes of the writer's state.
     void on_change(std::function<void()> callback) { on_change_ = std::move(callback); }
-    /// Takes a record, to be written in this turn of the loop; its sequence is given here. False: there was
-    /// no room.
+    /// Queues a record to be sent at the end of this turn of the loop, and assigns its sequence number.
+    /// Returns false if there is no room.
     bool push(Record record);
     std::uint64_t last_sequence() const { return sequence_; }
     const PendingRecords& pending() const { return pending_; }
-    /// Calls `done` once all is kept, or `most` has passed: the writer then keeps what it was sent by itself.
+    /// Calls `done` when every record is durable or `timeout` has passed. After a timeout the writer finishes
+    /// storing what it received on its own.
     void finish(Duration timeout, std::function<void()> done);
 
   private:
@@ -62,7 +63,7 @@
     bool successor_ = false, started_ = false, flush_scheduled_ = false, write_pending_ = false,
          outage_logged_ = false;
     pid_t writer_pid_ = -1;
-    std::vector<pid_t> killed_pids_;  // killed, and not reaped yet
+    std::vector<pid_t> killed_pids_;  // killed, not reaped yet
     std::uint64_t sequence_ = 0;
     Timer restart_timer_, response_timer_, reap_timer_, finish_timer_;
     std::function<void()> on_change_, on_finished_;
--- a/tests/ledger/golden_test.cpp
+++ b/tests/ledger/golden_test.cpp
@@ -1,4 +1,5 @@
-// The journal's frames and its file against bytes that an earlier commit wrote: tests/golden/README.md.
+// Compares the journal's frames and files with bytes that an earlier commit wrote; see
+// tests/golden/README.md.
 #include "golden.h"
 
 #include <gtest/gtest.h>
@@ -30,7 +31,8 @@
     return inside;
 }
 
-/// The fixture's message, after it was seen that both `now` and what was read are written as it is.
+/// Returns the fixture's message, after checking that `now` and the decoded fixture both encode to the same
+/// bytes.
 ToWriter read_to(const std::string& file, const ToWriter& now) {
     const std::string bytes = golden::kept(path_of(file), frame_of(now));
     EXPECT_EQ(frame_of(now), bytes) << file;
@@ -72,19 +74,19 @@
 const Hello kBefore{kLinkVersion, 0xfedcba9876543210, "sidecar-a", 1'700'000'000'000};
 const Hello kNow{kLinkVersion, 0x123456789abcdef, "sidecar-b", 1'700'000'900'000};
 
-/// What the client was told, by how the attempt ended.
+/// The answer to the client, by how the attempt ended.
 constexpr FinalAnswer kAnswers[kEndingCount] = {
     FinalAnswer::None,       FinalAnswer::Served,     FinalAnswer::Failed,  FinalAnswer::Failed,
     FinalAnswer::ClientLeft, FinalAnswer::ClientLeft, FinalAnswer::Refused, FinalAnswer::Refused,
     FinalAnswer::Refused,    FinalAnswer::Refused};
 
-/// The words that stand in archives and exports, by their numbers.
+/// The texts stored in archives and exports, by the numbers of the enum values.
 const std::vector<std::string> kEndingWords{"open",      "served", "error",          "timeout", "reset",
                                             "cancelled", "full",   "connect-failed", "moot",    "withheld"};
 const std::vector<std::string> kAnswerWords{"none", "refused", "failed", "served", "left"};
 const std::vector<std::string> kEffectWords{"never ran", "possibly ran", "ran"};
 
-/// Of a boot that has ended: a request for each ending of an attempt, and for each answer.
+/// Records of a boot that has ended: a request for each ending of an attempt, and each answer.
 std::vector<Record> records_before() {
     std::vector<Record> records;
     std::uint64_t sequence = 0;
@@ -96,7 +98,7 @@
         records.push_back(record(++sequence, serial, Ended{0, static_cast<Ending>(ending)}));
         records.push_back(record(++sequence, serial, Answered{kAnswers[ending]}));
     }
-    // Sent twice: turned away, then served.
+    // Attempted twice: first rejected, then served.
     records.push_back(record(++sequence, 11, intent(11)));
     records.push_back(record(++sequence, 11, Ended{0, Ending::Full}));
     records.push_back(record(++sequence, 11, intent(11, 1)));
@@ -106,7 +108,7 @@
     records.push_back(record(++sequence, 0, Gap{1'700'000'001'000, 7, "the disk was full"}));
     return records;
 }
-/// Of a boot that may still run: one under way, one served.
+/// Records of a boot that may still run: one request open, one served.
 std::vector<Record> records_now() {
     return {record(901, 1, intent(1)), record(902, 2, intent(2)), record(903, 2, Written{0}),
             record(904, 2, Ended{0, Ending::Served}), record(905, 2, Answered{FinalAnswer::Served})};
@@ -182,7 +184,7 @@
     EXPECT_EQ(std::get<Trouble>(read_from("trouble.bin", Trouble{"no room"})).what, "no room");
 }
 
-/// Of requests in the file, by boot and serial.
+/// The requests in the database, by boot and serial.
 std::map<std::pair<std::int64_t, std::uint64_t>, Entry> entries_in(JournalDatabase& database) {
     std::map<std::pair<std::int64_t, std::uint64_t>, Entry> found;
     database.by_time(0, std::numeric_limits<std::int64_t>::max(), [&](const Entry& entry) {
@@ -229,7 +231,7 @@
 
     const auto found = entries_in(database);
     ASSERT_EQ(found.size(), 13u);
-    // What the records say; the sums of it are the file's own.
+    // Against histories merged from the records.
     std::map<std::pair<std::int64_t, std::uint64_t>, RequestHistory> histories;
     for (const Record& each : records_before()) {
         if (each.serial != 0) histories[{1, each.serial}].merge(each);
@@ -241,14 +243,14 @@
         EXPECT_EQ(entry.history, histories.at(name));
         EXPECT_EQ(entry.sidecar, name.first == 1 ? "sidecar-a" : "sidecar-b");
     }
-    // And by figures that stand here alone.
+    // And against values that are computed here independently.
     for (int ending = 0; ending < kEndingCount; ++ending) {
         const auto serial = static_cast<std::uint64_t>(ending) + 1;
         const std::string number = std::to_string(serial);
         SCOPED_TRACE(number);
         const Entry& entry = found.at({1, serial});
         const RequestHistory& history = entry.history;
-        const std::int64_t taken = ending == 0 ? 1 : 4 * ending - 2;  // the sequence of its intent
+        const std::int64_t taken = ending == 0 ? 1 : 4 * ending - 2;  // sequence number of its intent
         EXPECT_EQ(history.id(), "request-" + number);
         EXPECT_EQ(history.klass(), "debit");
         EXPECT_EQ(history.key(), "key-" + number);
@@ -271,13 +273,13 @@
     EXPECT_EQ(*found.at({1, 1}).concluded, Effect::MayHaveRun);  // open when its boot ended
     EXPECT_EQ(*found.at({1, 2}).concluded, Effect::Ran);         // served
     EXPECT_EQ(*found.at({1, 5}).concluded, Effect::MayHaveRun);  // reset
-    EXPECT_EQ(*found.at({1, 7}).concluded, Effect::NeverRan);    // turned away
+    EXPECT_EQ(*found.at({1, 7}).concluded, Effect::NeverRan);    // rejected
     const RequestHistory& twice = found.at({1, 11}).history;
     ASSERT_EQ(twice.attempts().size(), 2u);
     EXPECT_EQ(twice.attempts().at(0).ending, Ending::Full);
     EXPECT_EQ(twice.attempts().at(1).ending, Ending::Served);
     EXPECT_EQ(twice.answer(), FinalAnswer::Served);
-    EXPECT_FALSE(found.at({2, 1}).concluded.has_value());  // under way
+    EXPECT_FALSE(found.at({2, 1}).concluded.has_value());  // still open
     EXPECT_EQ(found.at({2, 2}).history.effect(), Effect::Ran);
 
     const auto gaps = database.gaps(0, std::numeric_limits<std::int64_t>::max());
@@ -300,7 +302,7 @@
     database.by_id("request-11", each);
     database.by_key("key-3", each);
     EXPECT_EQ(serials, (std::vector<std::uint64_t>{11, 3}));
-    // The same boot is known again; what it had open goes on, and what was written changes nothing.
+    // The boot is recognised: its open request continues, and records that are already stored change nothing.
     const auto boot = database.register_boot(kNow);
     EXPECT_EQ(boot, 2);
     database.write(boot, records_now());
@@ -335,7 +337,7 @@
         kept[file.path().filename()] = golden::kept(file.path());
     for (const auto& file : std::filesystem::directory_iterator(made.at))
         now[file.path().filename()] = golden::kept(file.path());
-    EXPECT_EQ(kept.size(), 3u);  // the manifest, an archive, its filter
+    EXPECT_EQ(kept.size(), 3u);  // the manifest, an archive and its filter
     EXPECT_EQ(now, kept);
 }
 
@@ -351,11 +353,11 @@
         found.push_back(each);
         return true;
     });
-    ASSERT_EQ(found.size(), 6u);  // what may have run stays in the journal
+    ASSERT_EQ(found.size(), 6u);  // requests that may have run stay in the database
     const std::vector<std::uint64_t> moved{2, 7, 8, 9, 10, 11};
     for (std::size_t i = 0; i < found.size(); ++i) {
         const story::Story& story = found[i];
-        const std::size_t at = moved[i] - 1;  // the number of its ending
+        const std::size_t at = moved[i] - 1;  // number of its ending
         const std::string number = std::to_string(at + 1);
         SCOPED_TRACE(number);
         const std::int64_t taken = 4 * static_cast<std::int64_t>(at) - 2;
@@ -370,7 +372,7 @@
         EXPECT_EQ(story.taken_mono_ns(), taken * 1'000'000);
         EXPECT_FALSE(story.reason().empty());
         EXPECT_FALSE(story.under_way());
-        if (at >= kEndingWords.size()) continue;  // the one that was sent twice
+        if (at >= kEndingWords.size()) continue;  // the one that was attempted twice
         EXPECT_EQ(story.answer(), kAnswerWords.at(static_cast<std::size_t>(kAnswers[at])));
         EXPECT_EQ(story.answered_ms(), 1'700'000'000'000 + (taken + 3) * 1000);
         EXPECT_EQ(story.effect(), at == 1 ? "ran" : "never ran");
--- a/tests/ledger/journal_database_test.cpp
+++ b/tests/ledger/journal_database_test.cpp
@@ -1,4 +1,5 @@
-// The journal's file against a disk that fails at every step in turn, and what is asked of it.
+// Runs the journal database on a disk that fails at every operation in turn, and tests its queries, archives
+// and reconciliation.
 #include "ledger/journal_database.h"
 
 #include <gtest/gtest.h>
@@ -38,8 +39,8 @@
     return options;
 }
 
-/// A day in batches: requests that are served, turned away and repeated, lost, refused; with large ids, so
-/// that the file grows by many pages and its log is checkpointed.
+/// Batches of requests that are served, rejected and retried, lost or refused. There are enough of them for
+/// the file to grow by many pages and for SQLite to checkpoint its log.
 std::vector<std::vector<Record>> scripted_workload() {
     std::vector<std::vector<Record>> batches;
     std::uint64_t sequence = 0;
@@ -79,8 +80,8 @@
 
 constexpr Hello kHello{kLinkVersion, 99, {}, 1};
 
-/// Plays the day as the writer does: a batch that fails is kept again, on a file that is opened anew where a
-/// sync failed. Gives what was acknowledged, and what was on its way.
+/// Writes the batches like the writer process: a failed batch is written again, on a reopened database if a
+/// sync failed. Returns the acknowledged requests, and those that include the last batch.
 struct Outcome {
     Histories acknowledged, in_flight;
 };
@@ -128,14 +129,14 @@
         disk.fail_at(at, GetParam().first);
         const Outcome outcome = run_workload(disk);
         ASSERT_TRUE(disk.fault_hit());
-        disk.power_off();  // at the end too: what was acknowledged must not need the kernel's memory
+        disk.power_off();  // also at the end: acknowledged data must not depend on the kernel's cache
         disk.power_on(at * 7 + 1);
         JournalDatabase database("", true, on(disk));
         ASSERT_EQ(database.verify(), std::vector<std::string>{});
         const Histories found = histories_in(database);
         ASSERT_TRUE(found == outcome.acknowledged || found == outcome.in_flight)
             << found.size() << " requests are there, " << outcome.acknowledged.size() << " were acknowledged";
-        // A later start concludes once, and a second one changes nothing.
+        // A later start concludes the open requests once; doing it again changes nothing.
         const auto next = database.register_boot({kLinkVersion, 100, "n0", 2});
         while (!database.conclude_earlier_boots(next, 5, 4)) {
         }
@@ -219,7 +220,7 @@
         EXPECT_EQ(error.fault, store::Fault::Full) << error.what();
     }
     EXPECT_EQ(database.stats().requests,
-              committed_batches * 50);  // the batch that failed is not there in part
+              committed_batches * 50);  // no part of the failed batch is stored
     EXPECT_GT(committed_batches, 0u);
 }
 
@@ -244,7 +245,7 @@
     const std::size_t second = archives.move_settled(database, std::numeric_limits<std::int64_t>::max(), 1);
     EXPECT_EQ(first + second, 270u);
     EXPECT_EQ(archives.move_settled(database, std::numeric_limits<std::int64_t>::max(), 1), 0u);
-    EXPECT_EQ(database.stats().requests, 30u);  // what possibly ran is never moved
+    EXPECT_EQ(database.stats().requests, 30u);  // requests that possibly ran are never moved
     EXPECT_EQ(database.stats().attempts, 30u);
     EXPECT_EQ(archives.totals().archives, 2u);
     EXPECT_EQ(archives.verify(), std::vector<std::string>{});
@@ -262,8 +263,8 @@
     EXPECT_EQ(count("k1", true), 90);
     const auto read_before = archives.archives_read();
     EXPECT_EQ(count("a name that is in none", false), 0);
-    EXPECT_EQ(archives.archives_read(), read_before);  // the filters knew
-    // Bit rot in the first: its requests are passed over, the second's are found.
+    EXPECT_EQ(archives.archives_read(), read_before);  // the filters ruled the archives out
+    // Corrupts the first archive: its requests are skipped, those of the second are found.
     std::string corrupted;
     for (const auto& file : std::filesystem::directory_iterator(directory)) {
         const std::string name = file.path().filename();
@@ -294,8 +295,8 @@
     request(4, Ending::Timeout, FinalAnswer::Failed);   // possibly ran: it did not
     request(5, Ending::Served, FinalAnswer::Served);    // ran, and is not recorded
     request(6, Ending::NotSent, FinalAnswer::Refused);  // never ran, and is recorded
-    request(7, Ending::Served, FinalAnswer::Served);    // twice
-    request(8, Ending::Open, FinalAnswer::None);        // under way
+    request(7, Ending::Served, FinalAnswer::Served);    // recorded twice
+    request(8, Ending::Open, FinalAnswer::None);        // still open
     std::istringstream file(
         "uid,id\r\ns-1,r1\r\ns-1,\"r3\"\r\ns-1,r6\r\ns-1,r7\ns-2,r7\r\n\"a,\"\"b\",stranger\r\n");
     std::map<std::string, std::string> findings;
--- a/tests/ledger/ledger_process_test.cpp
+++ b/tests/ledger/ledger_process_test.cpp
@@ -1,4 +1,4 @@
-// The journal of a running sidecar: a process of its own, its writer, and what is asked of the file
+// The journal of a running sidecar process with its writer process, and the commands that query it
 // afterwards.
 #include <gtest/gtest.h>
 #include <sys/resource.h>
@@ -28,7 +28,7 @@
 
 using namespace martenford::standins;
 
-/// A directory of the test's own, gone with it.
+/// A temporary directory that is deleted with this object.
 class Directory {
   public:
     Directory() {
@@ -64,7 +64,7 @@
     return "[ledger]\ndirectory = \"" + directory.path() + "\"\n" + more;
 }
 
-/// The writer's process id, which holds the lock of the directory.
+/// The process id of the writer, found by the directory's lock file that it holds open.
 pid_t writer_of(const Directory& directory) {
     const std::string lock = std::filesystem::canonical(directory.path()) / "owner.lock";
     for (const auto& process : std::filesystem::directory_iterator("/proc")) {
@@ -90,7 +90,8 @@
     std::string find(const std::string& id) {
         return run_ledger("find " + id + " --directory " + directory.path()).text;
     }
-    /// Asked until it says so: records reach the file a moment after the client has its answer.
+    /// Polls until the output contains the text: records reach the database shortly after the client has its
+    /// answer.
     std::string wait_until_found(const std::string& id, const std::string& text) {
         std::string output;
         for (int i = 0; i < 400; ++i) {
@@ -109,14 +110,14 @@
     client.send(debit("r1"));
     Peer at_endpoint = endpoint.accept();
     EXPECT_TRUE(has(at_endpoint.receive(), "X-Request-ID: r1"));
-    // The intent stands in the file before the first byte goes out, so that it is there now.
+    // The intent is stored before the first byte is sent, so it must be found now.
     EXPECT_TRUE(has(find("r1"), "attempt 0 to s-1 at " + endpoint.address())) << find("r1");
     EXPECT_TRUE(has(find("r1"), "possibly ran")) << find("r1");
     at_endpoint.send(answer(200, "done"));
     EXPECT_EQ(body_of(client.receive()), "done");
     const std::string output = wait_until_found("r1", "answer: served");
     EXPECT_TRUE(has(output, "\n  ran: attempt 0 ended: served")) << output;
-    // A class that is safe to repeat is not in it.
+    // Requests of a class that is safe to repeat are not journaled.
     client.send(look("r2"));
     at_endpoint.receive();
     at_endpoint.send(answer(200, "look"));
@@ -131,7 +132,7 @@
     client.send(debit("r1"));
     Peer at_endpoint = endpoint.accept();
     at_endpoint.receive();
-    killed.reset();  // while the endpoint's connection and the client's are open
+    killed.reset();  // while the connections to the endpoint and to the client are open
     Sidecar next(platform, own_config(directory));
     next.port();
     EXPECT_FALSE(has(find("r1"), "never ran")) << find("r1");
@@ -155,7 +156,7 @@
     kill(writer, SIGKILL);
     at_endpoint.send(answer(200, "1"));
     EXPECT_EQ(body_of(client.receive()), "1");
-    wait_until_found("r1", "answer: served");  // by the next writer
+    wait_until_found("r1", "answer: served");  // stored by the next writer
     EXPECT_NE(writer_of(directory), writer);
     client.send(debit("r2"));
     at_endpoint.receive();
@@ -208,7 +209,7 @@
     client.send(debit("r2"));
     EXPECT_EQ(status_of(client.receive()), 503);
     EXPECT_TRUE(at_endpoint.silent());
-    sidecar.await_log("the journal's writer is lost");  // killed, and another started
+    sidecar.await_log("the journal's writer is lost");  // it is killed and another one is started
     for (int status = 503, i = 3; status != 200; ++i) {
         ASSERT_LT(i, 2000) << "it never came back";
         client.send(debit("r" + std::to_string(i)));
@@ -218,7 +219,7 @@
         }
         status = status_of(client.receive());
     }
-    // Its intent may have reached the writer that hung; it is not said to have run.
+    // Its intent may have reached the writer that hung, but it must not be reported as having run.
     EXPECT_FALSE(has(find("r2"), "\n  ran:")) << find("r2");
     wait_until_found("r2", "never ran");
 }
@@ -279,7 +280,7 @@
     const Peer next_watch = answer_watch();
     EXPECT_EQ(successor.port(), port);
     predecessor->terminate();
-    // The heir's own requests are kept while the elder's are under way.
+    // The successor's own requests are journaled while the predecessor's are in flight.
     Peer client = Peer::to(port);
     client.send(debit("r3"));
     Peer at_third = endpoint.accept();
@@ -291,7 +292,7 @@
     EXPECT_EQ(body_of(slow.receive()), "1");
     wait_until_found("r1", "answer: served");
     EXPECT_TRUE(has(find("r2"), "(under way)")) << find("r2");
-    predecessor.reset();  // killed before r2 has ended: its heir concludes what that was
+    predecessor.reset();  // killed before r2 has ended: the successor concludes r2
     std::string open;
     for (int i = 0; i < 400 && !has(open, "r2  debit"); ++i) {
         open = run_ledger("open --directory " + directory.path()).text;
@@ -314,7 +315,7 @@
         return peer;
     }();
     int served = 0;
-    const std::string padding(100, 'p');  // of an id: an entry takes more room
+    const std::string padding(100, 'p');  // long ids, so that entries take more room
     for (int status = 200; status == 200; ++served) {
         ASSERT_LT(served, 20'000) << "1 MB was never full";
         client.send(debit(padding + std::to_string(served)));
@@ -343,7 +344,8 @@
 
 // ---- killed at random points ------------------------------------------------------------------------
 
-/// The ledger tier: notes each debit whose last byte has come, then answers in one of several ways.
+/// A stand-in for the ledger tier: records every debit that arrived completely, then answers in one of
+/// several ways.
 class LedgerTier {
   public:
     explicit LedgerTier(unsigned seed) : random_(seed), thread_([this] { run(); }) {}
@@ -394,7 +396,7 @@
             const std::lock_guard lock(mutex_);
             ++effects_[id];
         }
-        if (outcome == 1) return false;  // it ran, and its answer is lost
+        if (outcome == 1) return false;  // it ran, but its answer is lost
         if (outcome == 2) reply = answer(500);
         send(connection.fd.get(), reply.data(), reply.size(), MSG_NOSIGNAL);
         return true;
@@ -408,8 +410,8 @@
     std::thread thread_;
 };
 
-/// Sends requests one after the other until its sidecar is gone or the test says so; gives what it was told
-/// of each.
+/// Sends requests one after the other until the sidecar is gone or the test stops it. Returns the status of
+/// each.
 std::map<std::string, int> send_requests(int port, const std::string& prefix, bool safe,
                                          const std::atomic<bool>* stop) {
     std::map<std::string, int> statuses;
@@ -451,7 +453,7 @@
 }
 
 TEST(LedgerKills, WhatRanIsNeverShownAsUnsentAndNoAnswerIsRecordedThatWasNotSent) {
-    const char* configured = std::getenv("MARTENFORD_KILLS");  // tests/long/ledger_kills.sh plays more
+    const char* configured = std::getenv("MARTENFORD_KILLS");  // tests/long/ledger_kills.sh runs more
     const int kills = configured ? std::atoi(configured) : 20;
     constexpr int kClients = 8;
     LedgerTier tier(1);
@@ -473,7 +475,8 @@
             });
         }
         std::this_thread::sleep_for(std::chrono::milliseconds(40 + random() % 100));
-        const auto victim = random() % 3;  // the sidecar, its writer some time before it, both at once
+        const auto victim =
+            random() % 3;  // 0: the sidecar; 1: its writer, some time before it; 2: both at once
         const pid_t writer = victim > 0 ? writer_of(directory) : 0;
         if (victim == 2) sidecar->stop();
         if (writer > 0) kill(writer, SIGKILL);
@@ -482,7 +485,7 @@
         for (std::thread& client : clients) client.join();
         for (const auto& all : each) statuses.insert(all.begin(), all.end());
     }
-    // One more start concludes what is open.
+    // One more start concludes the open requests.
     Sidecar last(config(discovery.address(), target("s-1", tier.address())), own_config(directory));
     last.port();
     for (int i = 0;
@@ -533,7 +536,7 @@
 // ---- a disk that fails ------------------------------------------------------------------------------
 
 TEST_F(Ledger, ADiskThatFailsForAWhileRefusesUnsafeRequestsAloneAndItGoesOnByItself) {
-    const char* configured = std::getenv("MARTENFORD_OUTAGE_MS");  // tests/long/ledger_kills.sh plays 10 s
+    const char* configured = std::getenv("MARTENFORD_OUTAGE_MS");  // tests/long/ledger_kills.sh uses 10 s
     const std::chrono::milliseconds outage(configured ? std::atoi(configured) : 600);
     LedgerTier tier(2);
     Sidecar sidecar(config(discovery.address(), target("s-1", tier.address())), own_config(directory));
@@ -550,13 +553,13 @@
     await([&] { return ran() > 50; });
     const pid_t writer = writer_of(directory);
     ASSERT_GT(writer, 0);
-    // Each of its writes fails, at any place of a file but the first byte.
+    // Every write of the writer fails, except for the first byte of a file.
     const rlimit none{1, RLIM_INFINITY}, all{RLIM_INFINITY, RLIM_INFINITY};
     ASSERT_EQ(prlimit(writer, RLIMIT_FSIZE, &none, nullptr), 0);
     sidecar.await_log("the journal keeps nothing now");
     const std::size_t before = ran();
     std::this_thread::sleep_for(outage);
-    EXPECT_EQ(ran(), before);  // nothing unsafe goes out
+    EXPECT_EQ(ran(), before);  // no non-idempotent request is sent
     const auto back = std::chrono::steady_clock::now();
     ASSERT_EQ(prlimit(writer, RLIMIT_FSIZE, &all, nullptr), 0);
     await([&] { return ran() > before; });
@@ -572,7 +575,7 @@
                 static_cast<long>(std::chrono::duration_cast<std::chrono::milliseconds>(took).count()));
     EXPECT_GT(by_status[503], 10);
     for (const auto& [id, status] : looks) EXPECT_EQ(status, 200) << id;
-    EXPECT_EQ(writer_of(directory), writer);  // it got over it without a new one
+    EXPECT_EQ(writer_of(directory), writer);  // it recovered without being restarted
     await([&] { return has(run_ledger("stats --directory " + directory.path()).text, "under way 0\n"); });
     const auto journaled = journaled_in(directory);
     for (const auto& [id, times] : tier.effects()) {
--- a/tests/ledger/request_history_test.cpp
+++ b/tests/ledger/request_history_test.cpp
@@ -1,4 +1,5 @@
-// The pure half of the journal: lives, frames, batches and the outbox, each against a plain model.
+// The parts of the journal without I/O: request histories, frames, batches and pending records, some against
+// a simple model.
 #include "ledger/request_history.h"
 
 #include <gtest/gtest.h>
@@ -55,7 +56,7 @@
     return history;
 }
 
-// ---- lives ------------------------------------------------------------------------------------------
+// ---- request histories ------------------------------------------------------------------------------
 
 RC_GTEST_PROP(RequestHistory, IsTheSameInAnyOrderAndHoweverOftenItIsTold, ()) {
     const auto records = *rc::gen::container<std::vector<Record>>(any_record());
@@ -67,10 +68,10 @@
     RC_ASSERT(history_of(shuffled) == history_of(records));
 }
 
-/// A sidecar's own story of one request, in order, as the recorder tells it; and what truly happened.
+/// One request's records in the order in which the recorder writes them, and what really happened.
 struct SimulatedRequest {
     std::vector<Record> records;
-    std::vector<bool> may_have_run;  // truly, by the time that the first i records were durable and no more
+    std::vector<bool> may_have_run;  // whether it may have run when only the first i + 1 records are durable
 };
 
 SimulatedRequest simulate(std::mt19937_64& random) {
@@ -86,12 +87,12 @@
         const auto ending = static_cast<Ending>(1 + random() % (kEndingCount - 1));
         const bool out = effect_of(ending) != Effect::NeverRan;
         simulated.may_have_run.resize(simulated.records.size(), ran);
-        ran |= out;  // from here on bytes may be out, whatever is told of it
+        ran |= out;  // from here on bytes may have been sent, whatever is recorded
         simulated.may_have_run.back() = ran;
         if (out && random() % 2) append(Written{n});
         append(Ended{n, ending});
         simulated.may_have_run.resize(simulated.records.size(), ran);
-        if (out) break;  // an unsafe call goes again only after proof that it never ran
+        if (out) break;  // a non-idempotent request is sent again only after proof that it never ran
     }
     append(Answered{ran ? FinalAnswer::Failed : FinalAnswer::Refused});
     simulated.may_have_run.resize(simulated.records.size(), ran);
@@ -135,7 +136,7 @@
         {{first, Ended{0, Ending::Served}, Answered{FinalAnswer::Served}},
          Effect::Ran,
          "attempt 0 ended: served"},
-        // Two that contradict each other: the worse stays.
+        // Of two contradicting endings the worse one wins.
         {{first, Ended{0, Ending::NotSent}, Ended{0, Ending::Reset}},
          Effect::MayHaveRun,
          "attempt 0 ended: reset"},
@@ -155,7 +156,7 @@
 TEST(RequestHistory, TakesTheTimeFromTheClockThatNeverSteps) {
     Record early = record_of(1, 5000, Intent{0, "r", "debit", "", "", "s", "a"});
     Record late =
-        record_of(2, 1000, Intent{1, "r", "debit", "", "", "s", "a"});  // the wall clock stepped back
+        record_of(2, 1000, Intent{1, "r", "debit", "", "", "s", "a"});  // the wall clock was set back
     late.mono_ns = early.mono_ns + 1;
     EXPECT_EQ(history_of({early, late}).taken_ms(), 5000);
     EXPECT_EQ(history_of({late, early}).taken_ms(), 5000);
@@ -189,7 +190,7 @@
         FrameReader reader;
         reader.feed(bytes);
         try {
-            EXPECT_FALSE(reader.next()) << bit;  // a longer length: more is waited for
+            EXPECT_FALSE(reader.next()) << bit;  // a larger length: the reader waits for more bytes
         } catch (const FrameError&) {
             ++caught;
         }
@@ -228,11 +229,11 @@
         commit.reset();
         EXPECT_FALSE(commit.due(start + 1h));
         commit.add(1, false, start + 1s);
-        EXPECT_EQ(*commit.next_due(), start + 1s + 5ms);  // what was urgent before is over
+        EXPECT_EQ(*commit.next_due(), start + 1s + 5ms);  // the urgent flag was reset
     }
 }
 
-// ---- the outbox -------------------------------------------------------------------------------------
+// ---- pending records --------------------------------------------------------------------------------
 
 TEST(PendingRecords, DecidesByLevelPolicyAndTheWritersHealth) {
     using Decision = PendingRecords::SendDecision;
@@ -257,7 +258,8 @@
     expect("up again", Decision::Hold, Decision::Send, Decision::Hold);
     pending.writer_lost("killed", t + options.stable_after);
     expect("lost after a steady run", Decision::Hold, Decision::Send, Decision::Hold);
-    EXPECT_EQ(*pending.restart_at(), t + options.stable_after);  // it had run for long: at once
+    EXPECT_EQ(*pending.restart_at(),
+              t + options.stable_after);  // restarted at once, because it had been stable
     pending.writer_started(t + options.stable_after);
     expect("started again", Decision::Hold, Decision::Send, Decision::Hold);
     pending.writer_lost("dies young", t + options.stable_after);
@@ -287,8 +289,8 @@
     EXPECT_EQ(*pending.restart_at(), t + options.stable_after);
 }
 
-/// Against a plain model: every record that was taken is acknowledged once by some writer in order, or still
-/// waits; nothing is handed to a writer before what stands ahead of it, and bounds hold.
+/// Against a simple model: every queued record is acknowledged once, in order, or still waits; no record is
+/// handed to a writer before the ones ahead of it, and the limits hold.
 TEST(PendingRecords, LosesNothingOverAnyOrderOfEvents) {
     std::mt19937_64 random(7);
     PendingRecords::Options options;
--- a/tests/standins/faulty_disk.h
+++ b/tests/standins/faulty_disk.h
@@ -1,5 +1,5 @@
-// A disk in memory behind SQLite's own interface (sqlite3_vfs), which fails at a chosen operation and forgets
-// what was not synced when the power goes: lost, torn at sectors, and in no order.
+// An in-memory disk behind SQLite's VFS interface (sqlite3_vfs). It fails at a chosen operation, and on a
+// power failure loses data that was not synced: whole writes or single sectors, in any order.
 #pragma once
 
 #include <sqlite3.h>
@@ -17,10 +17,11 @@
 class FaultyDisk {
   public:
     enum class Fault {
-        Power,  ///< from here on nothing is written, synced or read; power_on() decides what is left
-        Sync,   ///< this sync fails, and the kernel takes what it should have written for written
-        Full,   ///< this write finds no room, once
-        Torn,   ///< this write puts half of its bytes and fails
+        Power,  ///< power failure: from here on nothing is written, synced or read; power_on() decides what
+                ///< is left
+        Sync,   ///< this sync fails, but the kernel marks the data as written
+        Full,   ///< this write fails for lack of space, once
+        Torn,   ///< this write stores half of its bytes and fails
     };
 
     explicit FaultyDisk(std::string name) : name_(std::move(name)) {
@@ -75,7 +76,7 @@
     ~FaultyDisk() { sqlite3_vfs_unregister(&vfs_); }
 
     const std::string& name() const { return name_; }
-    /// The `at`th write, truncation or sync from now on (from 0) meets this.
+    /// The `at`th write, truncation or sync from now on (from 0) fails in this way.
     void fail_at(std::uint64_t at, Fault fault) {
         remaining_ = at;
         fault_ = fault;
@@ -85,7 +86,7 @@
     bool powered_off() const { return powered_off_; }
     bool fault_hit() const { return !armed_; }
     void power_off() { powered_off_ = true; }
-    /// What was synced is there; of the rest each sector is, or is not, by this seed.
+    /// Synced data survives. Of the rest each sector survives or not, as drawn from this seed.
     void power_on(std::uint64_t seed) {
         std::mt19937_64 random(seed);
         for (auto& [name, file] : files_) {
@@ -112,7 +113,7 @@
         std::string bytes;
     };
     struct File {
-        std::string cached, durable;  // as the kernel shows it; as the disk has it
+        std::string cached, durable;  // as the kernel shows it; as it is on the disk
         std::vector<Write> pending;
         bool truncated = false;
     };
@@ -129,7 +130,7 @@
         if (to.size() < offset + bytes.size()) to.resize(offset + bytes.size());
         to.replace(offset, bytes.size(), bytes);
     }
-    /// Whether this operation meets the fault.
+    /// Whether this operation has to fail.
     bool hits_fault() {
         ++operations_;
         if (!armed_ || remaining_-- > 0) return false;
@@ -187,10 +188,10 @@
                 File& it = file_of(file);
                 if (disk.hits_fault() && disk.fault_ != Fault::Full) {
                     if (disk.fault_ == Fault::Sync)
-                        it.pending.clear();  // clean for the kernel, and not on the disk
+                        it.pending.clear();  // clean in the kernel's view, but not on the disk
                     return SQLITE_IOERR_FSYNC;
                 }
-                // What a failed sync left behind stays behind: only what was written since goes to the disk.
+                // Data lost by a failed sync stays lost: only what was written since reaches the disk.
                 for (const Write& write : it.pending) put(it.durable, write.offset, write.bytes);
                 if (it.truncated) it.durable.resize(std::min(it.durable.size(), it.cached.size()));
                 it.pending.clear();
