--- a/src/command/console_client.cpp
+++ b/src/command/console_client.cpp
@@ -15,7 +15,7 @@
 
 namespace {
 
-constexpr timeval kReplyTimeout{3, 0};           // a console answers within 1 s
+constexpr timeval kReplyTimeout{3, 0};           // longer than the 1 s within which a console answers
 constexpr std::size_t kMaxReplyBytes = 4 << 20;  // 10,000 members of 200 bytes, twice
 
 }  // namespace
@@ -24,7 +24,7 @@
     std::string where = given;
     if (const char* value = std::getenv("PROXY_CONSOLE"); where.empty() && value) where = value;
     const auto address = parse_address(where);
-    if (!address) log(command + ": '" + where + "' is no address; --console or PROXY_CONSOLE gives one");
+    if (!address) log(command + ": '" + where + "' is not an address; set --console or PROXY_CONSOLE");
     return address;
 }
 
@@ -45,14 +45,14 @@
     while (!error && reply.size() < kMaxReplyBytes) {
         reply.append(chunk, socket.read_some(asio::buffer(chunk), error));
     }
-    // All of it ends with a line END; what is refused is one line.
+    // A complete reply ends with the line END; a refusal is a single line.
     if (reply.starts_with("NO")) {
-        log(command + ": the sidecar says: " + reply.substr(0, reply.find('\n')) + " (" + hint + ")");
+        log(command + ": the sidecar replied: " + reply.substr(0, reply.find('\n')) + " (" + hint + ")");
         return std::nullopt;
     }
     const auto end = reply.rfind("END\n");
     if (end == reply.npos || end + 4 != reply.size()) {
-        log(command + ": " + text_of(where) + ": the answer broke off");
+        log(command + ": " + text_of(where) + ": the reply is incomplete");
         return std::nullopt;
     }
     return reply.substr(0, end);
--- a/src/command/console_client.h
+++ b/src/command/console_client.h
@@ -1,4 +1,4 @@
-// One call of a running sidecar where operators call, for the sub-commands that ask it.
+// Sends one command to the console of a running sidecar, for the subcommands that query it.
 #pragma once
 
 #include <optional>
@@ -8,12 +8,12 @@
 
 namespace martenford {
 
-/// The address that `given`, else PROXY_CONSOLE, names; nothing, and a line on standard error, where it is
-/// none.
+/// Parses `given`, or else PROXY_CONSOLE, as an address. If it is not valid, returns nothing and prints a
+/// line on standard error.
 std::optional<Address> console_address(const std::string& command, const std::string& given);
 
-/// What it says, without the line END. Nothing where it said no, or did not answer whole within 3 s: a line
-/// on standard error tells which. `hint` follows a no.
+/// Returns the reply without the line END. Returns nothing and prints a line on standard error if the sidecar
+/// refused or did not reply completely within 3 s. `hint` is appended to the text of a refusal.
 std::optional<std::string> call_console(const std::string& command, const Address& where,
                                         const std::string& call, const std::string& hint);
 
--- a/src/command/fleet.h
+++ b/src/command/fleet.h
@@ -1,4 +1,4 @@
-// martenford fleet: asks a running sidecar, where operators call, about the others.
+// martenford fleet: asks the console of a running sidecar about the other members of its fleet.
 #pragma once
 
 #include <string>
@@ -7,12 +7,12 @@
 
 struct FleetOptions {
     std::string what;     ///< members, links or watch
-    std::string console;  ///< its address; otherwise PROXY_CONSOLE
+    std::string console;  ///< console address; default: PROXY_CONSOLE
     bool json = false;
 };
 
-/// Prints what the sidecar says. Gives the exit code: 0, 1 where it said no or nothing, 2 where the words are
-/// off.
+/// Prints the reply. Returns the exit code: 0; 1 if the sidecar refused or did not reply; 2 for invalid
+/// arguments.
 int run_fleet(const FleetOptions& options);
 
 }  // namespace martenford
--- a/src/command/ledger.cpp
+++ b/src/command/ledger.cpp
@@ -1,5 +1,5 @@
-// martenford-ledger: the journal's writer, and what people ask of the journal. `martenford ledger ...` starts
-// it.
+// martenford-ledger: the journal's writer process and the commands that query the journal. `martenford ledger
+// ...` runs it.
 #include <fmt/format.h>
 #include <google/protobuf/util/json_util.h>
 #include <zstd.h>
@@ -26,10 +26,10 @@
 namespace {
 
 constexpr int kExitOk = 0, kExitFailure = 1, kExitUsage = 2,
-              kExitFindings = 4;  // exit codes; kExitFindings: verify or reconcile found something
+              kExitFindings = 4;  // exit codes; kExitFindings: verify or reconcile found problems
 constexpr std::int64_t kEndOfTime = std::numeric_limits<std::int64_t>::max();
 
-/// RFC 3339 in UTC, to the millisecond.
+/// RFC 3339 in UTC with milliseconds.
 std::string format_time(std::int64_t ms) {
     if (ms == 0) return "-";
     const std::time_t seconds = ms / 1000;
@@ -40,7 +40,7 @@
     return fmt::format("{}.{:03}Z", text, ms % 1000);
 }
 
-/// "2026-12-01T10:00:00Z", "2026-12-01", Unix seconds, or "-5m" and the like before now.
+/// Accepts "2026-12-01T10:00:00Z", "2026-12-01", Unix seconds, or a time before now such as "-5m".
 std::int64_t parse_time(const std::string& text) {
     std::tm parts{};
     for (const char* form : {"%Y-%m-%dT%H:%M:%SZ", "%Y-%m-%d"}) {
@@ -62,10 +62,10 @@
     } catch (const std::exception&) {
     }
     throw CLI::ValidationError(
-        text, "is no time: 2026-12-01T10:00:00Z, 2026-12-01, Unix seconds, or -5m, -2h, -3d");
+        text, "is not a time: use 2026-12-01T10:00:00Z, 2026-12-01, Unix seconds, or -5m, -2h, -3d");
 }
 
-/// Where stories go: to read, or for another program.
+/// Prints requests, for people or for another program.
 class Output {
   public:
     virtual ~Output() = default;
@@ -97,7 +97,7 @@
         google::protobuf::util::JsonPrintOptions options;
         options.preserve_proto_field_names = true;
         if (!google::protobuf::util::MessageToJsonString(story, &text, options).ok())
-            throw std::runtime_error(story.id() + ": can't be shown as JSON");
+            throw std::runtime_error(story.id() + ": cannot be printed as JSON");
         line(text + "\n");
     }
 
@@ -130,7 +130,7 @@
     std::string buffer_;
 };
 
-/// RFC 4180, a line an attempt.
+/// RFC 4180, one line per attempt.
 class CsvOutput : public Output {
   public:
     CsvOutput() {
@@ -170,8 +170,8 @@
     return std::make_unique<TextOutput>();
 }
 
-/// What the file and the archives have, each request once: one that a crash left in both is shown from the
-/// file.
+/// Prints each request of the database and the archives once. A request that a crash left in both is printed
+/// from whichever is read first.
 class UniqueOutput {
   public:
     explicit UniqueOutput(Output& output) : output_(output) {}
@@ -198,7 +198,7 @@
     for (const std::string& error : archives.errors()) fmt::print(stderr, "{}\n", error);
 }
 
-/// What was looked for and not found may have gone out all the same while the journal kept nothing.
+/// A request that was not found may still have been sent while the journal could not record it.
 void print_gaps(JournalDatabase& database, std::int64_t from_ms, std::int64_t to_ms) {
     for (const auto& gap : database.gaps(from_ms, to_ms)) {
         fmt::print(stderr, "gap: {} requests went out unjournaled from {} to {}: {}\n", gap.requests,
@@ -223,7 +223,7 @@
     output->end();
     print_errors(archives);
     if (unique_output.count() == 0) {
-        fmt::print(stderr, "nothing is known of it\n");
+        fmt::print(stderr, "no such request is recorded\n");
         print_gaps(database, query.from_ms(), query.to_ms());
     }
     return unique_output.count() > 0 ? kExitOk : kExitFailure;
@@ -266,7 +266,7 @@
 
 int reconcile_file(const Query& query) {
     std::ifstream file(query.file);
-    if (!file) throw std::runtime_error(query.file + ": can't be read");
+    if (!file) throw std::runtime_error(query.file + ": cannot be read");
     JournalDatabase database(query.directory, false);
     const auto r =
         reconcile(database, file, query.from_ms(), query.to_ms(),
@@ -310,7 +310,7 @@
 }
 
 int run(int argc, char** argv) {
-    CLI::App app{"The journal of requests that must not run twice: what was sent where, and what came back."};
+    CLI::App app{"Queries the journal of non-idempotent requests: where they were sent and how they ended."};
     app.name("martenford ledger");
     app.require_subcommand(1);
     Query query;
@@ -321,18 +321,20 @@
 
     const auto command = [&](const char* name, const char* help) {
         auto* sub = app.add_subcommand(name, help);
-        sub->add_option("--directory", query.directory, "of the journal")->required()->type_name("DIR");
+        sub->add_option("--directory", query.directory, "directory of the journal")
+            ->required()
+            ->type_name("DIR");
         return sub;
     };
     const auto add_time_options = [&](CLI::App* sub) {
-        sub->add_option("--from", query.from, "taken at or after this")->type_name("TIME");
-        sub->add_option("--to", query.to, "and before this")->type_name("TIME");
+        sub->add_option("--from", query.from, "only requests taken at or after this time")->type_name("TIME");
+        sub->add_option("--to", query.to, "only requests taken before this time")->type_name("TIME");
     };
     const auto add_form_option = [&](CLI::App* sub, std::set<std::string> forms) {
-        sub->add_option("--form", query.form, "of the output")->check(CLI::IsMember(std::move(forms)));
+        sub->add_option("--form", query.form, "output format")->check(CLI::IsMember(std::move(forms)));
     };
-    auto* find_command = command("find", "a request by id or key, or all of a time");
-    find_command->add_option("name", query.name, "the request's id");
+    auto* find_command = command("find", "find requests by id, by idempotency key or by time");
+    find_command->add_option("name", query.name, "id of the request");
     find_command->add_flag("--key", query.key, "the name is an idempotency key");
     add_time_options(find_command);
     add_form_option(find_command, {"text", "json"});
@@ -340,39 +342,42 @@
         if (query.name.empty() && query.from.empty()) throw CLI::RequiredError("a name or --from");
         result = find(query);
     });
-    auto* open_command = command("open", "what possibly ran, and nobody knows");
-    open_command->add_flag("--under-way", query.under_way, "also what a running sidecar has open now");
+    auto* open_command = command("open", "list requests that possibly ran, with no answer to confirm it");
+    open_command->add_flag("--under-way", query.under_way,
+                           "also requests that a running sidecar has open now");
     add_form_option(open_command, {"text", "json", "csv"});
     open_command->callback([&] { result = show_unresolved(query); });
-    command("verify", "what is wrong with the file and the archives")->callback([&] {
-        result = verify(query);
-    });
-    auto* export_command = command("export", "all of it, or of a time");
+    command("verify", "check the database and the archives")->callback([&] { result = verify(query); });
+    auto* export_command = command("export", "export all requests, or those of a time range");
     add_time_options(export_command);
     add_form_option(export_command, {"csv", "jsonl", "jsonl.zst"});
     export_command->callback([&] {
         if (query.form == "text") query.form = "jsonl";
         result = export_requests(query);
     });
-    auto* reconcile_command = command("reconcile", "held against the ledger tier's own record");
-    reconcile_command->add_option("file", query.file, "CSV with a column 'id', a line an effect")->required();
+    auto* reconcile_command = command("reconcile", "compare the journal with the ledger tier's own record");
+    reconcile_command->add_option("file", query.file, "CSV with a column 'id' and one line per effect")
+        ->required();
     add_time_options(reconcile_command);
     reconcile_command->callback([&] { result = reconcile_file(query); });
-    auto* prune_command =
-        command("prune", "moves old settled requests to archives, and removes old archives");
-    prune_command->add_option("--keep-days", keep_days, "in the file")->check(CLI::Range(0, 36'500));
-    prune_command->add_option("--keep-archive-days", keep_archive_days, "archives")
+    auto* prune_command = command("prune", "move old settled requests to archives and delete old archives");
+    prune_command->add_option("--keep-days", keep_days, "age in days at which settled requests are archived")
+        ->check(CLI::Range(0, 36'500));
+    prune_command
+        ->add_option("--keep-archive-days", keep_archive_days, "age in days at which archives are deleted")
         ->check(CLI::Range(0, 36'500));
     prune_command->callback([&] { result = prune(query, keep_days, keep_archive_days); });
-    command("stats", "how much it holds, and which starts")->callback([&] { result = stats(query); });
+    command("stats", "print the journal's size and the starts that it recorded")->callback([&] {
+        result = stats(query);
+    });
     replica::ShelfOptions shelf;
-    auto* shelf_command = command("shelf", "started by the sidecar itself, for the shared state");
+    auto* shelf_command = command("shelf", "used by the sidecar to store the shared state");
     shelf_command->group("");
     shelf_command->callback([&] {
         shelf.directory = query.directory;
         result = replica::run_shelf(shelf);
     });
-    auto* writer_command = command("writer", "started by the sidecar itself");
+    auto* writer_command = command("writer", "used by the sidecar to write the journal");
     writer_command->group("");
     writer_command->add_option("--descriptor", writer.descriptor);
     writer_command->add_flag("--heir", writer.successor);
--- a/src/command/lines.h
+++ b/src/command/lines.h
@@ -1,4 +1,4 @@
-// What a sidecar says to operators: lines of name=value, printed for people or as JSON.
+// The replies of a sidecar's console: lines of name=value, printed as a table or as JSON.
 #pragma once
 
 #include <string>
@@ -9,14 +9,14 @@
 
 using LineFields = std::vector<std::pair<std::string, std::string>>;
 
-/// "name=n3 state=alive a b" as its fields, in order; what has no '=' is text.
-/// Values are unescaped, as core/words.h has it.
+/// Parses "name=n3 state=alive a b" into its fields, in order; words without '=' form a field named text.
+/// Values are unescaped as described in core/words.h.
 LineFields fields_of(const std::string& line);
-/// Of the first line that has it; empty: none has.
+/// The field's value in the first line that has it; empty if none has.
 std::string field_of(const std::string& reply, const std::string& name);
-/// A JSON object a line.
+/// One JSON object per line.
 void print_json(const std::string& reply);
-/// As a table, whose columns are those of the first line that has each.
+/// As a table. Columns appear in the order in which the lines first use them.
 void print_table(const std::string& reply);
 
 }  // namespace martenford
--- a/src/command/state.cpp
+++ b/src/command/state.cpp
@@ -34,7 +34,8 @@
     std::string value = options.value;
     std::uint64_t expires_ms = std::uint64_t{options.expires_s} * 1000;
     if (options.what == "settle" && value.empty()) {
-        // What has the word stays, for as long as it would have; what was beside it is written over.
+        // Settling without a value keeps the entry that currently wins, with its remaining lifetime, and
+        // overwrites its conflicting versions.
         const auto reply = call_state(where, "get " + escaped(options.table));
         if (!reply) return kExitFailure;
         std::istringstream lines(*reply);
@@ -47,7 +48,7 @@
                 expires_ms = std::stoull(fields["expires_s"]) * 1000;
         }
         if (value.empty()) {
-            log("state: nothing stands there: settle it with a value, or delete it");
+            log("state: there is no current entry: give a value to settle it with, or delete it");
             return kExitUsage;
         }
     }
@@ -89,7 +90,7 @@
 int diff(const StateOptions& options, const Address& where) {
     const auto other = parse_address(options.other);
     if (!other) {
-        log("state: '" + options.other + "' is no address");
+        log("state: '" + options.other + "' is not an address");
         return kExitUsage;
     }
     std::map<std::string, std::string> copies[2];
--- a/src/command/why.cpp
+++ b/src/command/why.cpp
@@ -24,7 +24,7 @@
     if (!address) return kExitUsage;
     const auto since = parse_duration(options.since);
     if (!since || *since < 1s)
-        return usage_error("'" + options.since + "' is no time of a second or more, such as 5m");
+        return usage_error("'" + options.since + "' is not a duration of at least one second, such as 5m");
     std::string call =
         "why " + std::to_string(std::chrono::duration_cast<std::chrono::seconds>(*since).count());
     if (!options.id.empty()) call = "story " + options.id;
--- a/src/command/why.h
+++ b/src/command/why.h
@@ -1,4 +1,5 @@
-// martenford why: asks a running sidecar, where operators call, for stories and causes.
+// martenford why: asks the console of a running sidecar for request traces and for the causes of bad
+// requests.
 #pragma once
 
 #include <string>
@@ -6,16 +7,16 @@
 namespace martenford {
 
 struct WhyOptions {
-    std::string console;  ///< its address; otherwise PROXY_CONSOLE
-    std::string id;       ///< of a request; empty: what explains the bad ones
+    std::string console;  ///< console address; default: PROXY_CONSOLE
+    std::string id;       ///< request id; empty: explain the bad requests
     std::string klass;
     std::string since = "5m";
     int slowest = 0;
     bool latencies = false;
 };
 
-/// Prints what the sidecar says. Gives the exit code: 0, 1 where it said no or nothing, 2 where the words are
-/// off.
+/// Prints the reply. Returns the exit code: 0; 1 if the sidecar refused or did not reply; 2 for invalid
+/// arguments.
 int run_why(const WhyOptions& options);
 
 }  // namespace martenford
--- a/src/console/console.cpp
+++ b/src/console/console.cpp
@@ -11,9 +11,9 @@
 
 namespace {
 
-constexpr std::size_t kMaxLineBytes = 256;  // bytes: calls have a dozen
-constexpr Duration kRequestTimeout = 2s;    // for the line to come whole
-constexpr Duration kReplyTimeout = 2s;      // for the reply to be read and the connection closed
+constexpr std::size_t kMaxLineBytes = 256;  // commands have a dozen bytes
+constexpr Duration kRequestTimeout = 2s;    // for a complete line to arrive
+constexpr Duration kReplyTimeout = 2s;      // for the client to read the reply and close the connection
 constexpr Duration kAcceptRetry = 20ms;     // after running out of descriptors
 constexpr int kBacklog = 128;
 
@@ -51,7 +51,7 @@
                                 });
     }
     void received(std::string_view chunk) {
-        if (replied_) return read();  // until the caller closes
+        if (replied_) return read();  // until the client closes
         const auto end = chunk.find('\n');
         line_.append(chunk.substr(0, end));
         if (line_.size() > kMaxLineBytes) return reply("NO call: the line is too long\n");
@@ -67,7 +67,8 @@
                           [self = shared_from_this()](const error_code& error, std::size_t) {
                               if (self->closed_) return;
                               if (error) return self->close();
-                              // The caller closes first: a reset for bytes unread would take the reply along.
+                              // The client closes first: closing with unread bytes sends a reset, which could
+                              // discard the reply.
                               error_code ignored;
                               self->socket_.shutdown(asio::socket_base::shutdown_send, ignored);
                               self->read();
@@ -106,7 +107,7 @@
     acceptor_.async_accept([this](const error_code& error, asio::ip::tcp::socket socket) {
         if (error == asio::error::operation_aborted) return;
         if (error) {
-            // Guards against spinning on a listener that stays ready while nothing can be accepted.
+            // Without the delay this would spin: the listener stays ready while nothing can be accepted.
             if (!connections_.empty()) connections_.front()->close();
             return accept_timer_.set(Loop::monotonic() + kAcceptRetry, [this] { accept(); });
         }
--- a/src/console/console.h
+++ b/src/console/console.h
@@ -1,4 +1,4 @@
-// The address where operators call: one line a connection, one reply, and the connection ends.
+// The operators' console: a connection carries one command line and one reply, then it ends.
 #pragma once
 
 #include <boost/asio/ip/tcp.hpp>
@@ -15,10 +15,10 @@
 
 class Console {
   public:
-    /// Connections held at most; whoever said least for longest makes room for the next.
+    /// Maximum number of connections; the oldest one is closed to make room for a new one.
     static constexpr std::size_t kMaxConnections = 16;
 
-    /// Listens at once. Throws boost::system::system_error where it can't.
+    /// Starts listening. Throws boost::system::system_error on failure.
     Console(Loop& loop, const Address& listen, ConsoleCommands commands, Counters& counters);
     ~Console();
     Address listens_at() const { return acceptor_.local_endpoint(); }
--- a/src/console/console_commands.h
+++ b/src/console/console_commands.h
@@ -1,4 +1,4 @@
-// What operators may call, as text to text. Pure: what a call does is handed in.
+// The commands of the operators' console, text in and text out. Free of I/O: the operations are passed in.
 #pragma once
 
 #include <functional>
@@ -11,17 +11,17 @@
 class ConsoleCommands {
   public:
     struct Operations {
-        std::function<bool()> ready;             ///< whether this process takes clients
-        std::function<std::string()> telemetry;  ///< the figures, in lines
-        std::function<bool()> evacuate;          ///< false where the process ends anyway
-        std::function<bool()> activate;          ///< the same
-        /// Calls of packages that are switched on: lines, or nothing where it is none of theirs.
+        std::function<bool()> ready;             ///< whether this process accepts clients
+        std::function<std::string()> telemetry;  ///< the metrics, as lines
+        std::function<bool()> evacuate;          ///< false if the process is stopping
+        std::function<bool()> activate;          ///< false if the process is stopping
+        /// Commands of optional features. Returns lines, or nothing for an unknown command.
         std::function<std::optional<std::string>(std::string_view line)> extra{};
     };
     explicit ConsoleCommands(Operations operations) : operations_(std::move(operations)) {}
 
-    /// The whole reply to a call, its last line ended; `line` has no line end of its own. What is no call is
-    /// answered NO and changes nothing.
+    /// Returns the complete reply to a command; its last line ends with a line feed, `line` must not. Unknown
+    /// commands are answered with NO and change nothing.
     std::string reply(std::string_view line) const;
 
   private:
--- a/src/console/statsd.h
+++ b/src/console/statsd.h
@@ -1,4 +1,4 @@
-// The figures that the platform asks for, in the form it reads. Pure.
+// Exports the metrics that the platform collects, in the format it reads.
 #pragma once
 
 #include <string>
@@ -7,8 +7,8 @@
 
 namespace martenford {
 
-/// One line a figure, each ended by a line feed: "sidecar.NAME[.LABEL]:VALUE|c" for what only grows, "|g" for
-/// what goes both ways (the line format of statsd). Figures that the platform does not name are left out.
+/// One line per metric, terminated by a line feed: "sidecar.NAME[.LABEL]:VALUE|c" for counters and "|g" for
+/// gauges (the line format of statsd). Metrics that the platform does not collect are left out.
 std::string statsd(const Counters& counters);
 
 }  // namespace martenford
--- a/src/helper/helper.cpp
+++ b/src/helper/helper.cpp
@@ -27,10 +27,11 @@
     posix_spawn_file_actions_t actions;
     posix_spawn_file_actions_init(&actions);
     posix_spawn_file_actions_adddup2(&actions, descriptor, kDescriptor);
-    // Guards against a helper that outlives its sidecar and holds its listener: connections would come up to
-    // nobody.
+    // A helper that outlives its sidecar must not hold the sidecar's listener open: connections would be
+    // accepted by nobody.
     posix_spawn_file_actions_addclosefrom_np(&actions, kDescriptor + 1);
-    // A group of its own: what ends the sidecar's group must not end it before it has kept what it was sent.
+    // A process group of its own: a signal to the sidecar's group must not end the helper before it has
+    // stored what it received.
     posix_spawnattr_t attributes;
     posix_spawnattr_init(&attributes);
     posix_spawnattr_setflags(&attributes, POSIX_SPAWN_SETPGROUP);
--- a/src/helper/helper.h
+++ b/src/helper/helper.h
@@ -1,4 +1,5 @@
-// Starting the helper that blocks where the sidecar must not: a process of its own, at one end of a socket.
+// Starts the helper process, which does the blocking work that the sidecar must not do, at one end of a
+// socket.
 #pragma once
 
 #include <sys/types.h>
@@ -8,11 +9,11 @@
 
 namespace martenford {
 
-/// Where martenford-ledger is unless the configuration says otherwise.
+/// The path of martenford-ledger unless the configuration names another: next to this program.
 std::string default_helper_path();
 
-/// Starts `words` with `descriptor` as its 3, and nothing else of this process's open. -1: it can't be
-/// started.
+/// Starts `arguments` with `descriptor` as its file descriptor 3 and no other descriptor of this process
+/// open. Returns -1 if it cannot be started.
 pid_t start_helper(std::vector<std::string> arguments, int descriptor);
 
 }  // namespace martenford
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -1,4 +1,4 @@
-// The sidecar: reads its configuration, serves until SIGTERM, answers what it has taken and exits.
+// The sidecar: reads its configuration, serves until SIGTERM, answers the requests it has accepted and exits.
 #include <unistd.h>
 
 #include <CLI/CLI.hpp>
@@ -42,13 +42,15 @@
 namespace {
 
 constexpr int kExitConfigError = 2;  // exit code
-// The standard streams, the loop's own, the listener, discovery, the console's.
+// The standard streams, the event loop, the listener, discovery and the console's connections.
 constexpr std::size_t kReservedSockets = 16 + Console::kMaxConnections;
-constexpr std::size_t kMinRequestSockets = 16;  // descriptors for clients and endpoints, or nothing is served
+constexpr std::size_t kMinRequestSockets =
+    16;  // file descriptors left for clients and endpoints; with fewer the program does not start
 constexpr Duration kFirstListTimeout =
-    4s;  // a process that takes over serves by the list it was given after this
+    4s;  // after this, a process that takes over serves with the endpoint list of its configuration
 
-/// Of a new configuration only discovery's address takes effect: the rest holds from the start on.
+/// Applies a new configuration. Only discovery's address can change while running; everything else keeps the
+/// value from the start.
 void reload(Discovery& discovery) {
     try {
         discovery.move(read_discovery_again());
@@ -57,24 +59,25 @@
     }
 }
 
-/// Our own file: named on the command line or by MARTENFORD_CONFIG; without one nothing is switched on.
+/// The program's own configuration file, named on the command line or by MARTENFORD_CONFIG. Without one no
+/// feature is enabled.
 Features own_features(const std::string& named) {
     std::string path = named;
     if (const char* value = std::getenv("MARTENFORD_CONFIG"); path.empty() && value) path = value;
     return path.empty() ? Features{} : load_features(path);
 }
 
-/// Reads it as a start would.
+/// Reads the configuration exactly as a start would.
 int check_config(const Features& features) {
     const Config config = read_config();
     Counters counters;
     make_policy(config.settings, config.seed, features, counters);
-    std::cout << "the configuration of " << config.name << " can be read: " << config.settings.classes.size()
+    std::cout << "the configuration of " << config.name << " is valid: " << config.settings.classes.size()
               << " classes, " << (config.known ? config.known->targets.size() : 0) << " known endpoints\n";
     return 0;
 }
 
-/// The journal's helper, in this process's place: the sidecar itself carries no database.
+/// Replaces this process with the journal's helper: the sidecar itself does not link the database.
 int run_ledger_command(const std::vector<std::string>& arguments) {
     std::string helper = default_helper_path();
     std::vector<std::string> argument_list{helper};
@@ -87,7 +90,7 @@
     return kExitConfigError;
 }
 
-/// All that serves, joined.
+/// Builds and connects everything that serves requests.
 class Program {
   public:
     Program(const Features& features, const Config& config)
@@ -135,7 +138,7 @@
                     discovery_.set_endpoint_override(uid, to);
                 });
             if (outliers_) {
-                // Not within the module's own turn: what follows from it is told to the module.
+                // Not from within the module's own call: the consequences are reported back to the module.
                 outliers_->on_ejected([this](EndpointId id, std::uint32_t failures) {
                     loop_.add(loop_.now(), [this, id, failures] {
                         if (const auto uid = discovery_.uid_of(id)) keeper_->ejected(*uid, failures);
@@ -181,7 +184,7 @@
     }
 
   private:
-    /// What [ledger] switches on.
+    /// The parts that the section [ledger] enables.
     struct Journal {
         Journal(const ledger::Options& options, const Config& config, Loop& loop, Http1Back& back,
                 Counters& counters)
@@ -190,7 +193,7 @@
         ledger::WriterLink link;
         ledger::Recorder recorder;
     };
-    /// What [telemetry] switches on.
+    /// The parts that the section [telemetry] enables.
     struct Telemetry {
         Telemetry(const telemetry::Options& options, const Config& config, Loop& loop, Placement& placement,
                   Counters& counters)
@@ -200,15 +203,16 @@
         telemetry::Collector collector;
         telemetry::EndpointNameTap tap;
     };
-    /// Descriptors that neither clients nor endpoints get; those of the fleet's links among them.
+    /// Descriptors that are not available to clients and endpoints, including those of the fleet's links.
     static std::size_t reserved_sockets(const Features& features, const Config& config) {
         std::size_t reserved = kReservedSockets;
         if (features.fleet && (config.name.empty() || !fleet::may_be_said(config.name)))
             throw ConfigError(config.name +
-                              ": field 'name' can't be a member's of [fleet]: 1 to 64 bytes, no blanks");
+                              ": field 'name' cannot be a member name in [fleet]: 1 to 64 bytes, no blanks");
         if (features.fleet) reserved += features.fleet->most_links + peers::Peers::kOtherSockets;
         if (reserved + kMinRequestSockets > config.sockets)
-            throw ConfigError(config.name + ": field 'limits.sockets' leaves no room beside [fleet]'s links");
+            throw ConfigError(config.name +
+                              ": field 'limits.sockets' leaves no room next to the links of [fleet]");
         return reserved;
     }
     static std::string zone_of(const Config& config) {
@@ -219,7 +223,7 @@
     }
     Placement& placement() { return journal_ ? static_cast<Placement&>(journal_->recorder) : upstream_; }
 
-    /// Of this process, in the journal: 63 bits, as its file's numbers have.
+    /// Identifies this process in the journal. 63 bits, because its database stores signed numbers.
     static std::uint64_t random_boot_id() {
         std::random_device random;
         return (static_cast<std::uint64_t>(random()) << 32 | random()) >> 1;
@@ -234,8 +238,9 @@
             http_listener_.listen(config_.listen);
             return announce();
         }
-        // Another process serves until this one can: what was listed when its configuration was written may
-        // be long gone, so discovery is asked first, at once, since nobody else starts with it.
+        // The earlier process serves until this one can. The endpoint list in the configuration may be long
+        // out of date, so discovery is asked first, and at once: no other process starts with it at the same
+        // moment.
         tell(Event::TakesOver, "takes over from an earlier process");
         inherited_listener_ = *listener;
         awaiting_first_list_ = true;
@@ -256,19 +261,21 @@
     void announce() {
         std::ostringstream address;
         address << http_listener_.listens_at();
-        // Before it is said: whoever ends the earlier process on that word finds it told that it is replaced.
+        // Before the log line: whoever stops the earlier process when it appears must find that process
+        // informed of its replacement.
         if (handover_)
             handover_->announce(
                 [this] { return http_listener_.listening() ? http_listener_.listener() : -1; });
         tell(Event::Listening, "listening on " + address.str());
     }
-    /// Whether it can serve: some endpoint is known, to a process that takes over by discovery's own word.
+    /// Whether this process can serve: it knows an endpoint, and a process that takes over has heard it from
+    /// discovery.
     bool has_endpoints() const {
         return discovery_.knows_any() && (!awaiting_first_list_ || discovery_.heard());
     }
     bool is_ready() const { return http_listener_.listening() && http_listener_.is_ready(); }
 
-    /// What the two of a sidecar hold is counted together.
+    /// The two processes of a sidecar share its socket limits during a handover.
     void share_limits(bool two_processes) {
         http_listener_.hold_at_most(two_processes ? socket_share_ / 2 : socket_share_);
         upstream_.hold_at_most(two_processes ? max_upstream_sockets_ / 2 : max_upstream_sockets_);
@@ -278,13 +285,13 @@
         return ConsoleCommands({[this] { return is_ready(); }, [this] { return statsd(counters_); },
                                 [this] {
                                     if (stopping_) return false;
-                                    tell(Event::Evacuates, "evacuates: an operator said so");
+                                    tell(Event::Evacuates, "evacuating at an operator's request");
                                     http_listener_.evacuate();
                                     return true;
                                 },
                                 [this] {
                                     if (stopping_) return false;
-                                    tell(Event::Activates, "serves again: an operator said so");
+                                    tell(Event::Activates, "serving again at an operator's request");
                                     http_listener_.activate();
                                     return true;
                                 },
@@ -318,22 +325,22 @@
     }
 
     static constexpr Duration kReadyPoll = 20ms;
-    /// For what ended last to be kept; within what is left before SIGKILL, after which the writer goes on
-    /// alone.
+    /// Time to make the last records durable. It fits into the time left before SIGKILL; after it the writer
+    /// finishes on its own.
     static constexpr Duration kJournalFlushTimeout = 100ms;
 
     const Config& config_;
     const std::size_t socket_share_, max_upstream_sockets_;
     Counters counters_;
     Loop loop_;
-    // First: guards against dying on a SIGHUP that comes while the rest is being set up.
+    // Declared early: a SIGHUP that arrives while the rest is being set up must not kill the process.
     asio::signal_set reload_signal_, stop_signals_;
     Tally tally_;
     SidecarServerProtocol server_protocol_;
     SidecarClientProtocol client_protocol_;
     Http1Back upstream_;
     std::unique_ptr<Journal> journal_;
-    outlier::OutlierPolicy* outliers_ = nullptr;  // within the engine
+    outlier::OutlierPolicy* outliers_ = nullptr;  // owned by the engine
     Engine engine_;
     std::unique_ptr<Telemetry> telemetry_;
     std::unique_ptr<peers::Peers> peers_;
@@ -343,7 +350,7 @@
     std::optional<Console> console_;
     std::optional<Handover> handover_;
     Timer first_list_timer_, retry_timer_{loop_};
-    int inherited_listener_ = -1;  // an earlier process's, until this one can serve
+    int inherited_listener_ = -1;  // of an earlier process, until this one can serve
     bool awaiting_first_list_ = false, stopping_ = false;
 };
 
@@ -354,39 +361,38 @@
 
 void add_state_commands(CLI::App& app, StateOptions& state) {
     auto* state_command =
-        app.add_subcommand("state", "what all sidecars of a fleet share: read, write, compare");
+        app.add_subcommand("state", "reads, writes and compares the state that a fleet shares");
     state_command->require_subcommand(1);
     const auto add = [&](const char* name, const char* what) {
         auto* each = state_command->add_subcommand(name, what);
-        each->add_option("--console", state.console, "where operators call; otherwise PROXY_CONSOLE")
+        each->add_option("--console", state.console, "console address of the sidecar; default: PROXY_CONSOLE")
             ->type_name("ADDRESS");
-        each->add_flag("--json", state.json, "one JSON object a line");
+        each->add_flag("--json", state.json, "print one JSON object per line");
         each->callback([&state, name] { state.what = name; });
         return each;
     };
-    add("tables", "its tables, their rules and sizes");
-    add("self", "this copy: how far it is, what it gave and took");
-    add("conflicts", "what was written beside each other and waits for a word");
-    add("history", "what this copy learnt of late");
-    auto* get = add("get", "entries that stand");
-    get->add_option("table", state.table, "of this table; otherwise of all");
-    get->add_option("key", state.key, "this one alone")->needs("table");
-    auto* diff = add("diff", "where this copy and another differ");
-    diff->add_option("other", state.other, "where operators call the other")->required();
-    for (const auto& [name, what] :
-         {std::pair{"put", "writes an entry"}, std::pair{"settle", "writes over all that stands beside"},
-          std::pair{"delete", "deletes an entry"}}) {
+    add("tables", "list the tables with their rules and sizes");
+    add("self", "show this copy: its progress and what it sent and received");
+    add("conflicts", "list concurrent writes that wait to be settled");
+    add("history", "list the recent changes of this copy");
+    auto* get = add("get", "print the current entries");
+    get->add_option("table", state.table, "only this table; default: all");
+    get->add_option("key", state.key, "only this key")->needs("table");
+    auto* diff = add("diff", "compare this copy with another sidecar's");
+    diff->add_option("other", state.other, "console address of the other sidecar")->required();
+    for (const auto& [name, what] : {std::pair{"put", "write an entry"},
+                                     std::pair{"settle", "overwrite all concurrent versions of an entry"},
+                                     std::pair{"delete", "delete an entry"}}) {
         auto* each = add(name, what);
         each->add_option("table", state.table)->required();
         each->add_option("key", state.key)->required();
         auto* value = std::string(name) == "delete" ? nullptr : each->add_option("value", state.value);
         if (std::string(name) == "put") value->required();
-        each->add_option("--reach", state.reach, "so many others, or majority, must have it")
+        each->add_option("--reach", state.reach, "number of other sidecars that must have it, or majority")
             ->check(CLI::Range(0, 10'000) | CLI::IsMember({"majority"}));
-        each->add_option("--within", state.within_s, "seconds that this may take")->check(CLI::Range(1, 60));
-        each->add_option("--expires", state.expires_s, "seconds until it ends by itself")
-            ->check(CLI::Range(10, 86'400));
-        each->add_option("--reason", state.reason, "for those who read it");
+        each->add_option("--within", state.within_s, "time limit in seconds")->check(CLI::Range(1, 60));
+        each->add_option("--expires", state.expires_s, "lifetime in seconds")->check(CLI::Range(10, 86'400));
+        each->add_option("--reason", state.reason, "a note for readers");
     }
 }
 
@@ -394,49 +400,50 @@
 }  // namespace martenford
 
 int main(int argc, char** argv) {
-    CLI::App app{
-        "A sidecar load balancer. The platform's configuration is the file that PROXY_CONFIG names."};
+    CLI::App app{"A sidecar load balancer. PROXY_CONFIG names the file with the platform's configuration."};
     app.set_version_flag("--version", std::string("martenford ") + MARTENFORD_VERSION);
     bool check = false;
     std::string own_config;
     app.add_option("--config", own_config,
-                   "our own configuration, in TOML; otherwise MARTENFORD_CONFIG names it")
+                   "configuration file of this program, in TOML; default: MARTENFORD_CONFIG")
         ->type_name("FILE");
-    app.add_flag("--check-config", check, "read the configuration, say what is wrong with it, and end");
-    // Before they are added: each takes it over, so that --config may stand behind them too.
+    app.add_flag("--check-config", check, "check the configuration and exit");
+    // Before the subcommands are added: each inherits it, so that --config may also follow a subcommand.
     app.fallthrough();
-    app.add_subcommand("serve", "what it does where nothing else is asked");
+    app.add_subcommand("serve", "run the sidecar (the default)");
     app.add_subcommand("check", "the same as --check-config")->parse_complete_callback([&] { check = true; });
-    auto* ledger = app.add_subcommand("ledger", "asks the journal; 'martenford ledger --help' tells how");
+    auto* ledger = app.add_subcommand("ledger", "queries the journal; see 'martenford ledger --help'");
     ledger->prefix_command();
-    ledger->fallthrough(false);  // all that follows is the helper's
+    ledger->fallthrough(false);  // everything that follows belongs to the helper
     ledger->set_help_flag();
     martenford::WhyOptions why;
     auto* why_command = app.add_subcommand(
-        "why", "asks a running sidecar what explains its bad requests, or for one's story");
-    why_command->add_option("id", why.id, "of a request");
-    why_command->add_option("--console", why.console, "where operators call; otherwise PROXY_CONSOLE")
+        "why", "asks a running sidecar what explains its bad requests, or for the trace of one");
+    why_command->add_option("id", why.id, "request id");
+    why_command
+        ->add_option("--console", why.console, "console address of the sidecar; default: PROXY_CONSOLE")
         ->type_name("ADDRESS");
-    why_command->add_option("--since", why.since, "how far back, 5m at most");
-    why_command->add_option("--slowest", why.slowest, "the slowest that are kept, so many")
+    why_command->add_option("--since", why.since, "how far to look back, at most 5m");
+    why_command->add_option("--slowest", why.slowest, "print this many of the slowest traces kept")
         ->check(CLI::Range(1, 100));
-    why_command->add_option("--class", why.klass, "of those")->needs("--slowest");
-    why_command->add_flag("--latencies", why.latencies, "quantiles of the time to an answer");
+    why_command->add_option("--class", why.klass, "only of this class")->needs("--slowest");
+    why_command->add_flag("--latencies", why.latencies, "print latency quantiles by class");
     martenford::FleetOptions fleet;
-    auto* fleet_command = app.add_subcommand("fleet", "asks a running sidecar about the others of its fleet");
+    auto* fleet_command =
+        app.add_subcommand("fleet", "asks a running sidecar about the other members of its fleet");
     fleet_command->require_subcommand(1);
-    for (const auto& [name, what] :
-         {std::pair{"members", "who is alive, as it sees them"}, std::pair{"links", "its links to others"},
-          std::pair{"watch", "what changes, until it is interrupted"}}) {
+    for (const auto& [name, what] : {std::pair{"members", "list the members as it sees them"},
+                                     std::pair{"links", "list its links to other members"},
+                                     std::pair{"watch", "print changes until interrupted"}}) {
         auto* each = fleet_command->add_subcommand(name, what);
-        each->add_option("--console", fleet.console, "where operators call; otherwise PROXY_CONSOLE")
+        each->add_option("--console", fleet.console, "console address of the sidecar; default: PROXY_CONSOLE")
             ->type_name("ADDRESS");
-        each->add_flag("--json", fleet.json, "one JSON object a line");
+        each->add_flag("--json", fleet.json, "print one JSON object per line");
         each->callback([&fleet, name = name] { fleet.what = name; });
     }
     martenford::StateOptions state;
     martenford::add_state_commands(app, state);
-    auto* events = app.add_subcommand("events", "the page of all that it may tell of itself");
+    auto* events = app.add_subcommand("events", "print the reference of all log events");
     app.require_subcommand(0, 1);
     try {
         app.parse(argc, argv);
--- a/src/telemetry/causes.cpp
+++ b/src/telemetry/causes.cpp
@@ -15,8 +15,8 @@
     return of(n) - of(k) - of(n - k);
 }
 
-/// Twice the log-likelihood that two shares of bad ones, of these `all` and of the rest, gain over one for
-/// all.
+/// The G statistic: twice the log-likelihood gained by fitting one share of bad requests to these `all` and
+/// another to the rest, instead of a single share for all of them.
 double g_statistic_of(std::uint64_t bad, std::uint64_t all, std::uint64_t total_bad, std::uint64_t total) {
     const auto part = [&](std::uint64_t seen, std::uint64_t row, std::uint64_t column) {
         if (seen == 0) return 0.0;
@@ -36,8 +36,8 @@
     const std::uint64_t min_bad = all + total_bad > total ? all + total_bad - total : 0;
     if (bad <= min_bad) return 1.0;
     if (bad > max_bad) return 0.0;
-    // Terms of the hypergeometric distribution from `bad` up, each from the one before. They fall once they
-    // are past the middle; below it the sum is near 1 and its exact value is of no interest.
+    // Sums the terms of the hypergeometric distribution from `bad` upwards, each derived from the one before.
+    // Beyond the mode the terms fall; below it the sum is near 1 and its exact value does not matter.
     double term = std::exp(log_choose(total_bad, bad) + log_choose(total - total_bad, all - bad) -
                            log_choose(total, all));
     double sum = 0.0;
@@ -55,7 +55,7 @@
 }
 
 void CauseAnalyzer::count(Value& value, std::int64_t step, bool bad) const {
-    // Whatever stands between the last step and this one is older than the ring.
+    // Steps between the last one and this one are older than the ring holds.
     const std::int64_t from = std::max(value.last + 1, step - static_cast<std::int64_t>(kSteps) + 1);
     for (std::int64_t s = from; s <= step; ++s) value.steps[static_cast<std::size_t>(s) % kSteps] = {};
     value.last = std::max(value.last, step);
@@ -76,8 +76,9 @@
     return result;
 }
 
-/// Those seen least go, an eighth at a time, so that names that come once each don't make every request scan.
-/// All age by half once as many have gone as there is room for: what was frequent long ago gives way too.
+/// Evicts the least frequent values, an eighth of the table at a time, so that names that occur only once do
+/// not cause a scan per request. After as many evictions as the table has room, all counts are halved, so
+/// that values that were frequent long ago are evicted too.
 void CauseAnalyzer::evict_rarest(Table& table) {
     std::uint64_t fewest = std::numeric_limits<std::uint64_t>::max();
     for (const auto& [name, value] : table.values) fewest = std::min(fewest, value.seen);
@@ -121,7 +122,7 @@
             Cause cause{
                 table.name, name, counts.bad, counts.all, total.bad - counts.bad, total.all - counts.all,
                 0,          0,    1};
-            // A value that all requests share has nothing to stand out against.
+            // A value that all requests share has nothing to be compared with.
             if (cause.rest_all == 0) continue;
             const double share = static_cast<double>(cause.rest_bad) / static_cast<double>(cause.rest_all);
             cause.excess = static_cast<double>(cause.bad) - share * static_cast<double>(cause.all);
@@ -130,7 +131,7 @@
             found.push_back(std::move(cause));
         }
     }
-    // Benjamini and Hochberg's step-up: of m looks the i-th smallest chance is corrected by m/i.
+    // Benjamini-Hochberg step-up procedure: of m tests, the i-th smallest p-value is multiplied by m/i.
     std::sort(found.begin(), found.end(),
               [](const Cause& a, const Cause& b) { return a.p_value < b.p_value; });
     double smallest = 1.0;
--- a/src/telemetry/collector.cpp
+++ b/src/telemetry/collector.cpp
@@ -15,9 +15,9 @@
 
 namespace {
 
-constexpr std::size_t kMaxCauses = 5;                          // told at once: more are for a closer look
-constexpr std::uint64_t kDefaultSince = 300, kMaxSince = 310;  // seconds: what the counts reach back
-constexpr std::uint64_t kMaxSlowest = 100;                     // told at once, some hundred bytes each
+constexpr std::size_t kMaxCauses = 5;                          // per reply; more would not help a first look
+constexpr std::uint64_t kDefaultSince = 300, kMaxSince = 310;  // seconds; the counts reach back no further
+constexpr std::uint64_t kMaxSlowest = 100;                     // per reply; some hundred bytes each
 
 const char* name_of(Status status) {
     switch (status) {
@@ -136,7 +136,7 @@
     const auto it = open_requests_.find(id);
     if (it == open_requests_.end()) return;
     OpenRequest& open = it->second;
-    // Attempts that ended before they were sent have no place in the story.
+    // Attempts that ended before they were sent do not appear in the trace.
     open.endpoints.resize(attempt + 1, EndpointId{});
     open.steps.resize(attempt + 1, 0);
     open.endpoints[attempt] = endpoint;
@@ -178,7 +178,7 @@
     open.over = true;
     if (how == Tally::End::Served)
         latencies_[open.class_index].add(static_cast<double>(trace.duration.count()) * 1e-9);
-    // Its client's own leaving says nothing of us.
+    // A client that disconnects says nothing about this service.
     if (why != Why::Client) {
         const EndpointInfo* where = open.endpoints.empty() ? nullptr : &endpoint_info(open.endpoints.back());
         requests_.observe(
@@ -191,8 +191,8 @@
     finish_if_over(id);
 }
 
-/// Told once its last attempt has ended too: what was still out when the answer was given belongs to the
-/// story.
+/// Completes a trace after its last attempt ended: attempts still in flight when the answer was given belong
+/// to the trace.
 void Collector::finish_if_over(const RequestId& id) {
     const auto it = open_requests_.find(id);
     if (it == open_requests_.end() || !it->second.over || it->second.out > 0) return;
--- a/src/telemetry/collector.h
+++ b/src/telemetry/collector.h
@@ -1,5 +1,5 @@
-// Makes stories out of what the engine does, keeps those that matter, and explains. One thread; it changes
-// nothing.
+// Builds request traces from the engine's events, keeps the relevant ones and explains bad requests.
+// Single-threaded; it only observes.
 #pragma once
 
 #include <cstdint>
@@ -19,20 +19,20 @@
 
 namespace martenford::telemetry {
 
-/// The names behind the settings' numbers.
+/// Names for the numeric zones and kinds in the settings.
 struct AttributeNames {
     std::vector<std::string> zones, kinds;
 };
 
 class Collector : public Observer {
   public:
-    /// Both references outlive it. `seed`: of the samples.
+    /// The references must outlive the collector. `seed` drives the sampling.
     Collector(const Scheduler& scheduler, const decision::Settings& settings, AttributeNames names,
               const Options& options, std::uint64_t seed, Counters& counters);
 
-    /// An endpoint's uid, as the placement hears it.
+    /// Sets an endpoint's uid, as announced to the placement.
     void name(EndpointId id, const std::string& uid);
-    /// It is listed no more, also where a whole list left it out without a word.
+    /// The endpoint is no longer listed, also if it merely disappeared from a complete list.
     void forget(EndpointId id) { endpoints_.erase(id); }
 
     void taken(const decision::Request& request) override;
@@ -41,18 +41,18 @@
     void completed(const decision::RequestId& id, Tally::End how, Why why) override;
     void listed(const decision::Discovered& news) override;
 
-    /// A call of an operator: `why [SECONDS]`, `story ID`, `slowest N [CLASS]`, `latencies`; nothing where it
-    /// is none.
+    /// Answers a console command: `why [SECONDS]`, `story ID`, `slowest N [CLASS]`, `latencies`. Returns
+    /// nothing for other commands.
     std::optional<std::string> answer(std::string_view line) const;
 
-    // ---- what people ask, in lines
+    // ---- replies to operators, as lines
     /// What explains the bad requests and the bad attempts of the last `since`.
     std::string why(Duration since) const;
-    /// The story of one request; empty: it is not kept.
+    /// The trace of one request; empty if it was not kept.
     std::string trace(const std::string& id) const;
-    /// The slowest of a class that are kept, or of all; `most` of them.
+    /// The slowest requests kept, of a class or of all; `max_count` at most.
     std::string slowest(std::size_t max_count, const std::string& klass) const;
-    /// Quantiles of the time to an answer, by class.
+    /// Latency quantiles by class.
     std::string latencies() const;
 
   private:
@@ -66,7 +66,7 @@
         std::string tenant;
         bool resent = false;
         std::vector<EndpointId> endpoints;  // by attempt
-        std::vector<std::size_t> steps;     // and where it stands in the story
+        std::vector<std::size_t> steps;     // by attempt: index of its span plus one; 0: none
         std::size_t out = 0;
         bool over = false;
     };
@@ -81,13 +81,14 @@
     AttributeNames names_;
     CauseAnalyzer requests_, attempts_;
     TailSampler sampler_;
-    std::vector<QuantileSketch> latencies_;                               // by class, since the start
-    std::unordered_map<EndpointId, EndpointInfo> endpoints_;              // as many as discovery lists
-    std::unordered_map<decision::RequestId, OpenRequest> open_requests_;  // as many as the engine has
+    std::vector<QuantileSketch> latencies_;                   // by class, since the start
+    std::unordered_map<EndpointId, EndpointInfo> endpoints_;  // one per endpoint that discovery lists
+    std::unordered_map<decision::RequestId, OpenRequest>
+        open_requests_;  // one per request that the engine has open
     Counter &offered_, &kept_;
 };
 
-/// Hears the names of endpoints on their way to a back.
+/// Passes endpoint names to the collector on their way to the back.
 class EndpointNameTap : public Placement {
   public:
     EndpointNameTap(Placement& to, Collector& collector) : next_(to), collector_(collector) {}
--- a/src/telemetry/options.h
+++ b/src/telemetry/options.h
@@ -1,4 +1,4 @@
-// The section [telemetry] of our own configuration.
+// Options of the [telemetry] section of the program's own configuration file.
 #pragma once
 
 #include "telemetry/causes.h"
--- a/src/telemetry/sketch.cpp
+++ b/src/telemetry/sketch.cpp
@@ -18,7 +18,7 @@
     return static_cast<int>(std::ceil(std::log(std::max(value, kMinValue)) / log_gamma_));
 }
 
-/// The value whose relative distance to both ends of the bucket is the error.
+/// The value with the same relative distance, the error, to both ends of the bucket.
 double QuantileSketch::value_of(int index) const {
     return 2.0 * std::exp(log_gamma_ * index) / (gamma_ + 1.0);
 }
@@ -33,7 +33,7 @@
         counts_.insert(counts_.begin(), static_cast<std::size_t>(counts_.empty() ? 0 : first_ - low), 0);
         first_ = low;
     } else if (low > first_) {
-        // The lowest become one.
+        // Merges the lowest buckets into one.
         const auto merged = std::min(static_cast<std::size_t>(low - first_), counts_.size());
         std::uint64_t below = 0;
         for (std::size_t i = 0; i < merged; ++i) below += counts_[i];
--- a/src/telemetry/sketch.h
+++ b/src/telemetry/sketch.h
@@ -1,5 +1,5 @@
-// Quantiles of latencies with a bounded relative error, mergeable: DDSketch (C. Masson, J. Rim, H. Lee,
-// "DDSketch: a fast and fully-mergeable quantile sketch with relative-error guarantees", VLDB 2019). Pure.
+// Mergeable latency quantiles with a bounded relative error: DDSketch (C. Masson, J. Rim, H. Lee, "DDSketch:
+// a fast and fully-mergeable quantile sketch with relative-error guarantees", VLDB 2019).
 #pragma once
 
 #include <cstddef>
@@ -10,21 +10,20 @@
 
 class QuantileSketch {
   public:
-    /// Of values above `least`; what is smaller counts as that. 1 us, in seconds: nothing of ours is timed
-    /// finer.
+    /// Smaller values count as this one. 1 us, in seconds; latencies are not measured more finely.
     static constexpr double kMinValue = 1e-6;
-    /// Buckets at most. At an error of 1% they span eleven orders of magnitude; beyond that the lowest are
-    /// merged, and only quantiles down there lose their bound.
+    /// Maximum number of buckets. With an error of 1% they span eleven orders of magnitude; beyond that the
+    /// lowest buckets are merged, and only quantiles in that range lose their error bound.
     static constexpr std::size_t kMaxBuckets = 1280;
 
-    /// `relative_error`: of any quantile, above 0 and below 1.
+    /// `relative_error` of any quantile, between 0 and 1 exclusive.
     explicit QuantileSketch(double relative_error = 0.01);
 
     void add(double value, std::uint64_t times = 1);
-    /// Of the same relative error; throws std::invalid_argument otherwise.
+    /// Throws std::invalid_argument if `other` has a different relative error.
     void merge(const QuantileSketch& other);
-    /// The value that `share` (0 to 1) of all are at or below, within the relative error; 0 where there is
-    /// none.
+    /// The value that a `share` (0 to 1) of all values are at or below, within the relative error; 0 if there
+    /// are no values.
     double quantile(double share) const;
     std::uint64_t count() const { return count_; }
     double sum() const { return sum_; }
--- a/src/telemetry/tail_sampler.cpp
+++ b/src/telemetry/tail_sampler.cpp
@@ -24,7 +24,7 @@
     return path;
 }
 
-/// Counts that age by half when their table is full: what is rare is rare lately.
+/// All counts are halved when the table is full, so that rare means rare recently.
 bool TailSampler::is_rare(const std::string& path) {
     if (paths_.size() >= options_.max_paths && !paths_.contains(path)) {
         for (auto& [known, times] : paths_) times /= 2;
--- a/src/telemetry/tail_sampler.h
+++ b/src/telemetry/tail_sampler.h
@@ -1,6 +1,6 @@
-// Which stories of requests are kept, told when they have ended: all that failed, came late, were refused or
-// went a path seldom seen, as far as there is room, and a fair sample of the usual. Pure; the memory is
-// bounded.
+// Tail sampling: decides after a request has ended whether its trace is kept. Keeps requests that failed,
+// were late, were refused or took a rare path as far as there is room, and a uniform sample of the normal
+// ones. No I/O; memory is bounded.
 #pragma once
 
 #include <array>
@@ -17,9 +17,9 @@
 
 namespace martenford::telemetry {
 
-/// What one attempt was, or a wait between two.
+/// One attempt, or a wait between two attempts.
 struct Span {
-    std::string endpoint;     ///< its uid; empty: a wait
+    std::string endpoint;     ///< uid of the endpoint; empty: a wait
     Duration start{}, end{};  ///< since the request was taken
     std::string outcome;
 };
@@ -29,45 +29,48 @@
     Time started{};
     std::int64_t wall_ms = 0;
     Duration duration{};
-    std::string answer;  ///< served, refused, failed, left
-    std::string why;     ///< the reason of a refusal or a failure, in a word
-    bool late = false;   ///< served after its class's aim
+    std::string answer;  ///< served, refused, failed or left
+    std::string why;     ///< reason of a refusal or failure, in one word
+    bool late = false;   ///< served after the latency target of its class
     std::vector<Span> spans;
 };
 
 class TailSampler {
   public:
-    /// In the order in which room is given.
+    /// Ordered by priority.
     enum class Reason : std::uint8_t { Failed, Late, Refused, Rare, Normal };
     static constexpr std::size_t kReasons = 5;
 
     struct Options {
-        std::size_t max_traces = 2000;  ///< stories of one reason, over all classes and stretches
-        std::size_t max_spans = 16;     ///< of one story; more are counted
-        Duration window = 60s;  ///< each has an equal share of the room, so that a burst keeps none out
+        std::size_t max_traces = 2000;  ///< traces kept per reason, over all classes and windows
+        std::size_t max_spans = 16;     ///< spans kept per trace; further ones are only noted
+        Duration window = 60s;  ///< each window has an equal share of the room, so that a burst does not
+                                ///< displace other windows
         std::size_t windows = 10;
-        std::size_t max_paths = 4096;  ///< paths that are told apart
-        std::uint64_t rare_below = 4;  ///< a path seen less often than that is rare
+        std::size_t max_paths = 4096;  ///< number of distinct paths counted
+        std::uint64_t rare_below = 4;  ///< a path seen less often than this is rare
     };
 
     TailSampler(const Options& options, std::uint64_t seed);
 
-    /// True: it is kept now; a later one may still take its place where it is one of too many alike.
+    /// Returns true if the trace is kept for now; a later one may replace it if there are too many with the
+    /// same reason.
     bool offer(RequestTrace trace);
 
-    /// What is kept, newest first; false ends it.
+    /// Visits the kept traces, newest window first, until `visit` returns false.
     void each(const std::function<bool(const RequestTrace&, Reason)>& visit) const;
     const RequestTrace* find(const std::string& id) const;
     std::size_t size() const;
-    /// Offered so far, by reason: with what is kept this tells the weight of each.
+    /// Number of traces offered so far, by reason; together with the kept ones this gives the sampling
+    /// weight.
     std::uint64_t offered(Reason reason) const { return offered_[static_cast<std::size_t>(reason)]; }
 
     static Reason reason_of(const RequestTrace& trace, bool rare);
-    /// Outcomes in order, without names: two requests of one path differ in where and how long alone.
+    /// The outcomes in order, without names: requests with the same path differ only in endpoints and times.
     static std::string path_of(const RequestTrace& trace);
 
   private:
-    /// A uniform sample of what was offered to it (J. Vitter, "Random Sampling with a Reservoir", 1985,
+    /// A uniform sample of the traces offered to it (J. Vitter, "Random Sampling with a Reservoir", 1985,
     /// algorithm R).
     struct Reservoir {
         std::uint64_t offered = 0;
@@ -84,7 +87,7 @@
 
     Options options_;
     std::uint64_t random_;
-    std::deque<Window> windows_;  // the newest last
+    std::deque<Window> windows_;  // newest last
     std::unordered_map<std::string, std::uint64_t> paths_;
     std::array<std::uint64_t, kReasons> offered_{};
 };
--- a/src/telemetry/trace_context.cpp
+++ b/src/telemetry/trace_context.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-/// Lower case alone, as section 3.2.2 has it.
+/// Only lower case is valid (section 3.2.2).
 std::optional<std::uint64_t> read_hex(std::string_view text) {
     const bool lower = std::all_of(text.begin(), text.end(),
                                    [](char c) { return (c >= '0' && c <= '9') || (c >= 'a' && c <= 'f'); });
@@ -21,7 +21,8 @@
     for (int shift = (digits - 1) * 4; shift >= 0; shift -= 4) to += "0123456789abcdef"[value >> shift & 15];
 }
 
-/// Whether it may be passed on: printable, and few enough members. What they say is their owners' matter.
+/// Whether tracestate may be forwarded: printable and not too many members. The members' contents are not
+/// checked.
 bool may_forward(std::string_view state) {
     if (state.size() > kMaxTraceStateBytes) return false;
     if (std::any_of(state.begin(), state.end(), [](char c) { return (c < ' ' && c != '\t') || c > '~'; }))
@@ -37,7 +38,7 @@
     if (traceparent[2] != '-' || traceparent[35] != '-' || traceparent[52] != '-') return std::nullopt;
     const auto version = read_hex(traceparent.substr(0, 2));
     if (!version || *version == 0xff) return std::nullopt;
-    // A later version may have more to say, after another dash (section 3.2.4).
+    // A later version may append fields after another dash (section 3.2.4).
     if (traceparent.size() > kLength && (*version == 0 || traceparent[kLength] != '-')) return std::nullopt;
     const auto high = read_hex(traceparent.substr(3, 16)), low = read_hex(traceparent.substr(19, 16));
     const auto parent = read_hex(traceparent.substr(36, 16)), flags = read_hex(traceparent.substr(53, 2));
--- a/src/telemetry/trace_context.h
+++ b/src/telemetry/trace_context.h
@@ -1,5 +1,5 @@
-// Where a request belongs in a trace that began elsewhere: W3C Trace Context (Recommendation of 23 November
-// 2021, sections 3.2 and 3.3). Pure.
+// The position of a request in a trace that began elsewhere: W3C Trace Context (Recommendation of 23 November
+// 2021, sections 3.2 and 3.3).
 #pragma once
 
 #include <array>
@@ -18,20 +18,22 @@
 
 struct TraceContext {
     TraceId trace;
-    std::uint64_t parent = 0;  ///< the span that called
-    bool sampled = false;      ///< the caller's wish: it may say so for every request, and is one voice only
-    std::string state;         ///< tracestate as it came, passed on
+    std::uint64_t parent = 0;  ///< the calling span
+    bool sampled =
+        false;          ///< requested by the caller, who may set it on every request; treated only as a hint
+    std::string state;  ///< tracestate as received, to be forwarded
     bool operator==(const TraceContext&) const = default;
 };
 
-/// Of tracestate: the least that has to be passed on (section 3.3.1.5). Longer ones are dropped whole.
+/// Limits of tracestate: the minimum that must be forwarded (section 3.3.1.5). A longer one is dropped as a
+/// whole.
 constexpr std::size_t kMaxTraceStateBytes = 512;
 constexpr std::size_t kMaxTraceStateMembers = 32;
 
-/// Reads both headers; nothing where traceparent is none. A tracestate that can't be read is left out.
+/// Parses both headers. Returns nothing if traceparent is invalid; an invalid tracestate is left out.
 std::optional<TraceContext> read_trace_context(std::string_view traceparent, std::string_view tracestate);
 
-/// As this program writes it: version 00.
+/// Formats a version 00 header.
 std::string traceparent_of(const TraceContext& context);
 std::string text_of(const TraceId& id);
 
--- a/tests/console/console_commands_test.cpp
+++ b/tests/console/console_commands_test.cpp
@@ -1,4 +1,4 @@
-// What operators' calls mean and how figures are written: no socket.
+// The console's commands and the statsd export, without sockets.
 #include "console/console_commands.h"
 
 #include <gtest/gtest.h>
@@ -61,7 +61,7 @@
         EXPECT_EQ(reply.find('\n'), reply.size() - 1) << line;
     }
     EXPECT_EQ(console_operator.evacuations, 0);
-    EXPECT_EQ(console_operator.commands.reply(" readyz \r"), "YES\n");  // what a terminal may add
+    EXPECT_EQ(console_operator.commands.reply(" readyz \r"), "YES\n");  // whitespace that a terminal may add
 }
 
 TEST(Statsd, WritesEachClassAndGaugeOnceAndLeavesOthersOut) {
--- a/tests/console/console_test.cpp
+++ b/tests/console/console_test.cpp
@@ -1,4 +1,4 @@
-// The address where operators call, on sockets.
+// The console on real sockets.
 #include <gtest/gtest.h>
 
 #include <string>
@@ -40,7 +40,7 @@
         if (i % 2) mute.back().send("ready");
     }
     EXPECT_EQ(sidecar.call("readyz"), "YES\n");
-    for (Peer& peer : mute) EXPECT_TRUE(peer.ends());  // and are not held for good
+    for (Peer& peer : mute) EXPECT_TRUE(peer.ends());  // and are disconnected in the end
 }
 
 TEST_F(ConsoleOfOne, CountsRequestsByClassAndEndAndAttemptsWrittenWhole) {
@@ -58,7 +58,7 @@
     EXPECT_EQ(status_of(client.receive()), 502);
     endpoint.close();
     at_endpoint.reset();
-    client.send(debit("r3", 300));  // never written: it is refused
+    client.send(debit("r3", 300));  // never written, so it is refused
     EXPECT_EQ(status_of(client.receive()), 503);
     EXPECT_EQ(sidecar.figure("success.look"), 1.0);
     EXPECT_EQ(sidecar.figure("failure.debit"), 1.0);
@@ -66,7 +66,7 @@
     EXPECT_EQ(sidecar.figure("backend_calls"), 2.0);
     client.send(
         "GET /what/1 HTTP/1.1\r\nX-Request-ID: r\r\nX-Priority-Class: what\r\nX-Timeout-Ms: 9\r\n\r\n");
-    EXPECT_EQ(status_of(client.receive()), 404);  // taken by nobody, so counted nowhere
+    EXPECT_EQ(status_of(client.receive()), 404);  // rejected before it counts as a request
     EXPECT_EQ(sidecar.figure("failure.look") + sidecar.figure("busy.look") + sidecar.figure("failure.post"),
               0.0);
 }
@@ -86,11 +86,12 @@
     EXPECT_EQ(status_of(ready), 503);
     EXPECT_TRUE(has(ready, "Connection: close\r\n")) << ready;
     EXPECT_TRUE(idle.ends());
-    at_endpoint.send(answer(200, "1"));  // what was open is answered, and its connection given up
+    at_endpoint.send(answer(200, "1"));  // the open request is answered and its connection closed
     const std::string reply = open.receive();
     EXPECT_EQ(body_of(reply), "1");
     EXPECT_TRUE(has(reply, "Connection: close\r\n")) << reply;
-    // Until activated, long after: a request that comes all the same is turned away, harmlessly.
+    // Evacuation lasts until activation: a request that still arrives long after is rejected without having
+    // run.
     for (int status = 200; status == 200;) {
         Peer late = sidecar.client();
         late.send(debit("late"));
--- a/tests/telemetry/telemetry_process_test.cpp
+++ b/tests/telemetry/telemetry_process_test.cpp
@@ -1,4 +1,4 @@
-// What a running sidecar says of its requests, and the command that asks it.
+// Telemetry of a running sidecar, and the command that queries it.
 #include <gtest/gtest.h>
 
 #include <array>
@@ -47,7 +47,8 @@
             } else {
                 Peer& peer = peers[ready - 3];
                 ASSERT_TRUE(has(peer.receive(), "X-Request-ID: "));
-                // Turned away, it is asked again: that says nothing of it to the module.
+                // A rejected request is sent again; the rejection is not held against the endpoint by the
+                // module.
                 ++(is_broken[ready - 3] ? turned_away : answered_there);
                 peer.send(is_broken[ready - 3] ? answer(503, "", "X-Not-Processed: 1\r\n")
                                                : answer(200, "x"));
@@ -75,7 +76,8 @@
     Sidecar sidecar(with_console(config(discovery.address(), target("s-1", endpoint.address()))));
     EXPECT_TRUE(sidecar.call("why").starts_with("NO such call"));
     EXPECT_TRUE(has(why(sidecar, ""), "is [telemetry] on?"));
-    EXPECT_TRUE(has(why(sidecar, "--since never"), "is no time")) << why(sidecar, "--since never");
+    EXPECT_TRUE(has(why(sidecar, "--since never"), "is not a duration of at least one second"))
+        << why(sidecar, "--since never");
 }
 
 }  // namespace
--- a/tests/telemetry/telemetry_test.cpp
+++ b/tests/telemetry/telemetry_test.cpp
@@ -1,4 +1,4 @@
-// The pure half of finding a cause: sketches, trace contexts, what is kept, and what explains.
+// The parts of telemetry without I/O: quantile sketches, trace contexts, tail sampling and cause analysis.
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
 
@@ -44,7 +44,8 @@
                 std::max(values[static_cast<std::size_t>(share * static_cast<double>(values.size() - 1))],
                          QuantileSketch::kMinValue);
             EXPECT_NEAR(one.quantile(share), exact, exact * 0.0101) << seed << " at " << share;
-            EXPECT_EQ(first.quantile(share), one.quantile(share));  // merged is as if all had come to one
+            EXPECT_EQ(first.quantile(share),
+                      one.quantile(share));  // merging gives the same as adding all values to one sketch
         }
         EXPECT_EQ(first.count(), values.size());
     }
@@ -109,7 +110,7 @@
     if (read) RC_ASSERT(read_trace_context(traceparent_of(*read), read->state) == read);
 }
 
-// ---- what is kept ---------------------------------------------------------------------------------------
+// ---- tail sampling --------------------------------------------------------------------------------------
 
 RequestTrace trace(int number, Time taken, const char* answer, bool late = false,
                    std::vector<std::string> outcomes = {"ok"}) {
@@ -147,7 +148,7 @@
     EXPECT_LE(sampler.size(), options.max_traces * TailSampler::kReasons);
     EXPECT_EQ(sampler.offered(TailSampler::Reason::Failed), failed.size());
     ASSERT_NE(sampler.find(*failed.begin()), nullptr);
-    // Nothing is kept for longer than its stretches.
+    // No trace outlives its windows.
     sampler.offer(trace(0, start + 10h, "served"));
     EXPECT_EQ(sampler.size(), 1u);
 }
@@ -190,7 +191,7 @@
     for (const int count : by_tenth) EXPECT_NEAR(count, 2000, 250);
 }
 
-// ---- what explains --------------------------------------------------------------------------------------
+// ---- cause analysis -------------------------------------------------------------------------------------
 
 TEST(CauseAnalyzer, TheChanceIsFishersExactOne) {
     // R: phyper(q - 1, K, N - K, n, lower.tail = FALSE)
@@ -198,7 +199,7 @@
     EXPECT_NEAR(fisher_p_value(4, 4, 4, 8), 1.0 / 70.0, 1e-12);
     EXPECT_EQ(fisher_p_value(0, 4, 4, 8), 1.0);
     EXPECT_EQ(fisher_p_value(5, 4, 4, 8), 0.0);
-    // Against the sum over all tables, for small ones.
+    // Against the sum over all tables, for small totals.
     for (std::uint64_t total = 1; total <= 12; ++total) {
         for (std::uint64_t total_bad = 0; total_bad <= total; ++total_bad) {
             for (std::uint64_t all = 0; all <= total; ++all) {
@@ -223,13 +224,13 @@
     }
 }
 
-/// A fleet's requests with one fault in it: 24 endpoints in three zones and two kinds, 40 callers, three
+/// Simulated requests with one fault: 24 endpoints in three zones and of two kinds, 40 callers, three
 /// classes.
 struct Fault {
     const char* name;
     const char* attribute;
     const char* value;
-    double share;  // of the requests with that value that turn bad by it
+    double share;  // share of the requests with that value that the fault makes bad
 };
 const Fault kFaults[] = {
     {"a bad endpoint", "endpoint", "s-7", 0.5},
@@ -254,7 +255,7 @@
     for (int i = 0; i < 30'000; ++i) {
         now += 10ms;
         const auto endpoint = random() % 24;
-        // A caller in forty asks as often as all the others together do in five.
+        // Caller 0 sends about a fifth of all requests.
         const auto caller = unit(random) < 0.2 ? 0 : random() % 40;
         const auto klass = random() % 10;
         const std::string values[] = {"s-" + std::to_string(endpoint),
@@ -308,7 +309,7 @@
         causes.observe(now, {i % 10 == 0 ? "s-bad" : "s-" + std::to_string(i % 7)}, i % 10 == 0);
     ASSERT_EQ(causes.explain(now, 60s, 3).size(), 1u);
     EXPECT_EQ(causes.explain(now, 60s, 3)[0].value, "s-bad");
-    // Names that come once each: the frequent one stays, whatever they are.
+    // Many names that occur once each must not displace a frequent one.
     for (int i = 0; i < 10'000; ++i) {
         causes.observe(now, {"x-" + std::to_string(i)}, false);
         if (i % 20 == 0) causes.observe(now, {"s-bad"}, true);
