--- a/src/command/ledger.cpp
+++ b/src/command/ledger.cpp
@@ -20,7 +20,7 @@
 #include "ledger/reconcile.h"
 #include "ledger/story.pb.h"
 #include "ledger/writer.h"
-#include "replica/shelf_writer.h"
+#include "replica/snapshot_writer.h"
 
 namespace martenford::ledger {
 namespace {
@@ -370,12 +370,12 @@
     command("stats", "print the journal's size and the starts that it recorded")->callback([&] {
         result = stats(query);
     });
-    replica::ShelfOptions shelf;
+    replica::SnapshotWriterOptions shelf;
     auto* shelf_command = command("shelf", "used by the sidecar to store the shared state");
     shelf_command->group("");
     shelf_command->callback([&] {
         shelf.directory = query.directory;
-        result = replica::run_shelf(shelf);
+        result = replica::run_snapshot_writer(shelf);
     });
     auto* writer_command = command("writer", "used by the sidecar to write the journal");
     writer_command->group("");
--- a/src/command/state.cpp
+++ b/src/command/state.cpp
@@ -36,7 +36,7 @@
     if (options.what == "settle" && value.empty()) {
         // Settling without a value keeps the entry that currently wins, with its remaining lifetime, and
         // overwrites its conflicting versions.
-        const auto reply = call_state(where, "get " + escaped(options.table));
+        const auto reply = call_state(where, "get " + percent_encode(options.table));
         if (!reply) return kExitFailure;
         std::istringstream lines(*reply);
         for (std::string line; std::getline(lines, line);) {
@@ -53,12 +53,12 @@
         }
     }
     std::string call = fmt::format("{} {} {}", options.what == "delete" ? "delete" : "put",
-                                   escaped(options.table), escaped(options.key));
-    if (options.what != "delete") call += " " + escaped(value);
+                                   percent_encode(options.table), percent_encode(options.key));
+    if (options.what != "delete") call += " " + percent_encode(value);
     call += fmt::format(" within={}", options.within_s * 1000);
     call += options.reach == "majority" ? " majority" : fmt::format(" others={}", options.reach);
     if (expires_ms > 0) call += fmt::format(" expires={}", expires_ms);
-    if (!options.reason.empty()) call += " " + escaped("reason=" + options.reason);
+    if (!options.reason.empty()) call += " " + percent_encode("reason=" + options.reason);
     const auto reply = call_state(where, call);
     if (!reply) return kExitFailure;
     if (const std::string why = field_of(*reply, "refused"); !why.empty()) {
@@ -135,7 +135,7 @@
         return write(options, *address);
     if (options.what == "diff") return diff(options, *address);
     const auto reply =
-        call_state(*address, options.what == "get" ? "get " + escaped(options.table) : options.what);
+        call_state(*address, options.what == "get" ? "get " + percent_encode(options.table) : options.what);
     if (!reply) return kExitFailure;
     if (const std::string why = field_of(*reply, "refused"); !why.empty()) {
         log("state: " + why);
--- a/src/console/console.cpp
+++ b/src/console/console.cpp
@@ -26,7 +26,7 @@
 
     void start(Connections::iterator position) {
         position_ = position;
-        timeout_.set(Loop::monotonic() + kRequestTimeout, [self = shared_from_this()] {
+        timeout_.set(EventLoop::monotonic() + kRequestTimeout, [self = shared_from_this()] {
             self->console_.cut_off_.add();
             self->close();
         });
@@ -62,7 +62,7 @@
     void reply(std::string text) {
         replied_ = true;
         text_ = std::move(text);
-        timeout_.set(Loop::monotonic() + kReplyTimeout, [self = shared_from_this()] { self->close(); });
+        timeout_.set(EventLoop::monotonic() + kReplyTimeout, [self = shared_from_this()] { self->close(); });
         asio::async_write(socket_, asio::buffer(text_),
                           [self = shared_from_this()](const error_code& error, std::size_t) {
                               if (self->closed_) return;
@@ -84,7 +84,7 @@
     bool replied_ = false, closed_ = false;
 };
 
-Console::Console(Loop& loop, const Address& listen, ConsoleCommands commands, Counters& counters)
+Console::Console(EventLoop& loop, const Address& listen, ConsoleCommands commands, Counters& counters)
     : loop_(loop),
       commands_(std::move(commands)),
       acceptor_(loop.io()),
@@ -109,7 +109,7 @@
         if (error) {
             // Without the delay this would spin: the listener stays ready while nothing can be accepted.
             if (!connections_.empty()) connections_.front()->close();
-            return accept_timer_.set(Loop::monotonic() + kAcceptRetry, [this] { accept(); });
+            return accept_timer_.set(EventLoop::monotonic() + kAcceptRetry, [this] { accept(); });
         }
         if (connections_.size() >= kMaxConnections) {
             cut_off_.add();
--- a/src/console/console.h
+++ b/src/console/console.h
@@ -19,7 +19,7 @@
     static constexpr std::size_t kMaxConnections = 16;
 
     /// Starts listening. Throws boost::system::system_error on failure.
-    Console(Loop& loop, const Address& listen, ConsoleCommands commands, Counters& counters);
+    Console(EventLoop& loop, const Address& listen, ConsoleCommands commands, Counters& counters);
     ~Console();
     Address listens_at() const { return acceptor_.local_endpoint(); }
 
@@ -29,7 +29,7 @@
 
     void accept();
 
-    Loop& loop_;
+    EventLoop& loop_;
     ConsoleCommands commands_;
     asio::ip::tcp::acceptor acceptor_;
     Timer accept_timer_;
--- a/src/ledger/archive.cpp
+++ b/src/ledger/archive.cpp
@@ -25,7 +25,7 @@
 
 namespace martenford::ledger {
 
-using store::Fault;
+using store::ErrorKind;
 using store::StoreError;
 
 namespace {
@@ -54,7 +54,8 @@
 }
 
 [[noreturn]] void throw_io_error(const std::string& path) {
-    throw StoreError(errno == ENOSPC ? Fault::Full : Fault::ReadOnly, path + ": " + std::strerror(errno));
+    throw StoreError(errno == ENOSPC ? ErrorKind::Full : ErrorKind::ReadOnly,
+                     path + ": " + std::strerror(errno));
 }
 
 /// Replaces the file atomically: after a crash it has either its old or its new contents.
@@ -140,9 +141,9 @@
     const std::string text = read_file(path(kManifestFile));
     if (text.empty()) return result;
     if (!google::protobuf::util::JsonStringToMessage(text, &result).ok())
-        throw StoreError(Fault::Corrupt, path(kManifestFile) + ": is not a valid manifest");
+        throw StoreError(ErrorKind::Corrupt, path(kManifestFile) + ": is not a valid manifest");
     if (result.version() > kManifestVersion)
-        throw StoreError(Fault::Newer,
+        throw StoreError(ErrorKind::Newer,
                          path(kManifestFile) + ": was written by a newer version of this program");
     return result;
 }
@@ -152,7 +153,7 @@
     google::protobuf::util::JsonPrintOptions pretty;
     pretty.add_whitespace = true;
     if (!google::protobuf::util::MessageToJsonString(manifest, &text, pretty).ok())
-        throw StoreError(Fault::Other, path(kManifestFile) + ": cannot be serialised as JSON");
+        throw StoreError(ErrorKind::Other, path(kManifestFile) + ": cannot be serialised as JSON");
     write_durably(path(kManifestFile), text);
 }
 
@@ -174,7 +175,8 @@
     std::string compressed(ZSTD_compressBound(raw.size()), '\0');
     const std::size_t size =
         ZSTD_compress(compressed.data(), compressed.size(), raw.data(), raw.size(), kZstdLevel);
-    if (ZSTD_isError(size)) throw StoreError(Fault::Other, std::string("zstd: ") + ZSTD_getErrorName(size));
+    if (ZSTD_isError(size))
+        throw StoreError(ErrorKind::Other, std::string("zstd: ") + ZSTD_getErrorName(size));
     compressed.resize(size);
     info.set_sha256(sha256(compressed));
     info.set_filter_sha256(sha256(filter.bytes()));
--- a/src/ledger/journal_database.cpp
+++ b/src/ledger/journal_database.cpp
@@ -95,7 +95,7 @@
     if (for_writing) {
         database_.migrate(kSchema);
     } else if (database_.version() > static_cast<int>(kSchema.size())) {
-        throw store::StoreError(store::Fault::Newer,
+        throw store::StoreError(store::ErrorKind::Newer,
                                 directory + ": was written by a newer version of this program");
     }
 }
--- a/src/ledger/recorder.cpp
+++ b/src/ledger/recorder.cpp
@@ -55,7 +55,8 @@
 }  // namespace
 
 /// An attempt whose intent is not durable yet. Once it is, this forwards to the back's own attempt.
-class Recorder::HeldAttempt : public Back::Attempt, public std::enable_shared_from_this<HeldAttempt> {
+class Recorder::HeldAttempt : public EndpointClient::Attempt,
+                              public std::enable_shared_from_this<HeldAttempt> {
   public:
     HeldAttempt(Recorder& recorder, EndpointId id, std::shared_ptr<const Message> message, Time end,
                 Done done, std::uint32_t attempt, bool refuse_on_outage)
@@ -100,14 +101,14 @@
         if (is_waiting()) return end(Ending::NotSent, Status::Cancelled);
         if (const auto inner = inner_.lock()) inner->cancel();
     }
-    void withdraw_unwritten() override {
+    void withdraw_if_unsent() override {
         if (is_waiting()) return end(Ending::Withheld, Status::NotSent);
-        if (const auto inner = inner_.lock()) inner->withdraw_unwritten();
+        if (const auto inner = inner_.lock()) inner->withdraw_if_unsent();
     }
-    void end_at(Time end) override {
+    void set_deadline(Time end) override {
         end_ = end;
         if (is_waiting()) return set_timeout();
-        if (const auto inner = inner_.lock()) inner->end_at(end);
+        if (const auto inner = inner_.lock()) inner->set_deadline(end);
     }
 
   private:
@@ -137,7 +138,7 @@
     Handle inner_;
 };
 
-Recorder::Recorder(Scheduler& scheduler, Back& back, Placement& placement, WriterLink& link,
+Recorder::Recorder(Scheduler& scheduler, EndpointClient& back, EndpointTable& placement, WriterLink& link,
                    const Options& options, const std::vector<decision::RequestClass>& classes,
                    Counters& counters)
     : scheduler_(scheduler),
@@ -186,7 +187,8 @@
     return link_.pending().decide(options.level, options.outage) == PendingRecords::SendDecision::Hold;
 }
 
-Back::Handle Recorder::send(EndpointId id, std::shared_ptr<const Message> message, Time end, Done done) {
+EndpointClient::Handle Recorder::send(EndpointId id, std::shared_ptr<const Message> message, Time end,
+                                      Done done) {
     const ClassOptions& options = options_for(message->class_index);
     if (options.level == Durability::Off) return back_.send(id, std::move(message), end, std::move(done));
     const RequestId request(message->id());
@@ -245,7 +247,7 @@
     intent.klass = class_names_[message.class_index];
     intent.key = message.key();
     // Only for the first attempt: once a body has begun to go out, it is no longer held here.
-    if (digest_ && attempt == 0) intent.digest = digest_->compute(message.held_body());
+    if (digest_ && attempt == 0) intent.digest = digest_->compute(message.buffered_body());
     if (const auto endpoint_info = endpoints_.find(id); endpoint_info != endpoints_.end()) {
         intent.uid = endpoint_info->second.uid;
         intent.address = endpoint_info->second.address;
@@ -253,8 +255,8 @@
     return append(request_state.serial, urgent, std::move(intent));
 }
 
-Back::Handle Recorder::forward(EndpointId id, const std::shared_ptr<const Message>& message, Time end,
-                               Done done, std::uint32_t attempt) {
+EndpointClient::Handle Recorder::forward(EndpointId id, const std::shared_ptr<const Message>& message,
+                                         Time end, Done done, std::uint32_t attempt) {
     return back_.send(
         id, message, end,
         [this, request = RequestId(message->id()), attempt, done = std::move(done)](Result&& result) {
@@ -320,7 +322,7 @@
     return [this, serial, answer = final_answer_of(kind)] { append(serial, false, Answered{answer}); };
 }
 
-void Recorder::left(const RequestId& id) {
+void Recorder::client_disconnected(const RequestId& id) {
     const auto it = requests_.find(id);
     if (it != requests_.end() && it->second.journaled)
         append(it->second.serial, false, Answered{FinalAnswer::ClientLeft});
@@ -339,8 +341,8 @@
         gap_.reason = link_.pending().reason();
     }
     if (!std::exchange(unjournaled_logged_, true)) {
-        martenford::tell(Event::JournalUnkept,
-                         "non-idempotent requests go out unjournaled: " + link_.pending().reason());
+        martenford::log_event(Event::JournalBypassed,
+                              "non-idempotent requests go out unjournaled: " + link_.pending().reason());
     }
 }
 
@@ -374,15 +376,15 @@
 
 // ---- endpoint names and addresses -------------------------------------------------------------------
 
-void Recorder::name(EndpointId id, const std::string& uid) {
+void Recorder::set_name(EndpointId id, const std::string& uid) {
     endpoints_[id].uid = uid;
 }
 
-void Recorder::place(EndpointId id, const Address& address, bool ready) {
+void Recorder::set_endpoint(EndpointId id, const Address& address, bool ready) {
     std::ostringstream text;
     text << address;
     endpoints_[id].address = text.str();
-    placement_.place(id, address, ready);
+    placement_.set_endpoint(id, address, ready);
 }
 
 void Recorder::remove(EndpointId id) {
--- a/src/ledger/writer.cpp
+++ b/src/ledger/writer.cpp
@@ -46,7 +46,8 @@
 class Lock {
   public:
     explicit Lock(const std::string& path) : file_(::open(path.c_str(), O_CREAT | O_RDWR | O_CLOEXEC, 0600)) {
-        if (file_ < 0) throw store::StoreError(store::Fault::ReadOnly, path + ": " + std::strerror(errno));
+        if (file_ < 0)
+            throw store::StoreError(store::ErrorKind::ReadOnly, path + ": " + std::strerror(errno));
     }
     Lock(const Lock&) = delete;
     Lock& operator=(const Lock&) = delete;
@@ -118,7 +119,7 @@
     }
     store::Options store_options() const {
         store::Options result;
-        result.most_bytes = options_.max_bytes;
+        result.max_bytes = options_.max_bytes;
         return result;
     }
 
@@ -171,9 +172,10 @@
                 log_error(error.what());
                 // After a failed sync, the kernel's cache of the file cannot be trusted. Reopening the file
                 // reads what is really there, and the batch is written again before anything is acknowledged.
-                if (error.fault != store::Fault::Full && error.fault != store::Fault::Busy) database_.reset();
-                if (error.fault == store::Fault::Corrupt || error.fault == store::Fault::Newer) throw;
-                send_message(Trouble{std::string(store::name_of(error.fault)) + ": " + error.what()});
+                if (error.kind != store::ErrorKind::Full && error.kind != store::ErrorKind::Busy)
+                    database_.reset();
+                if (error.kind == store::ErrorKind::Corrupt || error.kind == store::ErrorKind::Newer) throw;
+                send_message(Trouble{std::string(store::name_of(error.kind)) + ": " + error.what()});
                 if (peer_closed()) throw;
                 sleep_for(kRetryDelay);
             }
@@ -230,7 +232,8 @@
             }
         } catch (const store::StoreError& error) {
             log_error(error.what());
-            if (error.fault != store::Fault::Full && error.fault != store::Fault::Busy) database_.reset();
+            if (error.kind != store::ErrorKind::Full && error.kind != store::ErrorKind::Busy)
+                database_.reset();
             sleep_for(kRetryDelay);
         }
     }
--- a/src/ledger/writer_link.cpp
+++ b/src/ledger/writer_link.cpp
@@ -32,8 +32,8 @@
 
 }  // namespace
 
-WriterLink::WriterLink(Loop& loop, const Options& options, const std::string& sidecar, std::uint64_t boot,
-                       Counters& counters)
+WriterLink::WriterLink(EventLoop& loop, const Options& options, const std::string& sidecar,
+                       std::uint64_t boot, Counters& counters)
     : loop_(loop),
       options_(options),
       sidecar_(sidecar),
@@ -83,7 +83,7 @@
     socket_->non_blocking(true, ignored);
     reader_ = {};
     restarts_.add();
-    pending_.writer_started(Loop::monotonic());
+    pending_.writer_started(EventLoop::monotonic());
     hello_frame_ = frame_of(ToWriter{Hello{kLinkVersion, boot_, sidecar_, wall_ms()}});
     read();
     flush();
@@ -138,7 +138,8 @@
 
 void WriterLink::flush() {
     if (!socket_ || write_pending_) return;
-    write_buffer_ = std::exchange(hello_frame_, {}) + pending_.take_unsent(kMaxWriteBytes, Loop::monotonic());
+    write_buffer_ =
+        std::exchange(hello_frame_, {}) + pending_.take_unsent(kMaxWriteBytes, EventLoop::monotonic());
     if (write_buffer_.empty()) return;
     write_pending_ = true;
     arm_response_timer();
@@ -171,20 +172,20 @@
 }
 
 void WriterLink::handle(const FromWriter& message) {
-    const Time now = Loop::monotonic();
+    const Time now = EventLoop::monotonic();
     if (const auto* ack = std::get_if<Ack>(&message)) {
         pending_.acknowledged(ack->up_to, now);
     } else if (const auto* trouble = std::get_if<Trouble>(&message)) {
         if (pending_.health() != PendingRecords::Health::Failing) failures_.add();
         if (!std::exchange(outage_logged_, true))
-            tell(Event::JournalLost, "the journal keeps nothing now: " + trouble->what);
+            log_event(Event::JournalWriterLost, "the journal keeps nothing now: " + trouble->what);
         pending_.writer_failing(trouble->what, now);
         return notify_change();
     } else {
         pending_.writer_ready(now);
     }
     if (pending_.health() == PendingRecords::Health::Up && std::exchange(outage_logged_, false))
-        tell(Event::JournalWorks, "the journal works again");
+        log_event(Event::JournalRecovered, "the journal works again");
     notify_change();
 }
 
@@ -192,7 +193,7 @@
 void WriterLink::writer_lost(const std::string& why) {
     failures_.add();
     if (!std::exchange(outage_logged_, true))
-        tell(Event::JournalLost, "the journal's writer is lost and will be restarted: " + why);
+        log_event(Event::JournalWriterLost, "the journal's writer is lost and will be restarted: " + why);
     if (socket_) {
         error_code ignored;
         socket_->close(ignored);
@@ -204,7 +205,7 @@
         killed_pids_.push_back(std::exchange(writer_pid_, -1));
     }
     reap();
-    pending_.writer_lost(why, Loop::monotonic());
+    pending_.writer_lost(why, EventLoop::monotonic());
     restart_timer_.set(*pending_.restart_at(), [this] { start_writer(); });
     response_timer_.cancel();
     notify_change();
@@ -213,14 +214,15 @@
 void WriterLink::reap() {
     std::erase_if(killed_pids_, [](pid_t pid) { return ::waitpid(pid, nullptr, WNOHANG) != 0; });
     if (killed_pids_.empty()) return;
-    reap_timer_.set(Loop::monotonic() + kReapRetry, [this] { reap(); });
+    reap_timer_.set(EventLoop::monotonic() + kReapRetry, [this] { reap(); });
 }
 
 void WriterLink::arm_response_timer() {
     const auto until = pending_.response_deadline();
     if (!until) return response_timer_.cancel();
     response_timer_.set(*until, [this] {
-        if (pending_.is_unresponsive(Loop::monotonic())) return writer_lost("it did not respond in time");
+        if (pending_.is_unresponsive(EventLoop::monotonic()))
+            return writer_lost("it did not respond in time");
         arm_response_timer();
     });
 }
@@ -235,7 +237,7 @@
 
 void WriterLink::finish(Duration timeout, std::function<void()> done) {
     on_finished_ = std::move(done);
-    finish_timer_.set(Loop::monotonic() + timeout, [this] {
+    finish_timer_.set(EventLoop::monotonic() + timeout, [this] {
         if (on_finished_) std::exchange(on_finished_, nullptr)();
     });
     flush();
--- a/src/ledger/writer_link.h
+++ b/src/ledger/writer_link.h
@@ -21,7 +21,7 @@
 class WriterLink {
   public:
     /// `boot` is the random id of this process. The references must outlive the link.
-    WriterLink(Loop& loop, const Options& options, const std::string& sidecar, std::uint64_t boot,
+    WriterLink(EventLoop& loop, const Options& options, const std::string& sidecar, std::uint64_t boot,
                Counters& counters);
     ~WriterLink();
 
@@ -52,7 +52,7 @@
     void arm_response_timer();
     void notify_change();
 
-    Loop& loop_;
+    EventLoop& loop_;
     const Options& options_;
     std::string sidecar_;
     std::uint64_t boot_;
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -25,17 +25,17 @@
 #include "console/console.h"
 #include "console/statsd.h"
 #include "core/events.h"
-#include "core/tally.h"
+#include "core/request_counters.h"
 #include "discovery/discovery.h"
 #include "handover/handover.h"
 #include "helper/helper.h"
-#include "http1/back.h"
+#include "http1/endpoint_client.h"
 #include "http1/listener.h"
 #include "http1/protocol.h"
 #include "ledger/recorder.h"
 #include "ledger/writer_link.h"
 #include "peers/peers.h"
-#include "replica/keeper.h"
+#include "replica/replication_service.h"
 #include "telemetry/collector.h"
 
 namespace martenford {
@@ -53,9 +53,9 @@
 /// value from the start.
 void reload(Discovery& discovery) {
     try {
-        discovery.move(read_discovery_again());
+        discovery.set_address(reload_discovery_address());
     } catch (const ConfigError& error) {
-        tell(Event::ConfigKept, "the old configuration stays: " + std::string(error.what()));
+        log_event(Event::ConfigRejected, "the old configuration stays: " + std::string(error.what()));
     }
 }
 
@@ -108,7 +108,7 @@
           journal_(features.ledger
                        ? std::make_unique<Journal>(*features.ledger, config, loop_, upstream_, counters_)
                        : nullptr),
-          engine_(loop_, journal_ ? static_cast<Back&>(journal_->recorder) : upstream_,
+          engine_(loop_, journal_ ? static_cast<EndpointClient&>(journal_->recorder) : upstream_,
                   config.settings.limits,
                   make_policy(config.settings, config.seed, features, counters_, &outliers_), tally_),
           telemetry_(features.telemetry ? std::make_unique<Telemetry>(*features.telemetry, config, loop_,
@@ -119,24 +119,25 @@
                                                       MARTENFORD_VERSION, counters_)
                      : nullptr),
           keeper_(peers_ && features.state
-                      ? std::make_unique<replica::Keeper>(loop_, *features.state, *peers_,
-                                                          features.fleet->name, counters_)
+                      ? std::make_unique<replica::ReplicationService>(loop_, *features.state, *peers_,
+                                                                      features.fleet->name, counters_)
                       : nullptr),
-          discovery_(loop_, telemetry_ ? static_cast<Placement&>(telemetry_->tap) : placement(), engine_,
+          discovery_(loop_, telemetry_ ? static_cast<EndpointTable&>(telemetry_->tap) : placement(), engine_,
                      config, membership_options(features, config.settings), counters_),
           http_listener_(
               loop_, engine_, server_protocol_, socket_share_, [this] { return has_endpoints(); }, counters_),
           first_list_timer_(loop_) {
         engine_.on_subscribe([this] { discovery_.subscribe(); });
-        engine_.on_ended([this](EndpointId id, decision::Status status) { discovery_.saw(id, status); });
+        engine_.on_attempt_ended(
+            [this](EndpointId id, decision::Status status) { discovery_.attempt_ended(id, status); });
         if (keeper_) {
-            keeper_->on_endpoint_override(
-                [this](const std::string& uid, const replica::EndpointOverride& endpoint_override) {
-                    Membership::EndpointOverride to{endpoint_override.away, endpoint_override.weight, {}};
-                    if (endpoint_override.drains)
-                        to.drains = {endpoint_override.drains->revision, endpoint_override.drains->boot_ms};
-                    discovery_.set_endpoint_override(uid, to);
-                });
+            keeper_->on_endpoint_override([this](const std::string& uid,
+                                                 const replica::EndpointOverride& endpoint_override) {
+                Membership::EndpointOverride to{endpoint_override.excluded, endpoint_override.weight, {}};
+                if (endpoint_override.drains)
+                    to.drain_hint = {endpoint_override.drains->revision, endpoint_override.drains->boot_ms};
+                discovery_.set_endpoint_override(uid, to);
+            });
             if (outliers_) {
                 // Not from within the module's own call: the consequences are reported back to the module.
                 outliers_->on_ejected([this](EndpointId id, std::uint32_t failures) {
@@ -152,12 +153,12 @@
                 keeper_->drained(drained.uid, {revision, drained.boot_ms, {}});
             });
         }
-        if (telemetry_) engine_.observed_by(&telemetry_->collector);
+        if (telemetry_) engine_.set_observer(&telemetry_->collector);
         if (!journal_) return;
-        engine_.watched_by(&journal_->recorder);
+        engine_.set_interceptor(&journal_->recorder);
         journal_->recorder.on_release([this](const decision::RequestId& id) { engine_.released(id); });
         journal_->recorder.on_give_up(
-            [this](const decision::RequestId& id, bool refused) { engine_.give_up(id, refused); });
+            [this](const decision::RequestId& id, bool refused) { engine_.abort(id, refused); });
     }
 
     int run() {
@@ -169,13 +170,13 @@
             console_.emplace(loop_, *config_.console, console_commands(), counters_);
             std::ostringstream address;
             address << console_->listens_at();
-            tell(Event::Console, "operators call at " + address.str());
+            log_event(Event::ConsoleListening, "operators call at " + address.str());
         }
         const char* directory = std::getenv("TMPDIR");
         if (directory && *directory) {
             handover_.emplace(loop_, directory, config_.name);
-            handover_->on_company([this](bool two_processes) { share_limits(two_processes); });
-            handover_->look([this](std::optional<int> listener) { start(listener); });
+            handover_->on_other_process_changed([this](bool two_processes) { share_limits(two_processes); });
+            handover_->find_earlier([this](std::optional<int> listener) { start(listener); });
         } else {
             start(std::nullopt);
         }
@@ -186,8 +187,8 @@
   private:
     /// The parts that the section [ledger] enables.
     struct Journal {
-        Journal(const ledger::Options& options, const Config& config, Loop& loop, Http1Back& back,
-                Counters& counters)
+        Journal(const ledger::Options& options, const Config& config, EventLoop& loop,
+                Http1EndpointClient& back, Counters& counters)
             : link(loop, options, config.name, random_boot_id(), counters),
               recorder(loop, back, back, link, options, config.settings.classes, counters) {}
         ledger::WriterLink link;
@@ -195,8 +196,8 @@
     };
     /// The parts that the section [telemetry] enables.
     struct Telemetry {
-        Telemetry(const telemetry::Options& options, const Config& config, Loop& loop, Placement& placement,
-                  Counters& counters)
+        Telemetry(const telemetry::Options& options, const Config& config, EventLoop& loop,
+                  EndpointTable& placement, Counters& counters)
             : collector(loop, config.settings, {config.names.zones, config.names.kinds}, options, config.seed,
                         counters),
               tap(placement, collector) {}
@@ -206,10 +207,10 @@
     /// Descriptors that are not available to clients and endpoints, including those of the fleet's links.
     static std::size_t reserved_sockets(const Features& features, const Config& config) {
         std::size_t reserved = kReservedSockets;
-        if (features.fleet && (config.name.empty() || !fleet::may_be_said(config.name)))
+        if (features.fleet && (config.name.empty() || !fleet::is_valid_name(config.name)))
             throw ConfigError(config.name +
                               ": field 'name' cannot be a member name in [fleet]: 1 to 64 bytes, no blanks");
-        if (features.fleet) reserved += features.fleet->most_links + peers::Peers::kOtherSockets;
+        if (features.fleet) reserved += features.fleet->max_links + peers::Peers::kOtherSockets;
         if (reserved + kMinRequestSockets > config.sockets)
             throw ConfigError(config.name +
                               ": field 'limits.sockets' leaves no room next to the links of [fleet]");
@@ -218,10 +219,12 @@
     static std::string zone_of(const Config& config) {
         const auto& zones = config.names.zones;
         const bool named =
-            config.settings.zone < zones.size() && fleet::may_be_said(zones[config.settings.zone]);
+            config.settings.zone < zones.size() && fleet::is_valid_name(zones[config.settings.zone]);
         return named ? zones[config.settings.zone] : std::string();
     }
-    Placement& placement() { return journal_ ? static_cast<Placement&>(journal_->recorder) : upstream_; }
+    EndpointTable& placement() {
+        return journal_ ? static_cast<EndpointTable&>(journal_->recorder) : upstream_;
+    }
 
     /// Identifies this process in the journal. 63 bits, because its database stores signed numbers.
     static std::uint64_t random_boot_id() {
@@ -241,11 +244,11 @@
         // The earlier process serves until this one can. The endpoint list in the configuration may be long
         // out of date, so discovery is asked first, and at once: no other process starts with it at the same
         // moment.
-        tell(Event::TakesOver, "takes over from an earlier process");
+        log_event(Event::TakeoverStarted, "takes over from an earlier process");
         inherited_listener_ = *listener;
         awaiting_first_list_ = true;
         discovery_.subscribe();
-        first_list_timer_.set(Loop::monotonic() + kFirstListTimeout, [this] {
+        first_list_timer_.set(EventLoop::monotonic() + kFirstListTimeout, [this] {
             awaiting_first_list_ = false;
             listen_when_ready();
         });
@@ -254,44 +257,44 @@
     void listen_when_ready() {
         if (inherited_listener_ < 0 || stopping_) return;
         if (!has_endpoints())
-            return retry_timer_.set(Loop::monotonic() + kReadyPoll, [this] { listen_when_ready(); });
+            return retry_timer_.set(EventLoop::monotonic() + kReadyPoll, [this] { listen_when_ready(); });
         http_listener_.adopt(std::exchange(inherited_listener_, -1));
         announce();
     }
     void announce() {
         std::ostringstream address;
-        address << http_listener_.listens_at();
+        address << http_listener_.local_address();
         // Before the log line: whoever stops the earlier process when it appears must find that process
         // informed of its replacement.
         if (handover_)
             handover_->announce(
-                [this] { return http_listener_.listening() ? http_listener_.listener() : -1; });
-        tell(Event::Listening, "listening on " + address.str());
+                [this] { return http_listener_.listening() ? http_listener_.native_handle() : -1; });
+        log_event(Event::Listening, "listening on " + address.str());
     }
     /// Whether this process can serve: it knows an endpoint, and a process that takes over has heard it from
     /// discovery.
     bool has_endpoints() const {
-        return discovery_.knows_any() && (!awaiting_first_list_ || discovery_.heard());
+        return discovery_.has_ready() && (!awaiting_first_list_ || discovery_.received_list());
     }
     bool is_ready() const { return http_listener_.listening() && http_listener_.is_ready(); }
 
     /// The two processes of a sidecar share its socket limits during a handover.
     void share_limits(bool two_processes) {
-        http_listener_.hold_at_most(two_processes ? socket_share_ / 2 : socket_share_);
-        upstream_.hold_at_most(two_processes ? max_upstream_sockets_ / 2 : max_upstream_sockets_);
+        http_listener_.set_max_connections(two_processes ? socket_share_ / 2 : socket_share_);
+        upstream_.set_max_connections(two_processes ? max_upstream_sockets_ / 2 : max_upstream_sockets_);
     }
 
     ConsoleCommands console_commands() {
         return ConsoleCommands({[this] { return is_ready(); }, [this] { return statsd(counters_); },
                                 [this] {
                                     if (stopping_) return false;
-                                    tell(Event::Evacuates, "evacuating at an operator's request");
+                                    log_event(Event::Evacuates, "evacuating at an operator's request");
                                     http_listener_.evacuate();
                                     return true;
                                 },
                                 [this] {
                                     if (stopping_) return false;
-                                    tell(Event::Activates, "serving again at an operator's request");
+                                    log_event(Event::Activates, "serving again at an operator's request");
                                     http_listener_.activate();
                                     return true;
                                 },
@@ -332,19 +335,19 @@
     const Config& config_;
     const std::size_t socket_share_, max_upstream_sockets_;
     Counters counters_;
-    Loop loop_;
+    EventLoop loop_;
     // Declared early: a SIGHUP that arrives while the rest is being set up must not kill the process.
     asio::signal_set reload_signal_, stop_signals_;
-    Tally tally_;
+    RequestCounters tally_;
     SidecarServerProtocol server_protocol_;
     SidecarClientProtocol client_protocol_;
-    Http1Back upstream_;
+    Http1EndpointClient upstream_;
     std::unique_ptr<Journal> journal_;
     outlier::OutlierPolicy* outliers_ = nullptr;  // owned by the engine
     Engine engine_;
     std::unique_ptr<Telemetry> telemetry_;
     std::unique_ptr<peers::Peers> peers_;
-    std::unique_ptr<replica::Keeper> keeper_;
+    std::unique_ptr<replica::ReplicationService> keeper_;
     Discovery discovery_;
     HttpListener http_listener_;
     std::optional<Console> console_;
--- a/src/telemetry/collector.h
+++ b/src/telemetry/collector.h
@@ -10,8 +10,8 @@
 #include <vector>
 
 #include "core/counters.h"
+#include "core/endpoint_table.h"
 #include "core/observer.h"
-#include "core/placement.h"
 #include "telemetry/causes.h"
 #include "telemetry/options.h"
 #include "telemetry/sketch.h"
@@ -35,11 +35,12 @@
     /// The endpoint is no longer listed, also if it merely disappeared from a complete list.
     void forget(EndpointId id) { endpoints_.erase(id); }
 
-    void taken(const decision::Request& request) override;
-    void sent(const decision::RequestId& id, std::size_t attempt, EndpointId endpoint) override;
-    void ended(const decision::RequestId& id, std::size_t attempt, decision::Status status) override;
-    void completed(const decision::RequestId& id, Tally::End how, Why why) override;
-    void listed(const decision::Discovered& news) override;
+    void request_accepted(const decision::Request& request) override;
+    void attempt_sent(const decision::RequestId& id, std::size_t attempt, EndpointId endpoint) override;
+    void attempt_ended(const decision::RequestId& id, std::size_t attempt, decision::Status status) override;
+    void request_completed(const decision::RequestId& id, RequestCounters::Outcome how,
+                           CompletionReason why) override;
+    void endpoints_listed(const decision::Discovered& news) override;
 
     /// Answers a console command: `why [SECONDS]`, `story ID`, `slowest N [CLASS]`, `latencies`. Returns
     /// nothing for other commands.
@@ -89,15 +90,15 @@
 };
 
 /// Passes endpoint names to the collector on their way to the back.
-class EndpointNameTap : public Placement {
+class EndpointNameTap : public EndpointTable {
   public:
-    EndpointNameTap(Placement& to, Collector& collector) : next_(to), collector_(collector) {}
-    void name(EndpointId id, const std::string& uid) override {
+    EndpointNameTap(EndpointTable& to, Collector& collector) : next_(to), collector_(collector) {}
+    void set_name(EndpointId id, const std::string& uid) override {
         collector_.name(id, uid);
-        next_.name(id, uid);
+        next_.set_name(id, uid);
     }
-    void place(EndpointId id, const Address& address, bool ready) override {
-        next_.place(id, address, ready);
+    void set_endpoint(EndpointId id, const Address& address, bool ready) override {
+        next_.set_endpoint(id, address, ready);
     }
     void remove(EndpointId id) override {
         collector_.forget(id);
@@ -105,7 +106,7 @@
     }
 
   private:
-    Placement& next_;
+    EndpointTable& next_;
     Collector& collector_;
 };
 
--- a/tests/ledger/journal_database_test.cpp
+++ b/tests/ledger/journal_database_test.cpp
@@ -104,7 +104,7 @@
             } catch (const store::StoreError& error) {
                 if (disk.powered_off()) return outcome;
                 if (tries > 3) throw;
-                if (error.fault != store::Fault::Full) database.reset();
+                if (error.kind != store::ErrorKind::Full) database.reset();
             }
         }
         outcome.acknowledged = outcome.in_flight;
@@ -183,7 +183,7 @@
             JournalDatabase database(directory, writing);
             FAIL();
         } catch (const store::StoreError& error) {
-            EXPECT_EQ(error.fault, store::Fault::Newer) << error.what();
+            EXPECT_EQ(error.kind, store::ErrorKind::Newer) << error.what();
         }
     }
     std::filesystem::remove(directory + "/ledger.db");
@@ -202,7 +202,7 @@
 
 TEST_F(JournalOnDisk, ABoundOnTheFileIsAFullDisk) {
     store::Options options;
-    options.most_bytes = 256 * 1024;
+    options.max_bytes = 256 * 1024;
     JournalDatabase database(directory, true, options);
     const auto boot = database.register_boot(kHello);
     std::uint64_t committed_batches = 0;
@@ -217,7 +217,7 @@
             ASSERT_LT(committed_batches, 1000u);
         }
     } catch (const store::StoreError& error) {
-        EXPECT_EQ(error.fault, store::Fault::Full) << error.what();
+        EXPECT_EQ(error.kind, store::ErrorKind::Full) << error.what();
     }
     EXPECT_EQ(database.stats().requests,
               committed_batches * 50);  // no part of the failed batch is stored
