--- a/src/ledger/recorder.cpp
+++ b/src/ledger/recorder.cpp
@@ -138,12 +138,12 @@
     Handle inner_;
 };
 
-Recorder::Recorder(Scheduler& scheduler, EndpointClient& back, EndpointTable& placement, WriterLink& link,
-                   const Options& options, const std::vector<decision::RequestClass>& classes,
-                   Counters& counters)
+Recorder::Recorder(Scheduler& scheduler, EndpointClient& endpoint_client, EndpointTable& endpoint_table,
+                   WriterLink& link, const Options& options,
+                   const std::vector<decision::RequestClass>& classes, Counters& counters)
     : scheduler_(scheduler),
-      back_(back),
-      placement_(placement),
+      endpoint_client_(endpoint_client),
+      endpoint_table_(endpoint_table),
       link_(link),
       options_(options),
       written_timer_(scheduler),
@@ -161,11 +161,12 @@
         class_names_.push_back(each.name);
     }
     if (!options.key_file.empty()) digest_ = std::make_unique<BodyDigest>(options.key_file);
-    back_.on_written([this](const Message& message, EndpointId endpoint) { written(message, endpoint); });
+    endpoint_client_.on_written(
+        [this](const Message& message, EndpointId endpoint) { written(message, endpoint); });
     link_.on_change([this] { on_journal_change(); });
 }
 Recorder::~Recorder() {
-    back_.on_written(nullptr);
+    endpoint_client_.on_written(nullptr);
     link_.on_change(nullptr);
 }
 
@@ -190,7 +191,8 @@
 EndpointClient::Handle Recorder::send(EndpointId id, std::shared_ptr<const Message> message, Time end,
                                       Done done) {
     const ClassOptions& options = options_for(message->class_index);
-    if (options.level == Durability::Off) return back_.send(id, std::move(message), end, std::move(done));
+    if (options.level == Durability::Off)
+        return endpoint_client_.send(id, std::move(message), end, std::move(done));
     const RequestId request(message->id());
     RequestState& request_state = state_of(request);
     const std::uint32_t attempt = request_state.attempts++;
@@ -257,7 +259,7 @@
 
 EndpointClient::Handle Recorder::forward(EndpointId id, const std::shared_ptr<const Message>& message,
                                          Time end, Done done, std::uint32_t attempt) {
-    return back_.send(
+    return endpoint_client_.send(
         id, message, end,
         [this, request = RequestId(message->id()), attempt, done = std::move(done)](Result&& result) {
             ended(request, attempt, ending_of(result.status));
@@ -384,12 +386,12 @@
     std::ostringstream text;
     text << address;
     endpoints_[id].address = text.str();
-    placement_.set_endpoint(id, address, ready);
+    endpoint_table_.set_endpoint(id, address, ready);
 }
 
 void Recorder::remove(EndpointId id) {
     endpoints_.erase(id);
-    placement_.remove(id);
+    endpoint_table_.remove(id);
 }
 
 }  // namespace martenford::ledger
--- a/src/ledger/recorder.h
+++ b/src/ledger/recorder.h
@@ -24,8 +24,9 @@
 class Recorder : public EndpointClient, public EndpointTable, public RequestInterceptor {
   public:
     /// All references must outlive the recorder. Throws std::runtime_error if the digest key cannot be read.
-    Recorder(Scheduler& scheduler, EndpointClient& back, EndpointTable& placement, WriterLink& link,
-             const Options& options, const std::vector<decision::RequestClass>& classes, Counters& counters);
+    Recorder(Scheduler& scheduler, EndpointClient& endpoint_client, EndpointTable& endpoint_table,
+             WriterLink& link, const Options& options, const std::vector<decision::RequestClass>& classes,
+             Counters& counters);
     ~Recorder() override;
 
     /// Sets the callback that answers an open request at once: refused, or failed if a part of it may have
@@ -40,8 +41,8 @@
     }
 
     Handle send(EndpointId id, std::shared_ptr<const Message> message, Time end, Done done) override;
-    void probe(EndpointId id, Done done) override { back_.probe(id, std::move(done)); }
-    void close_idle_connections(EndpointId id) override { back_.close_idle_connections(id); }
+    void probe(EndpointId id, Done done) override { endpoint_client_.probe(id, std::move(done)); }
+    void close_idle_connections(EndpointId id) override { endpoint_client_.close_idle_connections(id); }
 
     void set_endpoint(EndpointId id, const Address& address, bool ready) override;
     void remove(EndpointId id) override;
@@ -88,8 +89,8 @@
     void erase_if_finished(const decision::RequestId& id);
 
     Scheduler& scheduler_;
-    EndpointClient& back_;
-    EndpointTable& placement_;
+    EndpointClient& endpoint_client_;
+    EndpointTable& endpoint_table_;
     WriterLink& link_;
     const Options& options_;
     std::vector<ClassOptions> classes_;
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -101,7 +101,7 @@
                                     : socket_share_),
           reload_signal_(loop_.io(), SIGHUP),
           stop_signals_(loop_.io(), SIGTERM, SIGINT),
-          tally_(counters_, config.settings.classes),
+          request_counters_(counters_, config.settings.classes),
           server_protocol_(config.settings),
           upstream_(loop_, client_protocol_, config.settings.limits, max_upstream_sockets_,
                     features.connections.per_endpoint, counters_),
@@ -110,29 +110,30 @@
                        : nullptr),
           engine_(loop_, journal_ ? static_cast<EndpointClient&>(journal_->recorder) : upstream_,
                   config.settings.limits,
-                  make_policy(config.settings, config.seed, features, counters_, &outliers_), tally_),
+                  make_policy(config.settings, config.seed, features, counters_, &outliers_),
+                  request_counters_),
           telemetry_(features.telemetry ? std::make_unique<Telemetry>(*features.telemetry, config, loop_,
-                                                                      placement(), counters_)
+                                                                      endpoint_table(), counters_)
                                         : nullptr),
           peers_(features.fleet
                      ? std::make_unique<peers::Peers>(loop_, *features.fleet, config.name, zone_of(config),
                                                       MARTENFORD_VERSION, counters_)
                      : nullptr),
-          keeper_(peers_ && features.state
-                      ? std::make_unique<replica::ReplicationService>(loop_, *features.state, *peers_,
-                                                                      features.fleet->name, counters_)
-                      : nullptr),
-          discovery_(loop_, telemetry_ ? static_cast<EndpointTable&>(telemetry_->tap) : placement(), engine_,
-                     config, membership_options(features, config.settings), counters_),
+          replication_(peers_ && features.state
+                           ? std::make_unique<replica::ReplicationService>(loop_, *features.state, *peers_,
+                                                                           features.fleet->name, counters_)
+                           : nullptr),
+          discovery_(loop_, telemetry_ ? static_cast<EndpointTable&>(telemetry_->tap) : endpoint_table(),
+                     engine_, config, membership_options(features, config.settings), counters_),
           http_listener_(
               loop_, engine_, server_protocol_, socket_share_, [this] { return has_endpoints(); }, counters_),
           first_list_timer_(loop_) {
         engine_.on_subscribe([this] { discovery_.subscribe(); });
         engine_.on_attempt_ended(
             [this](EndpointId id, decision::Status status) { discovery_.attempt_ended(id, status); });
-        if (keeper_) {
-            keeper_->on_endpoint_override([this](const std::string& uid,
-                                                 const replica::EndpointOverride& endpoint_override) {
+        if (replication_) {
+            replication_->on_endpoint_override([this](const std::string& uid,
+                                                      const replica::EndpointOverride& endpoint_override) {
                 Membership::EndpointOverride to{endpoint_override.excluded, endpoint_override.weight, {}};
                 if (endpoint_override.drains)
                     to.drain_hint = {endpoint_override.drains->revision, endpoint_override.drains->boot_ms};
@@ -142,15 +143,15 @@
                 // Not from within the module's own call: the consequences are reported back to the module.
                 outliers_->on_ejected([this](EndpointId id, std::uint32_t failures) {
                     loop_.add(loop_.now(), [this, id, failures] {
-                        if (const auto uid = discovery_.uid_of(id)) keeper_->ejected(*uid, failures);
+                        if (const auto uid = discovery_.uid_of(id)) replication_->ejected(*uid, failures);
                     });
                 });
-                keeper_->on_ejected_by_others([this](const std::string& uid) {
+                replication_->on_ejected_by_others([this](const std::string& uid) {
                     if (const auto id = discovery_.id_of(uid)) outliers_->warn(*id);
                 });
             }
             discovery_.on_drained([this](const Membership::Drained& drained, std::uint64_t revision) {
-                keeper_->drained(drained.uid, {revision, drained.boot_ms, {}});
+                replication_->drained(drained.uid, {revision, drained.boot_ms, {}});
             });
         }
         if (telemetry_) engine_.set_observer(&telemetry_->collector);
@@ -188,19 +189,20 @@
     /// The parts that the section [ledger] enables.
     struct Journal {
         Journal(const ledger::Options& options, const Config& config, EventLoop& loop,
-                Http1EndpointClient& back, Counters& counters)
+                Http1EndpointClient& endpoint_client, Counters& counters)
             : link(loop, options, config.name, random_boot_id(), counters),
-              recorder(loop, back, back, link, options, config.settings.classes, counters) {}
+              recorder(loop, endpoint_client, endpoint_client, link, options, config.settings.classes,
+                       counters) {}
         ledger::WriterLink link;
         ledger::Recorder recorder;
     };
     /// The parts that the section [telemetry] enables.
     struct Telemetry {
         Telemetry(const telemetry::Options& options, const Config& config, EventLoop& loop,
-                  EndpointTable& placement, Counters& counters)
+                  EndpointTable& endpoint_table, Counters& counters)
             : collector(loop, config.settings, {config.names.zones, config.names.kinds}, options, config.seed,
                         counters),
-              tap(placement, collector) {}
+              tap(endpoint_table, collector) {}
         telemetry::Collector collector;
         telemetry::EndpointNameTap tap;
     };
@@ -222,7 +224,7 @@
             config.settings.zone < zones.size() && fleet::is_valid_name(zones[config.settings.zone]);
         return named ? zones[config.settings.zone] : std::string();
     }
-    EndpointTable& placement() {
+    EndpointTable& endpoint_table() {
         return journal_ ? static_cast<EndpointTable&>(journal_->recorder) : upstream_;
     }
 
@@ -302,8 +304,8 @@
                                     if (telemetry_) {
                                         if (auto lines = telemetry_->collector.answer(line)) return lines;
                                     }
-                                    if (keeper_) {
-                                        if (auto lines = keeper_->answer(line)) return lines;
+                                    if (replication_) {
+                                        if (auto lines = replication_->answer(line)) return lines;
                                     }
                                     return peers_ ? peers_->answer(line) : std::nullopt;
                                 }});
@@ -338,7 +340,7 @@
     EventLoop loop_;
     // Declared early: a SIGHUP that arrives while the rest is being set up must not kill the process.
     asio::signal_set reload_signal_, stop_signals_;
-    RequestCounters tally_;
+    RequestCounters request_counters_;
     SidecarServerProtocol server_protocol_;
     SidecarClientProtocol client_protocol_;
     Http1EndpointClient upstream_;
@@ -347,7 +349,7 @@
     Engine engine_;
     std::unique_ptr<Telemetry> telemetry_;
     std::unique_ptr<peers::Peers> peers_;
-    std::unique_ptr<replica::ReplicationService> keeper_;
+    std::unique_ptr<replica::ReplicationService> replication_;
     Discovery discovery_;
     HttpListener http_listener_;
     std::optional<Console> console_;
--- a/src/telemetry/collector.cpp
+++ b/src/telemetry/collector.cpp
@@ -140,9 +140,9 @@
     OpenRequest& open = it->second;
     // Attempts that ended before they were sent do not appear in the trace.
     open.endpoints.resize(attempt + 1, EndpointId{});
-    open.steps.resize(attempt + 1, 0);
+    open.span_indices.resize(attempt + 1, 0);
     open.endpoints[attempt] = endpoint;
-    open.steps[attempt] = open.trace.spans.size() + 1;
+    open.span_indices[attempt] = open.trace.spans.size() + 1;
     open.trace.spans.push_back(
         {endpoint_info(endpoint).uid, scheduler_.now() - open.trace.started, {}, "out"});
     ++open.out;
@@ -152,8 +152,8 @@
     const auto it = open_requests_.find(id);
     if (it == open_requests_.end()) return;
     OpenRequest& open = it->second;
-    if (attempt >= open.steps.size() || open.steps[attempt] == 0) return;
-    Span& span = open.trace.spans[std::exchange(open.steps[attempt], 0) - 1];
+    if (attempt >= open.span_indices.size() || open.span_indices[attempt] == 0) return;
+    Span& span = open.trace.spans[std::exchange(open.span_indices[attempt], 0) - 1];
     span.end = scheduler_.now() - open.trace.started;
     span.outcome = name_of(status);
     --open.out;
--- a/src/telemetry/collector.h
+++ b/src/telemetry/collector.h
@@ -66,8 +66,8 @@
         std::uint32_t class_index = 0;
         std::string tenant;
         bool resent = false;
-        std::vector<EndpointId> endpoints;  // by attempt
-        std::vector<std::size_t> steps;     // by attempt: index of its span plus one; 0: none
+        std::vector<EndpointId> endpoints;      // by attempt
+        std::vector<std::size_t> span_indices;  // by attempt: index of its span plus one; 0: none
         std::size_t out = 0;
         bool over = false;
     };
--- a/tests/console/console_commands_test.cpp
+++ b/tests/console/console_commands_test.cpp
@@ -12,7 +12,7 @@
 
 using namespace martenford;
 
-struct Operator {
+struct TestOperations {
     bool ready = true, ending = false, away = false;
     int evacuations = 0;
     ConsoleCommands commands{{[this] { return ready && !away; },
@@ -30,38 +30,38 @@
                               }}};
 };
 
-TEST(ConsoleCommands, SayWhetherTheProcessIsReady) {
-    Operator console_operator;
-    EXPECT_EQ(console_operator.commands.reply("readyz"), "YES\n");
-    console_operator.ready = false;
-    EXPECT_TRUE(console_operator.commands.reply("readyz").starts_with("NO"));
+TEST(ConsoleCommands, ReadyzReportsReadiness) {
+    TestOperations operations;
+    EXPECT_EQ(operations.commands.reply("readyz"), "YES\n");
+    operations.ready = false;
+    EXPECT_TRUE(operations.commands.reply("readyz").starts_with("NO"));
 }
 
 TEST(ConsoleCommands, EvacuateUntilActivated) {
-    Operator console_operator;
-    EXPECT_EQ(console_operator.commands.reply("evacuate"), "YES\n");
-    EXPECT_TRUE(console_operator.commands.reply("readyz").starts_with("NO"));
-    EXPECT_EQ(console_operator.commands.reply("activate"), "YES\n");
-    EXPECT_EQ(console_operator.commands.reply("readyz"), "YES\n");
-    console_operator.ending = true;
-    EXPECT_TRUE(console_operator.commands.reply("evacuate").starts_with("NO"));
-    EXPECT_TRUE(console_operator.commands.reply("activate").starts_with("NO"));
+    TestOperations operations;
+    EXPECT_EQ(operations.commands.reply("evacuate"), "YES\n");
+    EXPECT_TRUE(operations.commands.reply("readyz").starts_with("NO"));
+    EXPECT_EQ(operations.commands.reply("activate"), "YES\n");
+    EXPECT_EQ(operations.commands.reply("readyz"), "YES\n");
+    operations.ending = true;
+    EXPECT_TRUE(operations.commands.reply("evacuate").starts_with("NO"));
+    EXPECT_TRUE(operations.commands.reply("activate").starts_with("NO"));
 }
 
-TEST(ConsoleCommands, FiguresEndWithALineOfTheirOwn) {
-    EXPECT_EQ(Operator().commands.reply("telemetry"), "sidecar.inflight:0|g\nEND\n");
+TEST(ConsoleCommands, MetricsEndWithAnEndLine) {
+    EXPECT_EQ(TestOperations().commands.reply("telemetry"), "sidecar.inflight:0|g\nEND\n");
 }
 
-TEST(ConsoleCommands, WhatIsNoCallIsAnsweredNoInOneLineAndDoesNothing) {
-    Operator console_operator;
+TEST(ConsoleCommands, UnknownCommandsAreAnsweredNoInOneLineAndDoNothing) {
+    TestOperations operations;
     for (const char* line :
          {"", " \r", "evacuate now", "EVACUATE", "readyz\n", "\x01\xff", "GET / HTTP/1.1"}) {
-        const std::string reply = console_operator.commands.reply(line);
+        const std::string reply = operations.commands.reply(line);
         EXPECT_TRUE(reply.starts_with("NO ")) << line;
         EXPECT_EQ(reply.find('\n'), reply.size() - 1) << line;
     }
-    EXPECT_EQ(console_operator.evacuations, 0);
-    EXPECT_EQ(console_operator.commands.reply(" readyz \r"), "YES\n");  // whitespace that a terminal may add
+    EXPECT_EQ(operations.evacuations, 0);
+    EXPECT_EQ(operations.commands.reply(" readyz \r"), "YES\n");  // whitespace that a terminal may add
 }
 
 TEST(Statsd, WritesEachClassAndGaugeOnceAndLeavesOthersOut) {
--- a/tests/console/console_test.cpp
+++ b/tests/console/console_test.cpp
@@ -10,13 +10,13 @@
 
 using namespace martenford::standins;
 
-class ConsoleOfOne : public testing::Test {
+class ConsoleProcess : public testing::Test {
   protected:
     Listener discovery, endpoint;
     Sidecar sidecar{with_console(config(discovery.address(), target("s-1", endpoint.address())))};
 };
 
-TEST_F(ConsoleOfOne, AnswersOneLineAConnection) {
+TEST_F(ConsoleProcess, AnswersOneLinePerConnection) {
     EXPECT_EQ(sidecar.call("readyz"), "YES\n");
     EXPECT_EQ(sidecar.call("readyz\r"), "YES\n");
     EXPECT_TRUE(sidecar.call("what").starts_with("NO "));
@@ -27,23 +27,23 @@
     EXPECT_TRUE(has(figures, "sidecar.hosts_down:0|g\n")) << figures;
 }
 
-TEST_F(ConsoleOfOne, IsNotReadyWhileNoEndpointIsKnown) {
+TEST_F(ConsoleProcess, IsNotReadyWhileNoEndpointIsKnown) {
     Listener other;
     Sidecar fresh(with_console(config(other.address(), "")));
     EXPECT_TRUE(fresh.call("readyz").starts_with("NO"));
 }
 
-TEST_F(ConsoleOfOne, CallersThatSayNothingOrHalfALineKeepNobodyOut) {
-    std::vector<Peer> mute;
+TEST_F(ConsoleProcess, IdleConnectionsDoNotBlockNewOnes) {
+    std::vector<Peer> idle_peers;
     for (int i = 0; i < 200; ++i) {
-        mute.push_back(Peer::to(sidecar.console_port()));
-        if (i % 2) mute.back().send("ready");
+        idle_peers.push_back(Peer::to(sidecar.console_port()));
+        if (i % 2) idle_peers.back().send("ready");
     }
     EXPECT_EQ(sidecar.call("readyz"), "YES\n");
-    for (Peer& peer : mute) EXPECT_TRUE(peer.is_closed());  // and are disconnected in the end
+    for (Peer& peer : idle_peers) EXPECT_TRUE(peer.is_closed());  // and are disconnected in the end
 }
 
-TEST_F(ConsoleOfOne, CountsRequestsByClassAndEndAndAttemptsWrittenWhole) {
+TEST_F(ConsoleProcess, CountsRequestsByClassAndResultAndWrittenAttempts) {
     Peer client = sidecar.client();
     client.send(look("r1"));
     Peer at_endpoint = endpoint.accept();
@@ -71,7 +71,7 @@
               0.0);
 }
 
-TEST_F(ConsoleOfOne, EvacuationClosesConnectionsAsTheyFallIdleAndLosesNothing) {
+TEST_F(ConsoleProcess, EvacuationClosesConnectionsWhenTheyBecomeIdle) {
     Peer idle = sidecar.client(), open = sidecar.client();
     idle.send("GET /-/ready HTTP/1.1\r\nHost: a\r\n\r\n");
     EXPECT_EQ(status_of(idle.receive()), 200);
--- a/tests/ledger/golden_test.cpp
+++ b/tests/ledger/golden_test.cpp
@@ -139,7 +139,7 @@
     EXPECT_EQ(read_record("record-written.bin", Written{4}).attempt, 4u);
 }
 
-TEST(GoldenLedgerFrames, EndedEveryWayWithItsNumber) {
+TEST(GoldenLedgerFrames, EndedWithEveryEndingByNumber) {
     for (int number = 1; number < kEndingCount; ++number) {
         const auto ending = static_cast<Ending>(number);
         const auto read = read_record("record-ended-" + std::to_string(number) + ".bin", Ended{5, ending});
@@ -158,7 +158,7 @@
     EXPECT_EQ(static_cast<int>(Ending::Withheld), 9);
 }
 
-TEST(GoldenLedgerFrames, AnsweredEveryWayWithItsNumber) {
+TEST(GoldenLedgerFrames, AnsweredWithEveryAnswerByNumber) {
     for (int number = 1; number < kFinalAnswerCount; ++number) {
         const auto read = read_record("record-answered-" + std::to_string(number) + ".bin",
                                       Answered{static_cast<FinalAnswer>(number)});
@@ -178,7 +178,7 @@
     EXPECT_EQ(read.reason, "the disk was full");
 }
 
-TEST(GoldenLedgerFrames, WhatTheWriterSays) {
+TEST(GoldenLedgerFrames, MessagesFromTheWriter) {
     EXPECT_EQ(std::get<Ready>(read_from("ready.bin", Ready{401})).version, 401u);
     EXPECT_EQ(std::get<Ack>(read_from("ack.bin", Ack{402})).up_to, 402u);
     EXPECT_EQ(std::get<Trouble>(read_from("trouble.bin", Trouble{"no room"})).what, "no room");
@@ -291,7 +291,7 @@
     EXPECT_EQ(gaps[0].reason, "the disk was full");
 }
 
-TEST(GoldenLedgerFile, ItIsFoundByIdAndKeyAndGoesOn) {
+TEST(GoldenLedgerFile, RequestsAreFoundByIdAndKeyAndTheBootContinues) {
     golden::Folder copy(path_of("journal"));
     JournalDatabase database(copy.at, true);
     std::vector<std::uint64_t> serials;
@@ -313,7 +313,7 @@
     EXPECT_EQ(database.verify(), std::vector<std::string>{});
 }
 
-TEST(GoldenLedgerArchive, TheWordsInItStay) {
+TEST(GoldenLedgerArchive, StoredTextsStayTheSame) {
     ASSERT_EQ(kEndingWords.size(), static_cast<std::size_t>(kEndingCount));
     ASSERT_EQ(kAnswerWords.size(), static_cast<std::size_t>(kFinalAnswerCount));
     for (std::size_t at = 0; at < kEndingWords.size(); ++at)
@@ -324,7 +324,7 @@
         EXPECT_EQ(name_of(static_cast<Effect>(at)), kEffectWords[at]);
 }
 
-TEST(GoldenLedgerArchive, ItsFilesAreMadeAlikeFromTheSameJournal) {
+TEST(GoldenLedgerArchive, TheSameJournalGivesTheSameFiles) {
     golden::Folder made(path_of("journal"));
     {
         JournalDatabase database(made.at, true);
--- a/tests/ledger/journal_database_test.cpp
+++ b/tests/ledger/journal_database_test.cpp
@@ -120,7 +120,7 @@
 
 class FaultAtEveryStep : public testing::TestWithParam<std::pair<FaultyDisk::Fault, const char*>> {};
 
-TEST_P(FaultAtEveryStep, WhatWasAcknowledgedIsThereAndBatchesAreWholeOrNotThere) {
+TEST_P(FaultAtEveryStep, AcknowledgedBatchesSurviveAndBatchesAreAtomic) {
     const std::uint64_t all = count_operations();
     ASSERT_GT(all, 100u);
     for (std::uint64_t at = 0; at < all; ++at) {
@@ -173,7 +173,7 @@
     std::string directory;
 };
 
-TEST_F(JournalOnDisk, AFileOfALaterVersionIsRefusedAndAnOlderOneIsRead) {
+TEST_F(JournalOnDisk, RefusesANewerFileVersionAndReadsAnOlderOne) {
     {
         store::Database db(directory + "/ledger.db", {});
         db.execute("PRAGMA user_version=99");
@@ -200,7 +200,7 @@
     EXPECT_EQ(histories_in(newer).size(), 1u);
 }
 
-TEST_F(JournalOnDisk, ABoundOnTheFileIsAFullDisk) {
+TEST_F(JournalOnDisk, AFileAtItsSizeLimitIsReportedAsAFullDisk) {
     store::Options options;
     options.max_bytes = 256 * 1024;
     JournalDatabase database(directory, true, options);
@@ -224,7 +224,7 @@
     EXPECT_GT(committed_batches, 0u);
 }
 
-TEST_F(JournalOnDisk, ArchivesHoldWhatTheFileHeldAndABrokenOneIsIsolated) {
+TEST_F(JournalOnDisk, ArchivesHoldTheMovedRequestsAndACorruptedOneIsSkipped) {
     JournalDatabase database(directory, true);
     const auto boot = database.register_boot(kHello);
     std::vector<Record> records;
@@ -279,7 +279,7 @@
     EXPECT_EQ(archives.totals().archives, 0u);
 }
 
-TEST_F(JournalOnDisk, ReconcilingTellsAgreementsDoubtsAndContradictionsApart) {
+TEST_F(JournalOnDisk, ReconciliationSeparatesAgreementsDoubtsAndContradictions) {
     JournalDatabase database(directory, true);
     const auto boot = database.register_boot(kHello);
     std::uint64_t sequence = 0;
--- a/tests/ledger/ledger_process_test.cpp
+++ b/tests/ledger/ledger_process_test.cpp
@@ -104,7 +104,7 @@
     }
 };
 
-TEST_F(Ledger, TellsWhereARequestWentAndWhatCameBack) {
+TEST_F(Ledger, ShowsWhereARequestWasSentAndHowItEnded) {
     Sidecar sidecar(platform, own_config(directory));
     Peer client = sidecar.client();
     client.send(debit("r1"));
@@ -126,7 +126,7 @@
     EXPECT_EQ(run_ledger("verify --directory " + directory.path()).text, "nothing is wrong\n");
 }
 
-TEST_F(Ledger, WhatWasOpenWhenTheSidecarDiedPossiblyRan) {
+TEST_F(Ledger, RequestsOpenWhenTheSidecarDiesPossiblyRan) {
     std::optional<Sidecar> killed(std::in_place, platform, own_config(directory));
     Peer client = killed->client();
     client.send(debit("r1"));
@@ -145,7 +145,7 @@
     EXPECT_TRUE(has(open, "ending is not known")) << open;
 }
 
-TEST_F(Ledger, AWriterThatIsKilledIsStartedAgainAndNothingIsLost) {
+TEST_F(Ledger, AKilledWriterIsRestartedAndNothingIsLost) {
     Sidecar sidecar(platform, own_config(directory));
     Peer client = sidecar.client();
     client.send(debit("r1"));
@@ -165,7 +165,7 @@
     wait_until_found("r2", "answer: served");
 }
 
-TEST_F(Ledger, AWriterThatOutlivesItsSidecarHoldsNothingOfIts) {
+TEST_F(Ledger, AWriterThatOutlivesItsSidecarHoldsNoneOfItsSockets) {
     auto sidecar = std::make_unique<Sidecar>(platform, own_config(directory));
     Peer client = sidecar->client();
     client.send(debit("r1"));
@@ -181,7 +181,7 @@
     kill(writer, SIGCONT);
 }
 
-TEST_F(Ledger, WithoutAWriterUnsafeRequestsAreRefusedAtOnceAndOthersServed) {
+TEST_F(Ledger, WithoutAWriterNonIdempotentRequestsAreRefusedAndOthersServed) {
     std::ofstream(directory.path() + "/no-writer") << "";
     Sidecar sidecar(platform, own_config(directory, "helper = \"" + directory.path() + "/no-writer\"\n"));
     Peer client = sidecar.client();
@@ -195,7 +195,7 @@
     EXPECT_EQ(body_of(client.receive()), "look");
 }
 
-TEST_F(Ledger, AWriterThatHangsHoldsARequestNoLongerThanIsSaid) {
+TEST_F(Ledger, AHungWriterDelaysARequestNoLongerThanTheHoldTimeout) {
     Sidecar sidecar(platform, own_config(directory, "hold = \"150ms\"\nack_within = \"400ms\"\n"));
     Peer client = sidecar.client();
     client.send(debit("r1"));
@@ -224,7 +224,7 @@
     wait_until_found("r2", "never ran");
 }
 
-TEST_F(Ledger, AClassThatGoesOnIsSentUnjournaledAndLoudly) {
+TEST_F(Ledger, GoOnClassesAreSentUnjournaledWithALogLine) {
     Sidecar sidecar(platform, own_config(directory, "helper = \"/nonexistent\"\noutage = \"go-on\"\n"));
     Peer client = sidecar.client();
     client.send(debit("r1"));
@@ -235,7 +235,7 @@
     EXPECT_EQ(body_of(client.receive()), "1");
 }
 
-TEST_F(Ledger, ASecondSidecarOnOneDirectoryRefusesAndTheFirstGoesOn) {
+TEST_F(Ledger, ASecondSidecarOnADirectoryRefusesAndTheFirstContinues) {
     Sidecar first(platform, own_config(directory));
     Peer client = first.client();
     client.send(debit("r1"));
@@ -254,7 +254,7 @@
     wait_until_found("r1", "answer: served");
 }
 
-TEST_F(Ledger, AnUpgradesSuccessorWritesBesideItsElderAndConcludesOnceThatHasEnded) {
+TEST_F(Ledger, AfterAnUpgradeTheSuccessorWritesAtOnceAndConcludesWhenThePredecessorHasEnded) {
     const Directory shared;
     const std::vector<std::string> environment{"TMPDIR=" + shared.path()};
     const std::string listed = list(42, true, target("s-1", endpoint.address()));
@@ -303,7 +303,7 @@
     wait_until_found("r3", "answer: served");
 }
 
-TEST_F(Ledger, AFullFileRefusesUnsafeRequestsAndServesOthersAndTheJournalStaysTrue) {
+TEST_F(Ledger, AFullFileRefusesNonIdempotentRequestsAndTheJournalStaysConsistent) {
     Sidecar sidecar(platform, own_config(directory, "most_mb = 1\nlevel = \"sync\"\n"));
     Peer client = sidecar.client();
     Peer at_endpoint = [&] {
@@ -452,7 +452,7 @@
     return journaled;
 }
 
-TEST(LedgerKills, WhatRanIsNeverShownAsUnsentAndNoAnswerIsRecordedThatWasNotSent) {
+TEST(LedgerKills, RequestsThatRanAreNeverReportedAsNeverRunAndRecordedAnswersWereSent) {
     const char* configured = std::getenv("MARTENFORD_KILLS");  // tests/long/ledger_kills.sh runs more
     const int kills = configured ? std::atoi(configured) : 20;
     constexpr int kClients = 8;
@@ -535,7 +535,7 @@
 
 // ---- a disk that fails ------------------------------------------------------------------------------
 
-TEST_F(Ledger, ADiskThatFailsForAWhileRefusesUnsafeRequestsAloneAndItGoesOnByItself) {
+TEST_F(Ledger, ADiskThatFailsForAWhileRefusesOnlyNonIdempotentRequestsAndRecovers) {
     const char* configured = std::getenv("MARTENFORD_OUTAGE_MS");  // tests/long/ledger_kills.sh uses 10 s
     const std::chrono::milliseconds outage(configured ? std::atoi(configured) : 600);
     LedgerTier tier(2);
@@ -560,10 +560,10 @@
     const std::size_t before = ran();
     std::this_thread::sleep_for(outage);
     EXPECT_EQ(ran(), before);  // no non-idempotent request is sent
-    const auto back = std::chrono::steady_clock::now();
+    const auto restored_at = std::chrono::steady_clock::now();
     ASSERT_EQ(prlimit(writer, RLIMIT_FSIZE, &all, nullptr), 0);
     await([&] { return ran() > before; });
-    const auto took = std::chrono::steady_clock::now() - back;
+    const auto took = std::chrono::steady_clock::now() - restored_at;
     await([&] { return ran() > before + 50; });
     stop = true;
     unsafe.join();
--- a/tests/ledger/request_history_test.cpp
+++ b/tests/ledger/request_history_test.cpp
@@ -58,7 +58,7 @@
 
 // ---- request histories ------------------------------------------------------------------------------
 
-RC_GTEST_PROP(RequestHistory, IsTheSameInAnyOrderAndHoweverOftenItIsTold, ()) {
+RC_GTEST_PROP(RequestHistory, IsIndependentOfTheOrderAndRepetitionOfRecords, ()) {
     const auto records = *rc::gen::container<std::vector<Record>>(any_record());
     auto shuffled = records;
     for (const Record& record : records) {
@@ -99,7 +99,7 @@
     return simulated;
 }
 
-TEST(RequestHistory, WhatPossiblyRanIsNeverConcludedAsNeverRunAtAnyCut) {
+TEST(RequestHistory, RequestsThatMayHaveRunAreNeverConcludedAsNeverRun) {
     std::mt19937_64 random(24);
     for (int round = 0; round < 200'000; ++round) {
         const SimulatedRequest simulated = simulate(random);
@@ -117,7 +117,7 @@
     }
 }
 
-TEST(RequestHistory, GivesTheReasonThatDecides) {
+TEST(RequestHistory, NamesTheDecidingAttempt) {
     struct Case {
         std::vector<decltype(Record::payload)> payloads;
         Effect effect;
@@ -153,7 +153,7 @@
     }
 }
 
-TEST(RequestHistory, TakesTheTimeFromTheClockThatNeverSteps) {
+TEST(RequestHistory, OrdersIntentsByTheMonotonicClock) {
     Record early = record_of(1, 5000, Intent{0, "r", "debit", "", "", "s", "a"});
     Record late =
         record_of(2, 1000, Intent{1, "r", "debit", "", "", "s", "a"});  // the wall clock was set back
@@ -164,7 +164,7 @@
 
 // ---- frames -----------------------------------------------------------------------------------------
 
-RC_GTEST_PROP(Frame, ComesBackAsItWasInWhateverPieces, ()) {
+RC_GTEST_PROP(Frame, RoundTripsWhenReadInPieces, ()) {
     const auto records = *rc::gen::container<std::vector<Record>>(any_record());
     std::string bytes;
     for (const Record& record : records) bytes += frame_of(ToWriter{record});
@@ -180,7 +180,7 @@
     RC_ASSERT(reader.empty());
 }
 
-TEST(Frame, AFlippedBitIsNeverTakenForARecord) {
+TEST(Frame, AFlippedBitIsDetected) {
     const std::string whole =
         frame_of(ToWriter{record_of(1, 2, Intent{0, "r1", "debit", "key", "", "s-1", "a:1"})});
     int caught = 0;
@@ -198,7 +198,7 @@
     EXPECT_GT(caught, static_cast<int>(whole.size()) * 7);
 }
 
-TEST(Frame, ARecordThatSaysNothingKnownIsRefused) {
+TEST(Frame, InvalidMessagesAreRefused) {
     EXPECT_THROW(read_to_writer(""), FrameError);
     EXPECT_THROW(read_to_writer("\xff\xff"), FrameError);
     Record beyond = record_of(1, 1, Ended{0, static_cast<Ending>(kEndingCount)});
@@ -211,7 +211,7 @@
 
 // ---- batches ----------------------------------------------------------------------------------------
 
-TEST(GroupCommit, IsClosedByCountBytesDelayOrAnUrgentOne) {
+TEST(GroupCommit, ClosesByCountBytesDelayOrAnUrgentRecord) {
     const GroupCommit::Options options{3, 100, 5ms};
     const Time start{1s};
     struct Case {
@@ -235,7 +235,7 @@
 
 // ---- pending records --------------------------------------------------------------------------------
 
-TEST(PendingRecords, DecidesByLevelPolicyAndTheWritersHealth) {
+TEST(PendingRecords, DecidesByDurabilityPolicyAndWriterHealth) {
     using Decision = PendingRecords::SendDecision;
     PendingRecords::Options options;
     PendingRecords pending(options);
@@ -269,7 +269,7 @@
            Decision::SendUnjournaled);
 }
 
-TEST(PendingRecords, ABackoffGrowsToItsBoundAndIsForgottenAfterASteadyRun) {
+TEST(PendingRecords, TheBackoffGrowsToItsMaximumAndIsResetByAStableRun) {
     PendingRecords::Options options;
     PendingRecords pending(options);
     Time t{1s};
@@ -291,7 +291,7 @@
 
 /// Against a simple model: every queued record is acknowledged once, in order, or still waits; no record is
 /// handed to a writer before the ones ahead of it, and the limits hold.
-TEST(PendingRecords, LosesNothingOverAnyOrderOfEvents) {
+TEST(PendingRecords, LosesNothingInAnyOrderOfEvents) {
     std::mt19937_64 random(7);
     PendingRecords::Options options;
     options.max_records = 64;
@@ -299,7 +299,7 @@
     for (int seed = 0; seed < 200; ++seed) {
         PendingRecords pending(options);
         Time now{1s};
-        std::uint64_t next = 0, durable = 0, with_writer = 0;
+        std::uint64_t next = 0, durable = 0, written_to_writer = 0;
         std::vector<std::uint64_t> taken;
         for (int step = 0; step < 1000; ++step) {
             now += Duration{static_cast<Duration::rep>(random() % 300'000'000)};
@@ -320,7 +320,7 @@
                 case 3:
                     if (pending.health() == PendingRecords::Health::Down && now >= *pending.restart_at()) {
                         pending.writer_started(now);
-                        with_writer = durable;
+                        written_to_writer = durable;
                     }
                     break;
                 case 4:
@@ -332,13 +332,13 @@
                     for (std::size_t at = 0; at < bytes.size(); at += 8) {
                         std::uint64_t sequence = 0;
                         std::copy_n(bytes.data() + at, 8, reinterpret_cast<char*>(&sequence));
-                        ASSERT_EQ(sequence, ++with_writer);
+                        ASSERT_EQ(sequence, ++written_to_writer);
                     }
                     break;
                 }
                 case 6:
-                    if (with_writer > durable && pending.health() == PendingRecords::Health::Up) {
-                        durable += 1 + random() % (with_writer - durable);
+                    if (written_to_writer > durable && pending.health() == PendingRecords::Health::Up) {
+                        durable += 1 + random() % (written_to_writer - durable);
                         pending.acknowledged(durable, now);
                     }
                     break;
--- a/tests/telemetry/telemetry_process_test.cpp
+++ b/tests/telemetry/telemetry_process_test.cpp
@@ -23,7 +23,7 @@
     return output;
 }
 
-TEST(Telemetry, TellsTheStoryOfARequestAndWhatExplainsTheBadOnes) {
+TEST(Telemetry, PrintsARequestTraceAndExplainsBadRequests) {
     Listener discovery, sound, broken;
     const std::string both = target("s-sound", sound.address()) + "," + target("s-broken", broken.address());
     Sidecar sidecar(with_console(config(discovery.address(), both)), "[telemetry]\n");
@@ -71,7 +71,7 @@
     EXPECT_EQ(why(sidecar, "unknown-id"), "none is kept of it\n");
 }
 
-TEST(Telemetry, IsNoCallWhereItIsOff) {
+TEST(Telemetry, CommandsAreUnknownWhenDisabled) {
     Listener discovery, endpoint;
     Sidecar sidecar(with_console(config(discovery.address(), target("s-1", endpoint.address()))));
     EXPECT_TRUE(sidecar.call("why").starts_with("NO such call"));
--- a/tests/telemetry/telemetry_test.cpp
+++ b/tests/telemetry/telemetry_test.cpp
@@ -21,7 +21,7 @@
 
 // ---- sketches ---------------------------------------------------------------------------------------
 
-TEST(QuantileSketch, KeepsItsBoundOnEveryQuantileOfManyShapes) {
+TEST(QuantileSketch, KeepsItsErrorBoundForManyDistributions) {
     std::mt19937_64 random(1);
     for (int seed = 0; seed < 30; ++seed) {
         std::vector<double> values;
@@ -51,7 +51,7 @@
     }
 }
 
-TEST(QuantileSketch, IsBoundedWhateverComesAndKeepsTheHighQuantiles) {
+TEST(QuantileSketch, BoundsItsMemoryAndKeepsTheHighQuantiles) {
     QuantileSketch sketch(0.01);
     for (int exponent = -6; exponent <= 300; ++exponent) sketch.add(std::pow(10.0, exponent), 10);
     EXPECT_LE(sketch.buckets(), QuantileSketch::kMaxBuckets);
@@ -69,7 +69,7 @@
 
 // ---- trace contexts -----------------------------------------------------------------------------------
 
-TEST(TraceContext, IsReadAsTheRecommendationSays) {
+TEST(TraceContext, IsParsedAsTheRecommendationSpecifies) {
     const std::string id = "0af7651916cd43dd8448eb211c80319c", span = "b7ad6b7169203331";
     const std::string good = "00-" + id + "-" + span + "-01";
     const auto read = read_trace_context(good, "rojo=00f067aa0ba902b7,congo=t61rcWkgMzE");
@@ -105,7 +105,7 @@
     }
 }
 
-RC_GTEST_PROP(TraceContext, AnythingIsReadOrRefusedAndWhatIsReadComesBack, (const std::string& text)) {
+RC_GTEST_PROP(TraceContext, ParsesOrRefusesAnyTextAndRoundTrips, (const std::string& text)) {
     const auto read = read_trace_context(text, text);
     if (read) RC_ASSERT(read_trace_context(traceparent_of(*read), read->state) == read);
 }
@@ -124,7 +124,7 @@
     return result;
 }
 
-TEST(TailSampler, KeepsEveryBadOneThatHasRoomAndASampleOfTheRestWithinItsBound) {
+TEST(TailSampler, KeepsAllFailuresAndASampleOfTheRestWithinItsLimit) {
     TailSampler::Options options;
     options.max_traces = 200;
     TailSampler sampler(options, 3);
@@ -153,7 +153,7 @@
     EXPECT_EQ(sampler.size(), 1u);
 }
 
-TEST(TailSampler, AFloodOfFailuresKeepsNeitherEarlierStretchesNorOtherReasonsOut) {
+TEST(TailSampler, AFloodOfFailuresDoesNotDisplaceOtherWindowsOrReasons) {
     TailSampler::Options options;
     options.max_traces = 100;
     TailSampler sampler(options, 3);
@@ -165,7 +165,7 @@
     EXPECT_LE(sampler.size(), 12u);
 }
 
-TEST(TailSampler, ARarePathIsKeptBesideAMillionUsualOnes) {
+TEST(TailSampler, KeepsARarePathAmongManyNormalOnes) {
     TailSampler sampler({}, 3);
     for (int i = 0; i < 50'000; ++i) sampler.offer(trace(i, Time{600s}, "served"));
     sampler.offer(trace(-1, Time{601s}, "served", false, {"full", "full", "ok"}));
@@ -175,7 +175,7 @@
     EXPECT_EQ(TailSampler::path_of(*rare), "look:served,full,full,ok");
 }
 
-TEST(TailSampler, TheReservoirIsFair) {
+TEST(TailSampler, TheReservoirIsUniform) {
     TailSampler::Options options;
     options.max_traces = 100;
     options.windows = 1;
@@ -193,7 +193,7 @@
 
 // ---- cause analysis -------------------------------------------------------------------------------------
 
-TEST(CauseAnalyzer, TheChanceIsFishersExactOne) {
+TEST(CauseAnalyzer, ThePValueIsThatOfFishersExactTest) {
     // R: phyper(q - 1, K, N - K, n, lower.tail = FALSE)
     EXPECT_NEAR(fisher_p_value(3, 4, 4, 8), 17.0 / 70.0, 1e-12);
     EXPECT_NEAR(fisher_p_value(4, 4, 4, 8), 1.0 / 70.0, 1e-12);
@@ -279,7 +279,7 @@
     return causes.explain(now, 300s, max_causes);
 }
 
-TEST(CauseAnalyzer, TheTrueOneIsAmongTheFirstThreeAndMostlyFirst) {
+TEST(CauseAnalyzer, TheTrueCauseIsAmongTheFirstThreeAndMostlyFirst) {
     int first = 0, all = 0;
     for (const Fault& fault : kFaults) {
         for (unsigned seed = 1; seed <= 10; ++seed, ++all) {
@@ -294,13 +294,13 @@
     EXPECT_GE(first, all * 9 / 10) << "of " << all;
 }
 
-TEST(CauseAnalyzer, WithoutAFaultNothingIsNamedOrSeldom) {
+TEST(CauseAnalyzer, WithoutAFaultCausesAreReportedRarely) {
     int named = 0;
     for (unsigned seed = 1; seed <= 50; ++seed) named += !causes_of(nullptr, seed, 3).empty();
     EXPECT_LE(named, 2);
 }
 
-TEST(CauseAnalyzer, OldCountsGoAndTenThousandNamesStayWithinTheBound) {
+TEST(CauseAnalyzer, OldCountsExpireAndTheNumberOfValuesIsLimited) {
     CauseAnalyzer::Options options;
     options.max_values = 100;
     CauseAnalyzer causes({"endpoint"}, options);
