--- a/src/console/console.cpp
+++ b/src/console/console.cpp
@@ -89,8 +89,9 @@
       commands_(std::move(commands)),
       acceptor_(loop.io()),
       accept_timer_(loop),
-      answered_(counters.counter("console.answered", "calls of operators answered")),
-      cut_off_(counters.counter("console.cut_off", "callers that never said a whole line")) {
+      answered_(counters.counter("console.answered", "console commands answered")),
+      cut_off_(
+          counters.counter("console.cut_off", "console connections closed before a whole line arrived")) {
     acceptor_.open(listen.protocol());
     acceptor_.set_option(asio::socket_base::reuse_address(true));
     acceptor_.bind(listen);
--- a/src/ledger/recorder.cpp
+++ b/src/ledger/recorder.cpp
@@ -54,7 +54,8 @@
 
 }  // namespace
 
-/// An attempt whose intent is not durable yet. Once it is, this forwards to the back's own attempt.
+/// An attempt whose intent is not durable yet. Once it is, this forwards to the attempt of the endpoint
+/// client.
 class Recorder::HeldAttempt : public EndpointClient::Attempt,
                               public std::enable_shared_from_this<HeldAttempt> {
   public:
@@ -81,8 +82,8 @@
         const auto self = shared_from_this();
         recorder_.release_(RequestId(message_->id()));
         if (!is_waiting()) return;
-        // The back's attempt keeps this object alive until it ends: the engine reaches the attempt through
-        // it.
+        // The endpoint client's attempt keeps this object alive until it ends: the engine reaches the attempt
+        // through it.
         Done done = [self, done = std::exchange(done_, nullptr)](Result&& result) {
             done(std::move(result));
         };
--- a/src/ledger/recorder.h
+++ b/src/ledger/recorder.h
@@ -1,6 +1,6 @@
-// A decorator between the engine and its back that writes the journal: it records a non-idempotent request
-// before its first byte is sent, and how the request ended afterwards. Neither the engine nor the back
-// depends on it.
+// A decorator between the engine and its endpoint client that writes the journal: it records a non-idempotent
+// request before its first byte is sent, and how the request ended afterwards. Neither the engine nor the
+// endpoint client depends on it.
 #pragma once
 
 #include <cstdint>
--- a/src/telemetry/collector.cpp
+++ b/src/telemetry/collector.cpp
@@ -89,9 +89,9 @@
       attempts_({"endpoint", "zone", "kind", "class"}, options.causes),
       sampler_(options.sampler, seed),
       latencies_(settings.classes.size()),
-      offered_(counters.counter("telemetry.stories", "requests whose story was told")),
-      kept_(counters.counter("telemetry.kept", "of them, kept for a while")) {
-    counters.gauge("telemetry.evicted_values", "names that gave way to others in the search for causes",
+      offered_(counters.counter("telemetry.stories", "requests whose trace was completed")),
+      kept_(counters.counter("telemetry.kept", "traces that the tail sampler kept")) {
+    counters.gauge("telemetry.evicted_values", "attribute values evicted from the cause analysis",
                    [this] { return static_cast<double>(requests_.evicted() + attempts_.evicted()); });
 }
 
--- a/src/telemetry/collector.h
+++ b/src/telemetry/collector.h
@@ -30,7 +30,7 @@
     Collector(const Scheduler& scheduler, const decision::Settings& settings, AttributeNames names,
               const Options& options, std::uint64_t seed, Counters& counters);
 
-    /// Sets an endpoint's uid, as announced to the placement.
+    /// Sets an endpoint's uid, as announced to the endpoint table.
     void name(EndpointId id, const std::string& uid);
     /// The endpoint is no longer listed, also if it merely disappeared from a complete list.
     void forget(EndpointId id) { endpoints_.erase(id); }
@@ -89,7 +89,7 @@
     Counter &offered_, &kept_;
 };
 
-/// Passes endpoint names to the collector on their way to the back.
+/// Passes endpoint names to the collector on their way to the endpoint table.
 class EndpointNameTap : public EndpointTable {
   public:
     EndpointNameTap(EndpointTable& to, Collector& collector) : next_(to), collector_(collector) {}
