--- a/src/telemetry/collector.cpp
+++ b/src/telemetry/collector.cpp
@@ -15,9 +15,9 @@
 
 namespace {
 
-constexpr std::size_t kMaxCauses = 5;                          // told at once: more are for a closer look
-constexpr std::uint64_t kDefaultSince = 300, kMaxSince = 310;  // seconds: what the counts reach back
-constexpr std::uint64_t kMaxSlowest = 100;                     // told at once, some hundred bytes each
+constexpr std::size_t kMaxCauses = 5;                          // per reply; more would not help a first look
+constexpr std::uint64_t kDefaultSince = 300, kMaxSince = 310;  // seconds; the counts reach back no further
+constexpr std::uint64_t kMaxSlowest = 100;                     // per reply; some hundred bytes each
 
 const char* name_of(Status status) {
     switch (status) {
@@ -89,9 +89,9 @@
       attempts_({"endpoint", "zone", "kind", "class"}, options.causes),
       sampler_(options.sampler, seed),
       latencies_(settings.classes.size()),
-      offered_(counters.counter("telemetry.stories", "requests whose story was told")),
-      kept_(counters.counter("telemetry.kept", "of them, kept for a while")) {
-    counters.gauge("telemetry.evicted_values", "names that gave way to others in the search for causes",
+      offered_(counters.counter("telemetry.stories", "requests whose trace was completed")),
+      kept_(counters.counter("telemetry.kept", "traces that the tail sampler kept")) {
+    counters.gauge("telemetry.evicted_values", "attribute values evicted from the cause analysis",
                    [this] { return static_cast<double>(requests_.evicted() + attempts_.evicted()); });
 }
 
@@ -138,11 +138,11 @@
     const auto it = open_requests_.find(id);
     if (it == open_requests_.end()) return;
     OpenRequest& open = it->second;
-    // Attempts that ended before they were sent have no place in the story.
+    // Attempts that ended before they were sent do not appear in the trace.
     open.endpoints.resize(attempt + 1, EndpointId{});
-    open.steps.resize(attempt + 1, 0);
+    open.span_indices.resize(attempt + 1, 0);
     open.endpoints[attempt] = endpoint;
-    open.steps[attempt] = open.trace.spans.size() + 1;
+    open.span_indices[attempt] = open.trace.spans.size() + 1;
     open.trace.spans.push_back(
         {endpoint_info(endpoint).uid, scheduler_.now() - open.trace.started, {}, "out"});
     ++open.out;
@@ -152,8 +152,8 @@
     const auto it = open_requests_.find(id);
     if (it == open_requests_.end()) return;
     OpenRequest& open = it->second;
-    if (attempt >= open.steps.size() || open.steps[attempt] == 0) return;
-    Span& span = open.trace.spans[std::exchange(open.steps[attempt], 0) - 1];
+    if (attempt >= open.span_indices.size() || open.span_indices[attempt] == 0) return;
+    Span& span = open.trace.spans[std::exchange(open.span_indices[attempt], 0) - 1];
     span.end = scheduler_.now() - open.trace.started;
     span.outcome = name_of(status);
     --open.out;
@@ -181,7 +181,7 @@
     open.over = true;
     if (how == RequestCounters::Outcome::Served)
         latencies_[open.class_index].add(static_cast<double>(trace.duration.count()) * 1e-9);
-    // Its client's own leaving says nothing of us.
+    // A client that disconnects says nothing about this service.
     if (why != CompletionReason::ClientDisconnected) {
         const EndpointInfo* where = open.endpoints.empty() ? nullptr : &endpoint_info(open.endpoints.back());
         requests_.observe(
@@ -194,8 +194,8 @@
     finish_if_over(id);
 }
 
-/// Told once its last attempt has ended too: what was still out when the answer was given belongs to the
-/// story.
+/// Completes a trace after its last attempt ended: attempts still in flight when the answer was given belong
+/// to the trace.
 void Collector::finish_if_over(const RequestId& id) {
     const auto it = open_requests_.find(id);
     if (it == open_requests_.end() || !it->second.over || it->second.out > 0) return;
--- a/tests/console/console_test.cpp
+++ b/tests/console/console_test.cpp
@@ -1,4 +1,4 @@
-// The address where operators call, on sockets.
+// The console on real sockets.
 #include <gtest/gtest.h>
 
 #include <string>
@@ -10,13 +10,13 @@
 
 using namespace martenford::standins;
 
-class ConsoleOfOne : public testing::Test {
+class ConsoleProcess : public testing::Test {
   protected:
     Listener discovery, endpoint;
     Sidecar sidecar{with_console(config(discovery.address(), target("s-1", endpoint.address())))};
 };
 
-TEST_F(ConsoleOfOne, AnswersOneLineAConnection) {
+TEST_F(ConsoleProcess, AnswersOneLinePerConnection) {
     EXPECT_EQ(sidecar.call("readyz"), "YES\n");
     EXPECT_EQ(sidecar.call("readyz\r"), "YES\n");
     EXPECT_TRUE(sidecar.call("what").starts_with("NO "));
@@ -27,23 +27,23 @@
     EXPECT_TRUE(has(figures, "sidecar.hosts_down:0|g\n")) << figures;
 }
 
-TEST_F(ConsoleOfOne, IsNotReadyWhileNoEndpointIsKnown) {
+TEST_F(ConsoleProcess, IsNotReadyWhileNoEndpointIsKnown) {
     Listener other;
     Sidecar fresh(with_console(config(other.address(), "")));
     EXPECT_TRUE(fresh.call("readyz").starts_with("NO"));
 }
 
-TEST_F(ConsoleOfOne, CallersThatSayNothingOrHalfALineKeepNobodyOut) {
-    std::vector<Peer> mute;
+TEST_F(ConsoleProcess, IdleConnectionsDoNotBlockNewOnes) {
+    std::vector<Peer> idle_peers;
     for (int i = 0; i < 200; ++i) {
-        mute.push_back(Peer::to(sidecar.console_port()));
-        if (i % 2) mute.back().send("ready");
+        idle_peers.push_back(Peer::to(sidecar.console_port()));
+        if (i % 2) idle_peers.back().send("ready");
     }
     EXPECT_EQ(sidecar.call("readyz"), "YES\n");
-    for (Peer& peer : mute) EXPECT_TRUE(peer.is_closed());  // and are not held for good
+    for (Peer& peer : idle_peers) EXPECT_TRUE(peer.is_closed());  // and are disconnected in the end
 }
 
-TEST_F(ConsoleOfOne, CountsRequestsByClassAndEndAndAttemptsWrittenWhole) {
+TEST_F(ConsoleProcess, CountsRequestsByClassAndResultAndWrittenAttempts) {
     Peer client = sidecar.client();
     client.send(look("r1"));
     Peer at_endpoint = endpoint.accept();
@@ -58,7 +58,7 @@
     EXPECT_EQ(status_of(client.receive()), 502);
     endpoint.close();
     at_endpoint.reset();
-    client.send(debit("r3", 300));  // never written: it is refused
+    client.send(debit("r3", 300));  // never written, so it is refused
     EXPECT_EQ(status_of(client.receive()), 503);
     EXPECT_EQ(sidecar.metric("success.look"), 1.0);
     EXPECT_EQ(sidecar.metric("failure.debit"), 1.0);
@@ -66,12 +66,12 @@
     EXPECT_EQ(sidecar.metric("backend_calls"), 2.0);
     client.send(
         "GET /what/1 HTTP/1.1\r\nX-Request-ID: r\r\nX-Priority-Class: what\r\nX-Timeout-Ms: 9\r\n\r\n");
-    EXPECT_EQ(status_of(client.receive()), 404);  // taken by nobody, so counted nowhere
+    EXPECT_EQ(status_of(client.receive()), 404);  // rejected before it counts as a request
     EXPECT_EQ(sidecar.metric("failure.look") + sidecar.metric("busy.look") + sidecar.metric("failure.post"),
               0.0);
 }
 
-TEST_F(ConsoleOfOne, EvacuationClosesConnectionsAsTheyFallIdleAndLosesNothing) {
+TEST_F(ConsoleProcess, EvacuationClosesConnectionsWhenTheyBecomeIdle) {
     Peer idle = sidecar.client(), open = sidecar.client();
     idle.send("GET /-/ready HTTP/1.1\r\nHost: a\r\n\r\n");
     EXPECT_EQ(status_of(idle.receive()), 200);
@@ -86,11 +86,12 @@
     EXPECT_EQ(status_of(ready), 503);
     EXPECT_TRUE(has(ready, "Connection: close\r\n")) << ready;
     EXPECT_TRUE(idle.is_closed());
-    at_endpoint.send(answer(200, "1"));  // what was open is answered, and its connection given up
+    at_endpoint.send(answer(200, "1"));  // the open request is answered and its connection closed
     const std::string reply = open.receive();
     EXPECT_EQ(body_of(reply), "1");
     EXPECT_TRUE(has(reply, "Connection: close\r\n")) << reply;
-    // Until activated, long after: a request that comes all the same is turned away, harmlessly.
+    // Evacuation lasts until activation: a request that still arrives long after is rejected without having
+    // run.
     for (int status = 200; status == 200;) {
         Peer late = sidecar.client();
         late.send(debit("late"));
--- a/tests/ledger/request_history_test.cpp
+++ b/tests/ledger/request_history_test.cpp
@@ -1,4 +1,5 @@
-// The pure half of the journal: lives, frames, batches and the outbox, each against a plain model.
+// The parts of the journal without I/O: request histories, frames, batches and pending records, some against
+// a simple model.
 #include "ledger/request_history.h"
 
 #include <gtest/gtest.h>
@@ -55,9 +56,9 @@
     return history;
 }
 
-// ---- lives ------------------------------------------------------------------------------------------
+// ---- request histories ------------------------------------------------------------------------------
 
-RC_GTEST_PROP(RequestHistory, IsTheSameInAnyOrderAndHoweverOftenItIsTold, ()) {
+RC_GTEST_PROP(RequestHistory, IsIndependentOfTheOrderAndRepetitionOfRecords, ()) {
     const auto records = *rc::gen::container<std::vector<Record>>(any_record());
     auto shuffled = records;
     for (const Record& record : records) {
@@ -67,10 +68,10 @@
     RC_ASSERT(history_of(shuffled) == history_of(records));
 }
 
-/// A sidecar's own story of one request, in order, as the recorder tells it; and what truly happened.
+/// One request's records in the order in which the recorder writes them, and what really happened.
 struct SimulatedRequest {
     std::vector<Record> records;
-    std::vector<bool> may_have_run;  // truly, by the time that the first i records were durable and no more
+    std::vector<bool> may_have_run;  // whether it may have run when only the first i + 1 records are durable
 };
 
 SimulatedRequest simulate(std::mt19937_64& random) {
@@ -86,19 +87,19 @@
         const auto ending = static_cast<Ending>(1 + random() % (kEndingCount - 1));
         const bool out = effect_of(ending) != Effect::NeverRan;
         simulated.may_have_run.resize(simulated.records.size(), ran);
-        ran |= out;  // from here on bytes may be out, whatever is told of it
+        ran |= out;  // from here on bytes may have been sent, whatever is recorded
         simulated.may_have_run.back() = ran;
         if (out && random() % 2) append(Written{n});
         append(Ended{n, ending});
         simulated.may_have_run.resize(simulated.records.size(), ran);
-        if (out) break;  // an unsafe call goes again only after proof that it never ran
+        if (out) break;  // a non-idempotent request is sent again only after proof that it never ran
     }
     append(Answered{ran ? FinalAnswer::Failed : FinalAnswer::Refused});
     simulated.may_have_run.resize(simulated.records.size(), ran);
     return simulated;
 }
 
-TEST(RequestHistory, WhatPossiblyRanIsNeverConcludedAsNeverRunAtAnyCut) {
+TEST(RequestHistory, RequestsThatMayHaveRunAreNeverConcludedAsNeverRun) {
     std::mt19937_64 random(24);
     for (int round = 0; round < 200'000; ++round) {
         const SimulatedRequest simulated = simulate(random);
@@ -116,7 +117,7 @@
     }
 }
 
-TEST(RequestHistory, GivesTheReasonThatDecides) {
+TEST(RequestHistory, NamesTheDecidingAttempt) {
     struct Case {
         std::vector<decltype(Record::payload)> payloads;
         Effect effect;
@@ -135,7 +136,7 @@
         {{first, Ended{0, Ending::Served}, Answered{FinalAnswer::Served}},
          Effect::Ran,
          "attempt 0 ended: served"},
-        // Two that contradict each other: the worse stays.
+        // Of two contradicting endings the worse one wins.
         {{first, Ended{0, Ending::NotSent}, Ended{0, Ending::Reset}},
          Effect::MayHaveRun,
          "attempt 0 ended: reset"},
@@ -152,10 +153,10 @@
     }
 }
 
-TEST(RequestHistory, TakesTheTimeFromTheClockThatNeverSteps) {
+TEST(RequestHistory, OrdersIntentsByTheMonotonicClock) {
     Record early = record_of(1, 5000, Intent{0, "r", "debit", "", "", "s", "a"});
     Record late =
-        record_of(2, 1000, Intent{1, "r", "debit", "", "", "s", "a"});  // the wall clock stepped back
+        record_of(2, 1000, Intent{1, "r", "debit", "", "", "s", "a"});  // the wall clock was set back
     late.mono_ns = early.mono_ns + 1;
     EXPECT_EQ(history_of({early, late}).taken_ms(), 5000);
     EXPECT_EQ(history_of({late, early}).taken_ms(), 5000);
@@ -163,7 +164,7 @@
 
 // ---- frames -----------------------------------------------------------------------------------------
 
-RC_GTEST_PROP(Frame, ComesBackAsItWasInWhateverPieces, ()) {
+RC_GTEST_PROP(Frame, RoundTripsWhenReadInPieces, ()) {
     const auto records = *rc::gen::container<std::vector<Record>>(any_record());
     std::string bytes;
     for (const Record& record : records) bytes += frame_of(ToWriter{record});
@@ -179,7 +180,7 @@
     RC_ASSERT(reader.empty());
 }
 
-TEST(Frame, AFlippedBitIsNeverTakenForARecord) {
+TEST(Frame, AFlippedBitIsDetected) {
     const std::string whole =
         frame_of(ToWriter{record_of(1, 2, Intent{0, "r1", "debit", "key", "", "s-1", "a:1"})});
     int caught = 0;
@@ -189,7 +190,7 @@
         FrameReader reader;
         reader.feed(bytes);
         try {
-            EXPECT_FALSE(reader.next()) << bit;  // a longer length: more is waited for
+            EXPECT_FALSE(reader.next()) << bit;  // a larger length: the reader waits for more bytes
         } catch (const FrameError&) {
             ++caught;
         }
@@ -197,7 +198,7 @@
     EXPECT_GT(caught, static_cast<int>(whole.size()) * 7);
 }
 
-TEST(Frame, ARecordThatSaysNothingKnownIsRefused) {
+TEST(Frame, InvalidMessagesAreRefused) {
     EXPECT_THROW(read_to_writer(""), FrameError);
     EXPECT_THROW(read_to_writer("\xff\xff"), FrameError);
     Record beyond = record_of(1, 1, Ended{0, static_cast<Ending>(kEndingCount)});
@@ -210,7 +211,7 @@
 
 // ---- batches ----------------------------------------------------------------------------------------
 
-TEST(GroupCommit, IsClosedByCountBytesDelayOrAnUrgentOne) {
+TEST(GroupCommit, ClosesByCountBytesDelayOrAnUrgentRecord) {
     const GroupCommit::Options options{3, 100, 5ms};
     const Time start{1s};
     struct Case {
@@ -228,13 +229,13 @@
         commit.reset();
         EXPECT_FALSE(commit.due(start + 1h));
         commit.add(1, false, start + 1s);
-        EXPECT_EQ(*commit.next_due(), start + 1s + 5ms);  // what was urgent before is over
+        EXPECT_EQ(*commit.next_due(), start + 1s + 5ms);  // the urgent flag was reset
     }
 }
 
-// ---- the outbox -------------------------------------------------------------------------------------
+// ---- pending records --------------------------------------------------------------------------------
 
-TEST(PendingRecords, DecidesByLevelPolicyAndTheWritersHealth) {
+TEST(PendingRecords, DecidesByDurabilityPolicyAndWriterHealth) {
     using Decision = PendingRecords::SendDecision;
     PendingRecords::Options options;
     PendingRecords pending(options);
@@ -257,7 +258,8 @@
     expect("up again", Decision::Hold, Decision::Send, Decision::Hold);
     pending.writer_lost("killed", t + options.stable_after);
     expect("lost after a steady run", Decision::Hold, Decision::Send, Decision::Hold);
-    EXPECT_EQ(*pending.restart_at(), t + options.stable_after);  // it had run for long: at once
+    EXPECT_EQ(*pending.restart_at(),
+              t + options.stable_after);  // restarted at once, because it had been stable
     pending.writer_started(t + options.stable_after);
     expect("started again", Decision::Hold, Decision::Send, Decision::Hold);
     pending.writer_lost("dies young", t + options.stable_after);
@@ -267,7 +269,7 @@
            Decision::SendUnjournaled);
 }
 
-TEST(PendingRecords, ABackoffGrowsToItsBoundAndIsForgottenAfterASteadyRun) {
+TEST(PendingRecords, TheBackoffGrowsToItsMaximumAndIsResetByAStableRun) {
     PendingRecords::Options options;
     PendingRecords pending(options);
     Time t{1s};
@@ -287,9 +289,9 @@
     EXPECT_EQ(*pending.restart_at(), t + options.stable_after);
 }
 
-/// Against a plain model: every record that was taken is acknowledged once by some writer in order, or still
-/// waits; nothing is handed to a writer before what stands ahead of it, and bounds hold.
-TEST(PendingRecords, LosesNothingOverAnyOrderOfEvents) {
+/// Against a simple model: every queued record is acknowledged once, in order, or still waits; no record is
+/// handed to a writer before the ones ahead of it, and the limits hold.
+TEST(PendingRecords, LosesNothingInAnyOrderOfEvents) {
     std::mt19937_64 random(7);
     PendingRecords::Options options;
     options.max_records = 64;
@@ -297,7 +299,7 @@
     for (int seed = 0; seed < 200; ++seed) {
         PendingRecords pending(options);
         Time now{1s};
-        std::uint64_t next = 0, durable = 0, with_writer = 0;
+        std::uint64_t next = 0, durable = 0, written_to_writer = 0;
         std::vector<std::uint64_t> taken;
         for (int step = 0; step < 1000; ++step) {
             now += Duration{static_cast<Duration::rep>(random() % 300'000'000)};
@@ -318,7 +320,7 @@
                 case 3:
                     if (pending.health() == PendingRecords::Health::Down && now >= *pending.restart_at()) {
                         pending.writer_started(now);
-                        with_writer = durable;
+                        written_to_writer = durable;
                     }
                     break;
                 case 4:
@@ -330,13 +332,13 @@
                     for (std::size_t at = 0; at < bytes.size(); at += 8) {
                         std::uint64_t sequence = 0;
                         std::copy_n(bytes.data() + at, 8, reinterpret_cast<char*>(&sequence));
-                        ASSERT_EQ(sequence, ++with_writer);
+                        ASSERT_EQ(sequence, ++written_to_writer);
                     }
                     break;
                 }
                 case 6:
-                    if (with_writer > durable && pending.health() == PendingRecords::Health::Up) {
-                        durable += 1 + random() % (with_writer - durable);
+                    if (written_to_writer > durable && pending.health() == PendingRecords::Health::Up) {
+                        durable += 1 + random() % (written_to_writer - durable);
                         pending.acknowledged(durable, now);
                     }
                     break;
