--- a/adapter/host.cpp
+++ b/adapter/host.cpp
@@ -26,7 +26,7 @@
             }
             for (const Action& action : actions) writer.write(message.instance, action);
         } catch (const std::exception& error) {
-            writer.write_broken(message.instance, error.what());
+            writer.write_error(message.instance, error.what());
         }
     }
     return std::move(writer).finish();
--- a/adapter/wire.cpp
+++ b/adapter/wire.cpp
@@ -11,10 +11,10 @@
 
 using namespace json;
 
-constexpr std::uint64_t kMostKey = (std::uint64_t{1} << 53) - 1;
-constexpr std::uint64_t kMostToken = std::uint64_t{1} << 63;
+constexpr std::uint64_t kMaxKey = (std::uint64_t{1} << 53) - 1;
+constexpr std::uint64_t kMaxToken = std::uint64_t{1} << 63;
 
-RequestId need_request(const object& from) {
+RequestId need_request_id(const object& from) {
     return RequestId{need_text(from, "request_id")};
 }
 EndpointId need_endpoint(const object& from) {
@@ -39,7 +39,7 @@
 }
 
 Status read_status(const object& from) {
-    constexpr Status kStatus[] = {Status::Error,         Status::Ok,    Status::Full,      Status::Timeout,
+    constexpr Status kStatus[] = {Status::Error,         Status::Ok,    Status::Rejected,  Status::Timeout,
                                   Status::ConnectFailed, Status::Reset, Status::Cancelled, Status::NotSent};
     return kStatus[need_u32(from, "ending", 7)];
 }
@@ -60,13 +60,13 @@
 
 Request read_request(const object& from) {
     Request result;
-    result.id = need_request(from);
+    result.id = need_request_id(from);
     result.class_index = need_u32(from, "priority");
     result.deadline = need_time(from, "valid_until");
     if (find(from, "party")) result.tenant = need_u32(from, "party");
     result.write = flag_or(from, "mutates", false);
     result.resent = flag_or(from, "resent", false);
-    if (const auto key = find(from, "key")) result.key = to_unsigned(*key, "key", kMostKey);
+    if (const auto key = find(from, "key")) result.key = to_unsigned(*key, "key", kMaxKey);
     if (const auto work = find(from, "cost_guess")) result.work = to_span(*work, "cost_guess");
     return result;
 }
@@ -75,26 +75,26 @@
 
 Batch Reader::read(const std::string& line) {
     Batch batch;
-    std::string place = "line";
-    std::optional<State> before;  // so that a batch that fails changes nothing
+    std::string location = "line";
+    std::optional<State> saved;  // so that a batch that fails changes nothing
     try {
         element root;
         if (parser_.parse(line).get(root) != simdjson::SUCCESS) bad("not valid JSON");
         const auto top = as<object>(root, "batch", "an object");
         batch.round = to_unsigned(need(top, "round"), "round");
-        place = "round " + std::to_string(batch.round);
+        location = "round " + std::to_string(batch.round);
         batch.clock = need_time(top, "clock");
         need(top, "events");
         for (const element& item : elements(top, "events")) {
             const auto event = as<object>(item, "events", "an array of objects");
             const std::string_view tag = need_text(event, "t");
-            place = "round " + std::to_string(batch.round) + ", message '" + std::string(tag) + "'";
-            if (!before && (tag == "ledger" || tag == "provision" || tag == "stop")) before = state_;
+            location = "round " + std::to_string(batch.round) + ", message '" + std::string(tag) + "'";
+            if (!saved && (tag == "ledger" || tag == "provision" || tag == "stop")) saved = state_;
             read_event(event, tag, state_, batch);
         }
     } catch (const WireError& error) {
-        if (before) state_ = *std::move(before);
-        throw WireError(place + ": " + error.what());
+        if (saved) state_ = *std::move(saved);
+        throw WireError(location + ": " + error.what());
     }
     return batch;
 }
@@ -106,11 +106,11 @@
         need(event, "members_list");
         for (const element& entry : elements(event, "members_list")) {
             endpoints->push_back(read_endpoint(as<object>(entry, "members_list", "an array of objects")));
-            list.most_zone = std::max(list.most_zone, endpoints->back().zone);
-            list.most_kind = std::max(list.most_kind, endpoints->back().kind);
+            list.max_zone = std::max(list.max_zone, endpoints->back().zone);
+            list.max_kind = std::max(list.max_kind, endpoints->back().kind);
         }
         list.endpoints = std::move(endpoints);
-        state.lists[need_u32(event, "ref", kLists - 1)] = std::move(list);
+        state.lists[need_u32(event, "ref", kMaxLists - 1)] = std::move(list);
         return;
     }
     Message message;
@@ -118,9 +118,10 @@
     if (tag == "provision") {
         Provision provision{to_unsigned(need(event, "prng"), "prng"),
                             read_settings(need_object(event, "settings"))};
-        const Settings& told = provision.settings;
-        state.running.insert_or_assign(
-            message.instance, Ranges{told.classes.size(), told.tenants.size(), told.zones, told.kinds});
+        const Settings& provisioned = provision.settings;
+        state.running.insert_or_assign(message.instance,
+                                       Ranges{provisioned.classes.size(), provisioned.tenants.size(),
+                                              provisioned.zones, provisioned.kinds});
         message.body = std::move(provision);
         batch.messages.push_back(std::move(message));
         return;
@@ -135,28 +136,29 @@
         if (request.tenant && *request.tenant >= ranges.tenants) bad("field 'party' is out of range");
         message.body = Event{std::move(request)};
     } else if (tag == "completed") {
-        message.body = Event{Outcome{need_request(event), need_u32(event, "go"), need_endpoint(event),
+        message.body = Event{Outcome{need_request_id(event), need_u32(event, "go"), need_endpoint(event),
                                      read_status(event), need_span(event, "wait_time"),
                                      flag_or(event, "last", false), read_report(event)}};
     } else if (tag == "due") {
-        message.body = Event{TimerFired{to_unsigned(need(event, "label"), "label", kMostToken)}};
+        message.body = Event{TimerFired{to_unsigned(need(event, "label"), "label", kMaxToken)}};
     } else if (tag == "lapsed") {
-        message.body = Event{DeadlineExpired{need_request(event)}};
+        message.body = Event{DeadlineExpired{need_request_id(event)}};
     } else if (tag == "first_byte") {
-        message.body = Event{FirstByte{need_request(event), need_u32(event, "go"), need_endpoint(event),
+        message.body = Event{FirstByte{need_request_id(event), need_u32(event, "go"), need_endpoint(event),
                                        need_span(event, "wait_time")}};
     } else if (tag == "peers_known") {
-        constexpr Discovered::Kind kKinds[] = {Discovered::Kind::Cached, Discovered::Kind::Full,
-                                               Discovered::Kind::Failed, Discovered::Kind::Delta};
+        constexpr DiscoveryUpdate::Kind kKinds[] = {
+            DiscoveryUpdate::Kind::Cached, DiscoveryUpdate::Kind::Full, DiscoveryUpdate::Kind::Failed,
+            DiscoveryUpdate::Kind::Delta};
         const std::uint32_t kind = need_u32(event, "kind", 4);
         if (kind == 0) bad("field 'kind' is out of range");
-        Discovered news{kKinds[kind - 1], nullptr};
-        if (news.kind != Discovered::Kind::Failed) {
-            const List& list = state.lists[need_u32(event, "ref", kLists - 1)];
+        DiscoveryUpdate news{kKinds[kind - 1], nullptr};
+        if (news.kind != DiscoveryUpdate::Kind::Failed) {
+            const List& list = state.lists[need_u32(event, "ref", kMaxLists - 1)];
             if (!list.endpoints) bad("field 'ref' names a list that was never sent");
             if (!list.endpoints->empty()) {
-                if (list.most_zone >= ranges.zones) bad("field 'ref': its list's 'locality' is out of range");
-                if (list.most_kind >= ranges.kinds)
+                if (list.max_zone >= ranges.zones) bad("field 'ref': its list's 'locality' is out of range");
+                if (list.max_kind >= ranges.kinds)
                     bad("field 'ref': its list's 'class_of_host' is out of range");
             }
             news.endpoints = list.endpoints;
@@ -252,7 +254,7 @@
             to.open("track", instance);
             to.text_ += ",\"enable\":true";
         }
-        void operator()(const ShutIdle& shut) const {
+        void operator()(const CloseIdleConnections& shut) const {
             to.open("shut_idle", instance);
             to.field("endpoint", std::int64_t{static_cast<std::uint32_t>(shut.endpoint)});
         }
@@ -261,7 +263,7 @@
     text_ += '}';
 }
 
-void Writer::write_broken(std::uint32_t instance, std::string_view reason) {
+void Writer::write_error(std::uint32_t instance, std::string_view reason) {
     open("broken", instance);
     field("reason_text", reason);
     text_ += '}';
--- a/adapter/wire.h
+++ b/adapter/wire.h
@@ -43,7 +43,7 @@
     Batch read(const std::string& line);
 
   private:
-    static constexpr std::size_t kLists = 16;
+    static constexpr std::size_t kMaxLists = 16;
     simdjson::dom::parser parser_;
     /// How many of each thing the settings name: what an index in an event must stay below.
     struct Ranges {
@@ -51,10 +51,10 @@
     };
     struct List {
         std::shared_ptr<const EndpointList> endpoints;
-        std::uint32_t most_zone = 0, most_kind = 0;
+        std::uint32_t max_zone = 0, max_kind = 0;
     };
     struct State {
-        std::array<List, kLists> lists;
+        std::array<List, kMaxLists> lists;
         std::map<std::uint32_t, Ranges> running;  ///< by instance
     };
     static void read_event(const simdjson::dom::object& event, std::string_view tag, State& state,
@@ -67,7 +67,7 @@
   public:
     explicit Writer(std::uint64_t round);
     void write(std::uint32_t instance, const Action& action);
-    void write_broken(std::uint32_t instance, std::string_view reason);
+    void write_error(std::uint32_t instance, std::string_view reason);
     std::string finish() &&;
 
   private:
--- a/benchmarks/membership_benchmark.cpp
+++ b/benchmarks/membership_benchmark.cpp
@@ -25,13 +25,13 @@
     martenford::decision::Settings s;
     martenford::decision::RequestClass look;
     look.name = "look";
-    look.aim = 1s;
+    look.latency_target = 1s;
     look.deadline = 2s;
-    look.effect = martenford::decision::Effect::Free;
+    look.idempotency = martenford::decision::Idempotency::Idempotent;
     s.classes = {look};
     s.limits.max_attempts = 3;
     s.limits.connection_idle = 30s;
-    s.rules = martenford::standins::usual_rules();
+    s.rules = martenford::standins::default_rules();
     s.subscribe = false;
     return s;
 }
--- a/benchmarks/policy_benchmark.cpp
+++ b/benchmarks/policy_benchmark.cpp
@@ -21,13 +21,13 @@
     s.replicas = replicas;
     RequestClass look;
     look.name = "look";
-    look.aim = 1s;
+    look.latency_target = 1s;
     look.deadline = 2s;
-    look.effect = Effect::Free;
+    look.idempotency = Idempotency::Idempotent;
     s.classes = {look};
     s.limits.max_attempts = 3;
     s.limits.may_cancel = true;
-    s.rules = martenford::standins::usual_rules();
+    s.rules = martenford::standins::default_rules();
     s.tick = 5ms;
     return s;
 }
@@ -51,7 +51,7 @@
             if (cold) e.started = now;
             if (one_cell) e.cell = 0;
         }
-        tell(Discovered{Discovered::Kind::Full, std::make_shared<EndpointList>(std::move(list))});
+        tell(DiscoveryUpdate{DiscoveryUpdate::Kind::Full, std::make_shared<EndpointList>(std::move(list))});
     }
     void tell(Event event) {
         actions.clear();
@@ -131,7 +131,8 @@
         if (++turn % 10 == 0) {
             Endpoint changed = all[(turn / 20) % size];
             changed.availability = turn / 10 % 2 ? Availability::Draining : Availability::Ready;
-            sidecar.tell(Discovered{Discovered::Kind::Delta, std::make_shared<EndpointList>(1, changed)});
+            sidecar.tell(
+                DiscoveryUpdate{DiscoveryUpdate::Kind::Delta, std::make_shared<EndpointList>(1, changed)});
         }
         sidecar.serve();
     }
@@ -158,7 +159,8 @@
     for (auto _ : state) {
         Endpoint changed = all[(turn / 2) % size];
         changed.availability = turn++ % 2 ? Availability::Ready : Availability::Draining;
-        sidecar.tell(Discovered{Discovered::Kind::Delta, std::make_shared<EndpointList>(1, changed)});
+        sidecar.tell(
+            DiscoveryUpdate{DiscoveryUpdate::Kind::Delta, std::make_shared<EndpointList>(1, changed)});
     }
 }
 BENCHMARK(one_change)->Arg(20)->Arg(100)->Arg(1'000)->Arg(10'000)->Arg(100'000);
@@ -173,7 +175,8 @@
         Endpoint changed = all[(turn / 2) % size];
         changed.cell = 0;
         changed.availability = turn++ % 2 ? Availability::Ready : Availability::Draining;
-        sidecar.tell(Discovered{Discovered::Kind::Delta, std::make_shared<EndpointList>(1, changed)});
+        sidecar.tell(
+            DiscoveryUpdate{DiscoveryUpdate::Kind::Delta, std::make_shared<EndpointList>(1, changed)});
     }
 }
 BENCHMARK(one_change_in_one_cell)->Arg(100)->Arg(1'000)->Arg(10'000);
--- a/emulator/model/rule_checker.cpp
+++ b/emulator/model/rule_checker.cpp
@@ -10,7 +10,7 @@
 namespace martenford::emulator {
 
 using decision::Availability;
-using decision::Effect;
+using decision::Idempotency;
 
 namespace {
 constexpr std::size_t kMostExamples = 5;
@@ -73,7 +73,7 @@
 void RuleChecker::refused(const std::string& id, Time at) {
     if (const Request* request = answered(id, at, "refused")) {
         const auto& rules = classes_[request->class_index];
-        const bool harmless = rules.effect == Effect::Free ||
+        const bool harmless = rules.idempotency == Idempotency::Idempotent ||
                               std::all_of(request->sent.begin(), request->sent.end(),
                                           [](const Sent& s) { return s.over && s.ran == Ran::Never; });
         if (!harmless) breach(Rule::NoDoubleEffect, at, fmt::format("{} was refused and may have run", id));
@@ -119,14 +119,15 @@
     }
     const auto& rules = classes_[request.class_index];
     for (const Sent& earlier : request.sent) {
-        if (rules.effect == Effect::Free || (earlier.over && earlier.ran == Ran::Never)) continue;
-        if (rules.effect == Effect::SingleShot) {
+        if (rules.idempotency == Idempotency::Idempotent || (earlier.over && earlier.ran == Ran::Never))
+            continue;
+        if (rules.idempotency == Idempotency::NonIdempotent) {
             breach(Rule::NoDoubleEffect, last_byte,
                    fmt::format("{}, not to be repeated, was sent again and may have run", id));
         } else if (earlier.pod != pod) {
             breach(Rule::NoDoubleEffect, last_byte,
                    fmt::format("{} may have run in pod {} and was sent to pod {}", id, earlier.pod, pod));
-        } else if (first_byte > earlier.last_byte + rules.window + figures_.wire_slack) {
+        } else if (first_byte > earlier.last_byte + rules.dedup_window + figures_.wire_slack) {
             breach(Rule::NoDoubleEffect, last_byte,
                    fmt::format("{} was sent again after its pod had forgotten it", id));
         }
--- a/emulator/scenario.cpp
+++ b/emulator/scenario.cpp
@@ -117,11 +117,11 @@
     from.number("late_worth", result.late_worth, 0.0, 1.0);
     from.need("effect");
     from.word("effect", result.effect,
-              {{"safe", decision::Effect::Free},
-               {"keyed", decision::Effect::Guarded},
-               {"unsafe", decision::Effect::SingleShot}});
+              {{"safe", decision::Idempotency::Idempotent},
+               {"keyed", decision::Idempotency::Deduplicated},
+               {"unsafe", decision::Idempotency::NonIdempotent}});
     from.span("window", result.window, true);
-    if (result.effect == decision::Effect::Guarded && result.window == Duration{}) {
+    if (result.effect == decision::Idempotency::Deduplicated && result.window == Duration{}) {
         from.fail("a keyed class needs 'window'");
     }
     from.end();
--- a/emulator/scenario.h
+++ b/emulator/scenario.h
@@ -27,7 +27,7 @@
     double spread = 0.5;  ///< lognormal: standard deviation over mean
     Duration aim{}, deadline{};
     double worth = 1.0, late_worth = 0.0;
-    decision::Effect effect = decision::Effect::SingleShot;
+    decision::Idempotency effect = decision::Idempotency::NonIdempotent;
     Duration window{};  ///< keyed: how long the endpoints of a pod drop repeats
 };
 
--- a/emulator/socket_transport.cpp
+++ b/emulator/socket_transport.cpp
@@ -203,7 +203,7 @@
             return number;
         }
         const ClassSpec& klass = world_.scenario().classes[spec.class_index];
-        const bool safe = klass.effect == decision::Effect::Free;
+        const bool safe = klass.effect == decision::Idempotency::Idempotent;
         http::request<http::string_body> request{safe ? http::verb::get : http::verb::post,
                                                  "/" + klass.name + "/" + spec.key, 11};
         request.set(http::field::host, "service.internal");
@@ -211,7 +211,7 @@
         request.set("X-Priority-Class", klass.name);
         request.set("X-Timeout-Ms", std::to_string(spec.timeout / 1ms));
         if (spec.retried) request.set("X-Retried", "1");
-        if (klass.effect == decision::Effect::Guarded) request.set("Idempotency-Key", spec.key);
+        if (klass.effect == decision::Idempotency::Deduplicated) request.set("Idempotency-Key", spec.key);
         if (!safe) request.body() = "amount=1";
         request.prepare_payload();
         it->second.pool->point_at(it->second.process->address());
--- a/emulator/virtual_transport.cpp
+++ b/emulator/virtual_transport.cpp
@@ -12,7 +12,7 @@
 namespace martenford::emulator {
 
 using decision::Availability;
-using decision::Discovered;
+using decision::DiscoveryUpdate;
 using decision::Status;
 
 namespace {
@@ -136,7 +136,7 @@
         request.id = spec.id;
         request.class_index = spec.class_index;
         request.deadline = time_.now() + spec.timeout - kOnTheWay;
-        request.write = settings_.classes[spec.class_index].effect != decision::Effect::Free;
+        request.write = settings_.classes[spec.class_index].idempotency != decision::Idempotency::Idempotent;
         request.resent = spec.retried;
         request.key = mix(0, spec.key);
         engine_.take(std::move(request), std::make_shared<NamedMessage>(spec.id),
@@ -244,7 +244,7 @@
     void failed() {
         watching_ = false;
         ++turn_;
-        if (settings_.subscribe) return engine_.tell({Discovered::Kind::Failed, nullptr});
+        if (settings_.subscribe) return engine_.tell({DiscoveryUpdate::Kind::Failed, nullptr});
         again_.set(time_.now() + kAgent, [this] { subscribe(); });
     }
     void arrived(const ListAnswer& list) {
@@ -280,7 +280,7 @@
             pool.node = node;
             pool.ready = is_ready;
         }
-        if (update.news.kind != Discovered::Kind::Failed) engine_.tell(std::move(update.news));
+        if (update.news.kind != DiscoveryUpdate::Kind::Failed) engine_.tell(std::move(update.news));
         if (update.ask_whole) whole_ = true;
         if (const auto due = membership_.next_due()) {
             doubt_.set(*due, [this] { apply(membership_.believe(time_.now())); });
@@ -394,7 +394,7 @@
     if (reply.kind == AttemptReply::Kind::Reset) return finish(Status::Reset);
     Result result;
     result.status = reply.kind == AttemptReply::Kind::Served       ? Status::Ok
-                    : reply.kind == AttemptReply::Kind::TurnedAway ? Status::Full
+                    : reply.kind == AttemptReply::Kind::TurnedAway ? Status::Rejected
                                                                    : Status::Error;
     result.body = std::move(reply.body);
     end_.cancel();
--- a/emulator/world.cpp
+++ b/emulator/world.cpp
@@ -13,7 +13,7 @@
 namespace martenford::emulator {
 
 using decision::Availability;
-using decision::Effect;
+using decision::Idempotency;
 
 namespace {
 
@@ -113,8 +113,8 @@
     for (const ClassSpec& c : scenario_.classes) {
         decision::RequestClass rules;
         rules.name = c.name;
-        rules.effect = c.effect;
-        rules.window = c.window;
+        rules.idempotency = c.effect;
+        rules.dedup_window = c.window;
         classes.push_back(rules);
         ClassFigures figures;
         figures.name = c.name;
@@ -371,10 +371,10 @@
                            {"late_value", c.late_worth},
                            {"slo", ns(c.aim)},
                            {"deadline", ns(c.deadline)}};
-        entry["effect"] = c.effect == Effect::Free      ? "free"
-                          : c.effect == Effect::Guarded ? "guarded"
-                                                        : "single_shot";
-        if (c.effect == Effect::Guarded) {
+        entry["effect"] = c.effect == Idempotency::Idempotent     ? "free"
+                          : c.effect == Idempotency::Deduplicated ? "guarded"
+                                                                  : "single_shot";
+        if (c.effect == Idempotency::Deduplicated) {
             entry["group"] = "cell";
             entry["window"] = ns(c.window);
         }
@@ -574,11 +574,11 @@
     if (known == calls_.end()) return;
     const Call& call = known->second;
     const ClassSpec& spec = scenario_.classes[call.class_index];
-    if (spec.effect == Effect::Free) return;
+    if (spec.effect == Idempotency::Idempotent) return;
     const Time now = scheduler_.now();
     const auto remembers = [&](const std::unordered_map<std::string, std::vector<Carried>>& among) {
         const auto it = among.find(call.op);
-        return spec.effect == Effect::Guarded && it != among.end() &&
+        return spec.effect == Idempotency::Deduplicated && it != among.end() &&
                std::any_of(it->second.begin(), it->second.end(), [&](const Carried& c) {
                    return c.tier == node.tier && c.pod == node.pod && now - c.at <= spec.window;
                });
@@ -595,7 +595,7 @@
     if (effects.size() > 1) {
         ++report_.double_effects;
         trace("effect again {} at {}", call.op, node.name);
-        if (spec.effect == Effect::SingleShot) rules_->double_effect(attempt.call_id, now);
+        if (spec.effect == Idempotency::NonIdempotent) rules_->double_effect(attempt.call_id, now);
     }
 }
 
@@ -613,7 +613,7 @@
     std::string body;
     if (known != calls_.end()) {
         const Call& call = known->second;
-        if (has_second && scenario_.classes[call.class_index].effect == Effect::Guarded) {
+        if (has_second && scenario_.classes[call.class_index].effect == Idempotency::Deduplicated) {
             carried_out_[call.op].push_back({node.tier, node.pod, scheduler_.now()});
         }
         body = fmt::format("{} {} {}", attempt.call_id, node.uid, attempt.order);
@@ -944,7 +944,7 @@
     root.last = answered ? kind : CallAnswer::Kind::Broken;
     if (kind == CallAnswer::Kind::Served) return settle(number, kind);
     const bool harmless = kind == CallAnswer::Kind::Refused || kind == CallAnswer::Kind::Unreachable;
-    const bool may = harmless || spec.effect == Effect::Free;
+    const bool may = harmless || spec.effect == Idempotency::Idempotent;
     const Time again = scheduler_.now() + scenario_.clients.backoff;
     constexpr Duration kLeast = 10ms;  // a try with less time is none
     if (!may || root.tries > scenario_.clients.retries || again + kLeast >= root.began + spec.deadline) {
--- a/examples/quickstart.cpp
+++ b/examples/quickstart.cpp
@@ -75,9 +75,9 @@
 int main() {
     Settings settings;
     RequestClass lookup;
-    lookup.aim = 200ms;
+    lookup.latency_target = 200ms;
     lookup.deadline = 1s;
-    lookup.effect = Effect::Free;
+    lookup.idempotency = Idempotency::Idempotent;
     settings.classes.push_back(lookup);
     settings.limits.max_attempts = 3;
 
@@ -85,7 +85,7 @@
     auto endpoints = std::make_shared<EndpointList>(2);
     (*endpoints)[0].id = EndpointId{1};
     (*endpoints)[1].id = EndpointId{2};
-    host.give(Discovered{Discovered::Kind::Full, endpoints});
+    host.give(DiscoveryUpdate{DiscoveryUpdate::Kind::Full, endpoints});
 
     constexpr int kRequests = 5;
     for (int i = 0; i < kRequests; ++i) {
--- a/include/martenford/decision/balancer.h
+++ b/include/martenford/decision/balancer.h
@@ -34,20 +34,20 @@
 // ---- settings -------------------------------------------------------------------------------------
 
 /// Whether a request may take effect more than once.
-enum class Effect { Free, Guarded, SingleShot };
+enum class Idempotency { Idempotent, Deduplicated, NonIdempotent };
 /// For guarded classes: which endpoints discard a repeat.
-enum class Group { All, Zone, Cell };
+enum class DedupScope { All, Zone, Cell };
 
 struct RequestClass {
     std::string name;
     double worth = 1.0;
-    double late_worth = 0.0;             ///< share of the worth for an answer after the aim
-    Duration aim{};                      ///< answers inside this earn the full worth
-    double aim_stretch = 0.0;            ///< the aim grows by this multiple of the request's own work
-    Duration deadline{};                 ///< what a client waits in total
-    Effect effect = Effect::SingleShot;  ///< the careful choice where nothing is said
-    Group group = Group::Cell;           ///< guarded only
-    Duration window{};                   ///< guarded only: how long repeats are discarded
+    double late_worth = 0.0;              ///< share of the worth for an answer after the aim
+    Duration latency_target{};            ///< answers inside this earn the full worth
+    double latency_target_stretch = 0.0;  ///< the aim grows by this multiple of the request's own work
+    Duration deadline{};                  ///< what a client waits in total
+    Idempotency idempotency = Idempotency::NonIdempotent;  ///< the careful choice where nothing is said
+    DedupScope dedup_scope = DedupScope::Cell;             ///< guarded only
+    Duration dedup_window{};                               ///< guarded only: how long repeats are discarded
     bool stream = false;
     bool sequential = false;  ///< requests with one key take turns, in order of arrival
 };
@@ -66,7 +66,7 @@
 struct Limits {
     bool may_cancel = false;
     bool probing = false;
-    bool second_copies = false;
+    bool hedging = false;
     bool peers = false;
     bool retry_after = false;
     std::uint32_t max_attempts = 1;
@@ -86,13 +86,13 @@
 /// Figures of the rules.
 struct Rules {
     Duration answer_slack{};
-    Duration ask_every{};  ///< 0: never deemed told
+    Duration subscribe_interval{};  ///< 0: never deemed told
     Duration drain_grace{};
-    double cold_from = 1.0;      ///< a fresh endpoint has at least this share of its capacity
-    Duration ramp_time{};        ///< and is warm after this at most
-    double fall_multiple = 1.0;  ///< sent more than this multiple of its present capacity
-    Duration tip_after{};        ///< for this long, a cold endpoint falls over
-    Duration turn_gap{};         ///< a key rests this long after an attempt that may still be running
+    double cold_capacity_share = 1.0;  ///< a fresh endpoint has at least this share of its capacity
+    Duration warm_up_time{};           ///< and is warm after this at most
+    double overload_multiple = 1.0;    ///< sent more than this multiple of its present capacity
+    Duration overload_time{};          ///< for this long, a cold endpoint falls over
+    Duration key_cooldown{};           ///< a key rests this long after an attempt that may still be running
     std::optional<AttemptBudget> attempt_budget;  ///< absent: attempts are not rationed
 };
 
@@ -145,10 +145,10 @@
     std::optional<double> in_flight, queued, utilisation, service_ms, served_per_s, errors_per_s;
 };
 
-enum class Status { Error, Ok, Full, Timeout, ConnectFailed, Reset, Cancelled, NotSent };
+enum class Status { Error, Ok, Rejected, Timeout, ConnectFailed, Reset, Cancelled, NotSent };
 
 /// News from discovery. Full and Cached replace the list, Delta changes it, Failed carries nothing.
-struct Discovered {
+struct DiscoveryUpdate {
     enum class Kind { Cached, Full, Delta, Failed };
     Kind kind = Kind::Full;
     std::shared_ptr<const EndpointList> endpoints;
@@ -164,10 +164,10 @@
     std::optional<Duration> work;  ///< what it is expected to cost
     /// Its last bytes are still to come, and go to an endpoint as they do: `deadline` is the latest that it
     /// can have until Received tells it. Attempts are of no weight before.
-    bool arriving = false;
+    bool body_pending = false;
 };
 /// All of a request that was arriving is here; the time that its client waits begins.
-struct Received {
+struct BodyReceived {
     RequestId id;
     Time deadline{};
 };
@@ -185,7 +185,7 @@
     Duration latency{};
     bool last = false;  ///< the request is over; nothing is owed any more
     std::optional<LoadReport> report;
-    bool kept = true;  ///< of an answer: its connection can carry another
+    bool connection_reusable = true;  ///< of an answer: its connection can carry another
 };
 /// The client left; the request is over.
 struct DeadlineExpired {
@@ -204,8 +204,8 @@
     std::uint32_t from = 0;
     std::string data;
 };
-using Event = std::variant<Discovered, Request, FirstByte, Outcome, DeadlineExpired, TimerFired, ProbeResult,
-                           PeerMessage, Received>;
+using Event = std::variant<DiscoveryUpdate, Request, FirstByte, Outcome, DeadlineExpired, TimerFired,
+                           ProbeResult, PeerMessage, BodyReceived>;
 
 // ---- actions --------------------------------------------------------------------------------------
 
@@ -236,10 +236,10 @@
 };
 struct Subscribe {};
 /// Close the connections to an endpoint that carry nothing now.
-struct ShutIdle {
+struct CloseIdleConnections {
     EndpointId endpoint{};
 };
-using Action = std::variant<Send, Refuse, Fail, Cancel, SetTimer, Probe, Subscribe, ShutIdle>;
+using Action = std::variant<Send, Refuse, Fail, Cancel, SetTimer, Probe, Subscribe, CloseIdleConnections>;
 
 // ---- the balancer ---------------------------------------------------------------------------------
 
--- a/src/admission/admission_controller.cpp
+++ b/src/admission/admission_controller.cpp
@@ -20,7 +20,7 @@
 
 /// Outcomes that prove that the endpoint did not get the request.
 bool proves_not_run(Status status) {
-    return status == Status::Full || status == Status::ConnectFailed || status == Status::NotSent;
+    return status == Status::Rejected || status == Status::ConnectFailed || status == Status::NotSent;
 }
 
 }  // namespace
@@ -186,7 +186,7 @@
     if (!call.open) {
         forget_if_finished(outcome.id);
     } else if (never_ran) {
-        if (outcome.status == Status::Full) last_turned_away_ = outcome.id;
+        if (outcome.status == Status::Rejected) last_turned_away_ = outcome.id;
         reject(call);
     } else {
         fail(call);
--- a/src/assembly/features.cpp
+++ b/src/assembly/features.cpp
@@ -9,37 +9,37 @@
 
 namespace {
 
-constexpr std::int64_t kMostWidth = 100'000;        // as many endpoints as a list may hold
-constexpr std::int64_t kMostConnections = 1 << 20;  // more than a process has descriptors
-constexpr double kDoubtShare = 0.4;                 // of the drain grace
+constexpr std::int64_t kMaxWidth = 100'000;        // as many endpoints as a list may hold
+constexpr std::int64_t kMaxConnections = 1 << 20;  // more than a process has descriptors
+constexpr double kCautionDrainShare = 0.4;         // of the drain grace
 
 using Table = TomlReader::Table;
 
 subset::Options read_subset(Table& from) {
     subset::Options result;
-    from.whole("width", result.width, 1, kMostWidth);
-    result.most_width = std::min<std::size_t>(result.width * 8, kMostWidth);
-    from.whole("most_width", result.most_width, 1, kMostWidth);
-    if (result.most_width < result.width) from.fail("'most_width' is less than 'width'");
+    from.whole("width", result.width, 1, kMaxWidth);
+    result.max_width = std::min<std::size_t>(result.width * 8, kMaxWidth);
+    from.whole("most_width", result.max_width, 1, kMaxWidth);
+    if (result.max_width < result.width) from.fail("'most_width' is less than 'width'");
     from.end();
     return result;
 }
 
 outlier::Options read_outliers(Table& from) {
     outlier::Options result;
-    from.whole("failures", result.failures, 1, 1000);
-    from.span("apart", result.apart, true);
-    from.span("eject_for", result.eject_for, true);
-    from.span("eject_most", result.eject_most, true);
-    from.number("most_share", result.most_share, 0.0, 1.0);
+    from.whole("failures", result.failure_threshold, 1, 1000);
+    from.span("apart", result.min_failure_gap, true);
+    from.span("eject_for", result.base_ejection_time, true);
+    from.span("eject_most", result.max_ejection_time, true);
+    from.number("most_share", result.max_ejected_share, 0.0, 1.0);
     from.end();
     return result;
 }
 
-constexpr std::int64_t kMostMegabytes = 1 << 20;
-constexpr Duration kMostHold = 10s;
+constexpr std::int64_t kMaxMegabytes = 1 << 20;
+constexpr Duration kMaxHold = 10s;
 
-ledger::ClassOptions read_promise(Table& from, ledger::ClassOptions result) {
+ledger::ClassOptions read_class_options(Table& from, ledger::ClassOptions result) {
     from.word("level", result.level,
               {{"off", ledger::Level::Off},
                {"async", ledger::Level::Async},
@@ -56,10 +56,10 @@
     from.text("helper", result.helper);
     from.text("digest_key", result.key_file);
     from.span("hold", result.hold, true);
-    if (result.hold > kMostHold) from.fail("'hold' is over 10s: no request waits for so long");
-    result.unsafe = read_promise(from, result.unsafe);
+    if (result.hold > kMaxHold) from.fail("'hold' is over 10s: no request waits for so long");
+    result.unsafe = read_class_options(from, result.unsafe);
     std::uint64_t megabytes = 0;
-    from.whole("most_mb", megabytes, 1, kMostMegabytes);
+    from.whole("most_mb", megabytes, 1, kMaxMegabytes);
     result.most_bytes = megabytes << 20;
     from.whole("batch_records", result.batch.most_records, 1, 100'000);
     from.span("batch_delay", result.batch.delay);
@@ -75,33 +75,34 @@
     for (Table& each : from.tables("class")) {
         std::string name;
         each.text("name", name, true);
-        const auto promise = read_promise(each, result.unsafe);
-        if (!result.classes.emplace(name, promise).second) each.fail("class '" + name + "' stands twice");
+        const auto class_options = read_class_options(each, result.unsafe);
+        if (!result.classes.emplace(name, class_options).second)
+            each.fail("class '" + name + "' stands twice");
         each.end();
     }
     from.end();
     return result;
 }
 
-constexpr std::size_t kMostFleetName = 64;  // bytes, as the wire has it
-constexpr Duration kMostStall = 60s;
-constexpr Duration kLeastTombstones = 10s;
+constexpr std::size_t kMaxFleetNameBytes = 64;  // bytes, as the wire has it
+constexpr Duration kMaxStall = 60s;
+constexpr Duration kMinTombstones = 10s;
 
 /// Addresses with their ports, or (`hosts`) without.
-std::vector<std::string> read_addresses(Table& from, std::string_view key, bool hosts) {
+std::vector<std::string> read_addresses(Table& from, std::string_view key, bool without_port) {
     std::vector<std::string> result;
     for (const toml::node* node : from.items(key)) {
         const auto text = node->value_exact<std::string>();
-        if (!text || !parse_address(hosts ? *text + ":1" : *text))
+        if (!text || !parse_address(without_port ? *text + ":1" : *text))
             from.reader().fail(*node, fmt::format("each of '{}' must be an address such as \"{}\"", key,
-                                                  hosts ? "10.0.0.4" : "10.0.0.4:7400"));
+                                                  without_port ? "10.0.0.4" : "10.0.0.4:7400"));
         result.push_back(*text);
     }
     return result;
 }
 
-void read_address(Table& from, std::string_view key, std::string& into, bool needed) {
-    from.text(key, into, needed);
+void read_address(Table& from, std::string_view key, std::string& into, bool required) {
+    from.text(key, into, required);
     if (!into.empty() && !parse_address(into))
         from.reader().fail(from.need(key),
                            fmt::format("'{}' must be an address such as \"10.0.0.4:7400\"", key));
@@ -110,10 +111,10 @@
 fleet::Options read_fleet(Table& from) {
     fleet::Options result;
     from.text("name", result.name, true);
-    if (result.name.empty() || result.name.size() > kMostFleetName ||
+    if (result.name.empty() || result.name.size() > kMaxFleetNameBytes ||
         result.name.find_first_of(" \t\r\n") != std::string::npos)
         from.reader().fail(from.need("name"),
-                           fmt::format("'name' must have 1 to {} bytes and no blanks", kMostFleetName));
+                           fmt::format("'name' must have 1 to {} bytes and no blanks", kMaxFleetNameBytes));
     read_address(from, "listen", result.listen, true);
     read_address(from, "advertise", result.advertise, false);
     result.seeds = read_addresses(from, "seeds", false);
@@ -134,7 +135,7 @@
     from.span("reconnect_every", pace.reconnect_every, true);
     from.span("forget_after", pace.forget_after, true);
     if (pace.probe_patience >= pace.probe_every) from.fail("'probe_patience' is not below 'probe_every'");
-    if (pace.stall > kMostStall) from.fail("'stall' is over 60s: nobody would be missed");
+    if (pace.stall > kMaxStall) from.fail("'stall' is over 60s: nobody would be missed");
     if (pace.gone > pace.stall) from.fail("'gone' is over 'stall'");
     from.end();
     return result;
@@ -155,7 +156,7 @@
     from.text("registry", result.registry);
     from.text("directory", result.directory);
     from.text("helper", result.helper);
-    if (pace.tombstones < kLeastTombstones)
+    if (pace.tombstones < kMinTombstones)
         from.fail("'tombstones' is under 10s: a pause would bring deleted entries back");
     from.end();
     return result;
@@ -176,8 +177,8 @@
             table->end();
         }
         if (auto table = top.table("connections")) {
-            table->whole("most", result.connections.most, 1, kMostConnections);
-            table->whole("per_endpoint", result.connections.per_endpoint, 1, kMostConnections);
+            table->whole("most", result.connections.max_total, 1, kMaxConnections);
+            table->whole("per_endpoint", result.connections.per_endpoint, 1, kMaxConnections);
             table->end();
         }
         if (auto table = top.table("fleet")) result.fleet = read_fleet(*table);
@@ -203,7 +204,7 @@
     Membership::Options result;
     if (!features.caution_share) return result;
     result.caution_share = *features.caution_share;
-    result.caution = decision::scaled(settings.rules.drain_grace, kDoubtShare);
+    result.caution = decision::scaled(settings.rules.drain_grace, kCautionDrainShare);
     return result;
 }
 
@@ -211,15 +212,16 @@
                                     const Features& features, Counters& counters,
                                     outlier::OutlierPolicy** outliers) {
     decision::validate(settings);
-    const auto of_module = features.subset ? subset::SubsetPolicy::alone(settings) : settings;
-    std::unique_ptr<Policy> policy = std::make_unique<BalancerPolicy>(of_module, seed);
+    const auto balancer_settings =
+        features.subset ? subset::SubsetPolicy::single_replica_settings(settings) : settings;
+    std::unique_ptr<Policy> policy = std::make_unique<BalancerPolicy>(balancer_settings, seed);
     // Nearest to the module: it remembers those that are used only, and a subset sees what it ejects as
     // failures.
     if (features.outliers) {
-        auto within =
+        auto outlier_policy =
             std::make_unique<outlier::OutlierPolicy>(std::move(policy), *features.outliers, counters);
-        if (outliers) *outliers = within.get();
-        policy = std::move(within);
+        if (outliers) *outliers = outlier_policy.get();
+        policy = std::move(outlier_policy);
     }
     if (features.subset) {
         policy =
--- a/src/assembly/features.h
+++ b/src/assembly/features.h
@@ -22,7 +22,7 @@
 namespace martenford {
 
 struct ConnectionOptions {
-    std::size_t most = 0;          ///< to all endpoints together; 0: half of the platform's sockets
+    std::size_t max_total = 0;     ///< to all endpoints together; 0: half of the platform's sockets
     std::size_t per_endpoint = 0;  ///< 0: as many as the whole allows
 };
 
--- a/src/config/read_settings.cpp
+++ b/src/config/read_settings.cpp
@@ -8,17 +8,19 @@
     result.name = need_text(from, "name");
     result.worth = number_or(from, "credit", 1.0);
     result.late_worth = number_or(from, "late_value", 0.0);
-    result.aim = need_span(from, "slo");
-    result.aim_stretch = number_or(from, "aim_stretch", 0.0);
+    result.latency_target = need_span(from, "slo");
+    result.latency_target_stretch = number_or(from, "aim_stretch", 0.0);
     result.deadline = need_span(from, "deadline");
-    result.effect = word_of<Effect>(
-        need_text(from, "effect"), "effect",
-        {{"free", Effect::Free}, {"guarded", Effect::Guarded}, {"single_shot", Effect::SingleShot}});
+    result.idempotency = word_of<Idempotency>(need_text(from, "effect"), "effect",
+                                              {{"free", Idempotency::Idempotent},
+                                               {"guarded", Idempotency::Deduplicated},
+                                               {"single_shot", Idempotency::NonIdempotent}});
     if (find(from, "group")) {
-        result.group = word_of<Group>(need_text(from, "group"), "group",
-                                      {{"all", Group::All}, {"zone", Group::Zone}, {"cell", Group::Cell}});
+        result.dedup_scope = word_of<DedupScope>(
+            need_text(from, "group"), "group",
+            {{"all", DedupScope::All}, {"zone", DedupScope::Zone}, {"cell", DedupScope::Cell}});
     }
-    result.window = span_or_zero(from, "window");
+    result.dedup_window = span_or_zero(from, "window");
     result.stream = flag_or(from, "stream", false);
     result.sequential = flag_or(from, "sequential", false);
     return result;
@@ -28,7 +30,7 @@
     Limits result;
     result.may_cancel = flag_or(from, "may_cancel", false);
     result.probing = flag_or(from, "probing", false);
-    result.second_copies = flag_or(from, "second_copies", false);
+    result.hedging = flag_or(from, "second_copies", false);
     result.peers = flag_or(from, "peers", false);
     result.retry_after = flag_or(from, "retry_after", false);
     result.max_attempts = need_u32(from, "try_limit");
@@ -42,13 +44,13 @@
 Rules read_rules(const object& from) {
     Rules result;
     result.answer_slack = need_span(from, "answer_slack");
-    result.ask_every = span_or_zero(from, "ask_every");
+    result.subscribe_interval = span_or_zero(from, "ask_every");
     result.drain_grace = need_span(from, "stop_sending_within");
-    result.cold_from = need_number(from, "cold_from");
-    result.ramp_time = need_span(from, "ramp_time");
-    result.fall_multiple = need_number(from, "fall_multiple");
-    result.tip_after = need_span(from, "tip_after");
-    result.turn_gap = span_or_zero(from, "turn_gap");
+    result.cold_capacity_share = need_number(from, "cold_from");
+    result.warm_up_time = need_span(from, "ramp_time");
+    result.overload_multiple = need_number(from, "fall_multiple");
+    result.overload_time = need_span(from, "tip_after");
+    result.key_cooldown = span_or_zero(from, "turn_gap");
     // Any one of the three says that attempts are rationed; validation finds what is missing then.
     if (find(from, "extra_floor") || find(from, "resend_ratio") || find(from, "look_back")) {
         result.attempt_budget = {number_or(from, "extra_floor", 0.0), number_or(from, "resend_ratio", 0.0),
--- a/src/core/engine.cpp
+++ b/src/core/engine.cpp
@@ -38,9 +38,9 @@
         complete(request.id, Answer{Answer::Kind::Refused, {}, {}, {}}, Why::Journal);
         return true;
     }
-    call.arriving = request.arriving;
+    call.arriving = request.body_pending;
     call.held = witness_ && witness_->holds(request);
-    request.arriving |= call.held;
+    request.body_pending |= call.held;
     // Guards against a request that is lost because the module holds it, or has forgotten it.
     call.backstop.set(call.deadline + kBackstopAfter, [this, id = request.id] {
         if (complete(id, Answer{}, Why::Deadline)) post(DeadlineExpired{id});
@@ -75,7 +75,7 @@
     for (Attempt& attempt : call.attempts) {
         if (attempt.out) attempt.sent = scheduler_.now();
     }
-    post(Received{id, call.deadline});
+    post(BodyReceived{id, call.deadline});
 }
 
 void Engine::leave(const RequestId& id) {
@@ -137,7 +137,7 @@
         void operator()(const Subscribe&) const {
             if (engine.subscribe_) engine.subscribe_();
         }
-        void operator()(const ShutIdle& shut) const { engine.back_.shut_idle(shut.endpoint); }
+        void operator()(const CloseIdleConnections& shut) const { engine.back_.shut_idle(shut.endpoint); }
 
         void finish(const RequestId& id, Answer&& answer) const {
             engine.complete(id, std::move(answer), Why::Module);
@@ -203,7 +203,7 @@
         call.failure_body = std::move(result.body);
     } else if (call.message && !call.message->resendable()) {
         // Its body has been handed on and let go: there is nothing left that could be sent.
-        const bool never_ran = result.status == Status::Full || result.status == Status::ConnectFailed ||
+        const bool never_ran = result.status == Status::Rejected || result.status == Status::ConnectFailed ||
                                result.status == Status::NotSent;
         complete(id, Answer{never_ran ? Answer::Kind::Refused : Answer::Kind::Failed, {}, {}, {}},
                  Why::Spent);
--- a/src/core/engine.h
+++ b/src/core/engine.h
@@ -88,7 +88,7 @@
     void give_up(const decision::RequestId& id, bool refused);
     /// Ends one attempt that is out, as the module's Cancel does: its outcome is Cancelled.
     void cancel(const decision::RequestId& id, decision::AttemptNumber attempt);
-    void tell(decision::Discovered news) {
+    void tell(decision::DiscoveryUpdate news) {
         if (observer_) observer_->listed(news);
         post(std::move(news));
     }
@@ -112,7 +112,7 @@
         /// The last answer of an endpoint that did not serve: what the client gets if nothing better comes.
         std::shared_ptr<const AnswerHead> failure;
         std::string failure_body;
-        bool arriving = false, held = false;  // the module hears Received once it is neither
+        bool arriving = false, held = false;  // the module hears BodyReceived once it is neither
     };
 
     void post(decision::Event event);
--- a/src/core/observer.h
+++ b/src/core/observer.h
@@ -26,7 +26,7 @@
     virtual void sent(const decision::RequestId& id, std::size_t attempt, EndpointId endpoint) = 0;
     virtual void ended(const decision::RequestId& id, std::size_t attempt, decision::Status status) = 0;
     virtual void completed(const decision::RequestId& id, Tally::End how, Why why) = 0;
-    virtual void listed(const decision::Discovered& news) = 0;
+    virtual void listed(const decision::DiscoveryUpdate& news) = 0;
 };
 
 }  // namespace martenford
--- a/src/discovery/discovery.cpp
+++ b/src/discovery/discovery.cpp
@@ -201,7 +201,7 @@
 void Discovery::failed(const std::string& why) {
     tell(martenford::Event::DiscoveryTrouble, "discovery: " + why);
     drop(exchange_);
-    if (config_.settings.subscribe) return engine_.tell({Discovered::Kind::Failed, nullptr});
+    if (config_.settings.subscribe) return engine_.tell({DiscoveryUpdate::Kind::Failed, nullptr});
     // The module asks only where lists must be asked for. Jitter: all sidecars may have failed at once.
     wait_ = std::clamp(wait_ * 2, kAgainFirst, kAgainMost);
     Random random(random_);
@@ -216,7 +216,7 @@
         const auto list = parse_targets(json::as<json::object>(root, "answer", "an object"), config_.names);
         whole_ = false;
         auto update = membership_.take(list, false, Loop::monotonic(), unix_epoch());
-        if (update.news.kind == Discovered::Kind::Failed) {
+        if (update.news.kind == DiscoveryUpdate::Kind::Failed) {
             return failed("an answer was skipped: " + update.remark);
         }
         heard_ = true;
@@ -239,7 +239,7 @@
         if (uid) placement_.name(id, *uid);
         placement_.place(id, address, ready);
     }
-    if (update.news.kind != Discovered::Kind::Failed) engine_.tell(std::move(update.news));
+    if (update.news.kind != DiscoveryUpdate::Kind::Failed) engine_.tell(std::move(update.news));
     if (on_drained_ && heard_) {
         for (const Membership::Drained& each : update.drained)
             on_drained_(each, membership_.revision().value_or(0));
--- a/src/grpc/status.cpp
+++ b/src/grpc/status.cpp
@@ -60,7 +60,7 @@
         case How::GoAwayAbove:
             return Status::ConnectFailed;
         case How::StreamRefused:
-            return Status::Full;
+            return Status::Rejected;
         case How::GoAwayAtOrBelow:
         case How::StreamReset:
         case How::ConnectionLost:
@@ -70,10 +70,10 @@
             if (is_answer(code)) return Status::Ok;
             // Only these two are ever said of a call that was not begun; the platform asks for its own proof.
             const bool may_be_unbegun = code == Code::Unavailable || code == Code::ResourceExhausted;
-            return may_be_unbegun && ending.not_processed ? Status::Full : Status::Error;
+            return may_be_unbegun && ending.not_processed ? Status::Rejected : Status::Error;
         }
         case How::HttpStatus:
-            return ending.not_processed && (ending.code == 503 || ending.code == 504) ? Status::Full
+            return ending.not_processed && (ending.code == 503 || ending.code == 504) ? Status::Rejected
                                                                                       : Status::Error;
         case How::NoTrailers:
         case How::HalfMessage:
--- a/src/http1/client_connection.cpp
+++ b/src/http1/client_connection.cpp
@@ -274,7 +274,7 @@
         const std::uint64_t whole = length ? *length : kLongestBody;
         const std::chrono::duration<double> at_most{static_cast<double>(whole) / kSlowestBody};
         event.deadline += limits().head_time + std::chrono::duration_cast<Duration>(at_most);
-        event.arriving = true;
+        event.body_pending = true;
     }
     deadline_ = event.deadline;
     limit_deadline(event.deadline);
--- a/src/http1/protocol.cpp
+++ b/src/http1/protocol.cpp
@@ -60,9 +60,9 @@
     if (known == settings.classes.end() || path.substr(0, path.find('/')) != known->name) {
         return LocalReply{http::status::not_found};
     }
-    const auto method = known->effect == Effect::Free ? http::verb::get : http::verb::post;
+    const auto method = known->idempotency == Idempotency::Idempotent ? http::verb::get : http::verb::post;
     if (message.method() != method) return LocalReply{http::status::method_not_allowed};
-    if (known->effect == Effect::Guarded && message["Idempotency-Key"].empty())
+    if (known->idempotency == Idempotency::Deduplicated && message["Idempotency-Key"].empty())
         return LocalReply{http::status::bad_request};
     const auto timeout = whole_number(message["X-Timeout-Ms"]);
     if (!timeout || *timeout < 1 || *timeout > kMostTimeoutMs) return LocalReply{http::status::bad_request};
@@ -71,7 +71,7 @@
     request.id = std::string(id);
     request.class_index = static_cast<std::uint32_t>(known - settings.classes.begin());
     request.deadline = arrived + std::chrono::milliseconds(*timeout) - kOnTheWay;
-    request.write = known->effect != Effect::Free;
+    request.write = known->idempotency != Idempotency::Idempotent;
     request.resent = message["X-Retried"] == "1";
     if (!settings.tenants.empty()) {
         const auto tenant = std::find_if(settings.tenants.begin(), settings.tenants.end(),
@@ -115,7 +115,7 @@
                                                       EndpointId) {
     if (head.result_int() == 200) return Status::Ok;
     const bool turned_away = head.result_int() == 503 || head.result_int() == 504;
-    return turned_away && head["X-Not-Processed"] == "1" ? Status::Full : Status::Error;
+    return turned_away && head["X-Not-Processed"] == "1" ? Status::Rejected : Status::Error;
 }
 
 }  // namespace martenford
--- a/src/ledger/recorder.cpp
+++ b/src/ledger/recorder.cpp
@@ -23,7 +23,7 @@
             return Ending::Served;
         case Status::Error:
             return Ending::Error;
-        case Status::Full:
+        case Status::Rejected:
             return Ending::Full;
         case Status::Timeout:
             return Ending::Timeout;
@@ -151,7 +151,7 @@
           counters.counter("ledger.unjournaled", "attempts sent although the journal could not take them")) {
     for (const auto& each : classes) {
         const auto named = options.classes.find(each.name);
-        const bool unsafe = each.effect == decision::Effect::SingleShot;
+        const bool unsafe = each.idempotency == decision::Idempotency::NonIdempotent;
         classes_.push_back(named != options.classes.end() ? named->second
                            : unsafe                       ? options.unsafe
                                                           : ClassOptions{});
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -93,7 +93,8 @@
     Program(const Features& features, const Config& config)
         : config_(config),
           half_((config.sockets - set_aside(features, config)) / 2),
-          most_back_(features.connections.most > 0 ? std::min(features.connections.most, half_) : half_),
+          most_back_(features.connections.max_total > 0 ? std::min(features.connections.max_total, half_)
+                                                        : half_),
           hang_up_(loop_.io(), SIGHUP),
           signals_(loop_.io(), SIGTERM, SIGINT),
           tally_(counters_, config.settings.classes),
@@ -139,7 +140,7 @@
                     });
                 });
                 keeper_->on_ejected_by_others([this](const std::string& uid) {
-                    if (const auto id = discovery_.id_of(uid)) outliers_->warn(*id);
+                    if (const auto id = discovery_.id_of(uid)) outliers_->note_peer_ejection(*id);
                 });
             }
             discovery_.on_drained([this](const Membership::Drained& drained, std::uint64_t revision) {
--- a/src/membership/membership.cpp
+++ b/src/membership/membership.cpp
@@ -6,7 +6,7 @@
 namespace martenford {
 
 using decision::Availability;
-using decision::Discovered;
+using decision::DiscoveryUpdate;
 using decision::EndpointList;
 
 namespace {
@@ -146,7 +146,7 @@
 Membership::Update Membership::set_endpoint_override(const std::string& uid,
                                                      const EndpointOverride& endpoint_override) {
     Update update;
-    update.news.kind = Discovered::Kind::Failed;
+    update.news.kind = DiscoveryUpdate::Kind::Failed;
     const auto known = known_.find(uid);
     std::optional<decision::Endpoint> before;
     if (known != known_.end()) before = effective(uid, known->second);
@@ -161,7 +161,7 @@
     if (after.availability == before->availability && after.weight == before->weight) return update;
     auto news = std::make_shared<EndpointList>();
     place(known->first, known->second, *news, update);
-    update.news.kind = Discovered::Kind::Delta;
+    update.news.kind = DiscoveryUpdate::Kind::Delta;
     update.news.endpoints = std::move(news);
     return update;
 }
@@ -194,7 +194,7 @@
 
 Membership::Update Membership::take(const TargetList& list, bool cached, Time now, Time epoch) {
     Update update;
-    update.news.kind = Discovered::Kind::Failed;
+    update.news.kind = DiscoveryUpdate::Kind::Failed;
     free_rested(now);
     const bool whole = list.all || cached;
     if (!whole && !revision_) {
@@ -288,16 +288,16 @@
             continue;
         place(it->first, it->second, *news, update);
     }
-    update.news.kind = cached     ? Discovered::Kind::Cached
-                       : list.all ? Discovered::Kind::Full
-                                  : Discovered::Kind::Delta;
+    update.news.kind = cached     ? DiscoveryUpdate::Kind::Cached
+                       : list.all ? DiscoveryUpdate::Kind::Full
+                                  : DiscoveryUpdate::Kind::Delta;
     update.news.endpoints = std::move(news);
     return update;
 }
 
 Membership::Update Membership::believe(Time now) {
     Update update;
-    update.news.kind = Discovered::Kind::Failed;
+    update.news.kind = DiscoveryUpdate::Kind::Failed;
     if (!doubted_until_ || now < *doubted_until_) return update;
     doubted_until_.reset();
     const auto doubted = std::exchange(doubted_, {});
@@ -306,7 +306,7 @@
     auto news = std::make_shared<EndpointList>();
     for (const std::string& uid : going) remove(uid, now, *news, update);
     update.remark = std::to_string(going.size()) + " endpoints that were doubted are gone";
-    update.news.kind = Discovered::Kind::Delta;
+    update.news.kind = DiscoveryUpdate::Kind::Delta;
     update.news.endpoints = std::move(news);
     return update;
 }
--- a/src/membership/membership.h
+++ b/src/membership/membership.h
@@ -72,7 +72,7 @@
     };
     /// What follows from a list.
     struct Update {
-        decision::Discovered news;        ///< for the module; of kind Failed there is none
+        decision::DiscoveryUpdate news;   ///< for the module; of kind Failed there is none
         std::vector<EndpointId> removed;  ///< for the back, before `placed`
         std::vector<Placed> placed;
         bool ask_whole = false;  ///< the whole list is wanted, at once
--- a/src/membership/staleness.cpp
+++ b/src/membership/staleness.cpp
@@ -36,7 +36,7 @@
 
 bool Staleness::ended(EndpointId id, Status status, Time now) {
     if (status == Status::Ok) ++served_;
-    if (status != Status::ConnectFailed && status != Status::Full) {
+    if (status != Status::ConnectFailed && status != Status::Rejected) {
         // Whatever else came shows that it takes requests; of what was ended here or never sent nothing is
         // known.
         if (status == Status::Ok || status == Status::Error) runs_.erase(id);
@@ -48,8 +48,8 @@
     Run& run = at->second;
     if (fresh) run = {now, now, 0, 0, served_, turned_away_};
     run.last = now;
-    if (status == Status::Full) ++turned_away_;
-    ++(status == Status::Full ? run.turned_away : run.refused);
+    if (status == Status::Rejected) ++turned_away_;
+    ++(status == Status::Rejected ? run.turned_away : run.refused);
     if (!convinces(run, now)) return false;
     if (now - told_at_ < kSettled || (asked_ && now - asked_at_ < wait_)) return false;
     wait_ = asked_ ? std::min(wait_ * 2, std::max(kMostWait, first_wait_)) : first_wait_;
--- a/src/outbound/outbound_policy.cpp
+++ b/src/outbound/outbound_policy.cpp
@@ -24,7 +24,7 @@
 
 /// Outcomes that prove that the endpoint did not get the request.
 bool proves_not_run(Status status) {
-    return status == Status::Full || status == Status::ConnectFailed || status == Status::NotSent;
+    return status == Status::Rejected || status == Status::ConnectFailed || status == Status::NotSent;
 }
 
 }  // namespace
@@ -129,7 +129,7 @@
 /// Section "Mistake #5: ignoring the request deadline": the time left, less a buffer (kDeadlineBuffer)
 /// without which the last attempt could not end in time. 0 or less: no retry.
 Duration OutboundPolicy::time_left_for_retry(const Call& call) const {
-    return left_for_retry(call.request.deadline, now_);
+    return retry_time_left(call.request.deadline, now_);
 }
 
 /// Schedules another attempt if all four allow it; otherwise gives up.
@@ -220,7 +220,7 @@
 /// Only the inbound proxy's own rejection proves that the attempt was not passed on. One that cannot be
 /// reached may have done so before.
 void OutboundPolicy::on_delivery_answer(Call& call, const Attempt& query, Status status) {
-    if (status != Status::Full) return give_up(call);
+    if (status != Status::Rejected) return give_up(call);
     call.attempts[*query.queries_attempt].may_have_run = false;
     --call.runs;
     call.rejected_by.push_back(query.to);
@@ -285,7 +285,7 @@
 
 // --- Withdrawn upstreams ---------------------------------------------------------------------------------
 
-void OutboundPolicy::on(const Discovered&) {
+void OutboundPolicy::on(const DiscoveryUpdate&) {
     resume_replanned_calls();
     for (const RequestId& id : withdraw_attempts()) {
         if (const auto it = calls_.find(id); it != calls_.end()) retry(it->second);
@@ -307,7 +307,7 @@
         for (auto& [id, call] : calls_) {
             if (!call.open || !call.plan.idempotent) continue;
             // Its body goes to one attempt as it comes; another one beside that would take pieces of it.
-            if (call.request.arriving) continue;
+            if (call.request.body_pending) continue;
             const bool newly_lost = mark_upstream_lost(call, upstream);
             if (newly_lost && !has_reliable_attempt(call) && !call.resume_at) affected.push_back(id);
         }
--- a/src/outbound/outbound_policy.h
+++ b/src/outbound/outbound_policy.h
@@ -78,8 +78,8 @@
     /// No new attempt goes there; attempts in flight end by themselves.
     void remove_upstream(EndpointId id) { upstreams_.remove(id); }
     /// The upstream's proxy is gone or its lease has expired: idempotent requests in flight there get a
-    /// second attempt elsewhere at the next Discovered event. The first is not cancelled: its endpoint may be
-    /// working on it, and where no other upstream serves the request, its answer is still wanted.
+    /// second attempt elsewhere at the next DiscoveryUpdate event. The first is not cancelled: its endpoint
+    /// may be working on it, and where no other upstream serves the request, its answer is still wanted.
     void withdraw(EndpointId id) { withdrawn_upstreams_.push_back(id); }
     [[nodiscard]] bool any_ready() const { return upstreams_.any_ready(); }
     /// An inbound proxy reported the wait in its queue, with an answer or a rejection.
@@ -92,7 +92,7 @@
     /// plan differs. The request waits for replan(), up to a time-out.
     void outdated(const RequestId& id);
     /// The plan by the newer configuration; nullopt if it has no route for the request, which is then given
-    /// up. Takes effect at the next Discovered event.
+    /// up. Takes effect at the next DiscoveryUpdate event.
     void replan(const RequestId& id, std::optional<RequestPlan> plan);
 
     /// If what is being sent now is a query whether an earlier attempt was passed on to the endpoint: how
@@ -131,7 +131,7 @@
     void on(const decision::Outcome& outcome);
     void on(const decision::DeadlineExpired& expired);
     void on(const decision::TimerFired& timer);
-    void on(const decision::Discovered& discovered);
+    void on(const decision::DiscoveryUpdate& discovered);
     template <class T>
     void on(const T&) {}
 
--- a/src/outlier/outlier_policy.h
+++ b/src/outlier/outlier_policy.h
@@ -17,11 +17,11 @@
 namespace martenford::outlier {
 
 struct Options {
-    std::uint32_t failures = 3;       ///< that eject an endpoint; a served call takes one off
-    decision::Duration apart{};       ///< failures closer than this count once; 0: 10 s
-    decision::Duration eject_for{};   ///< the first time, then twice as long each time; 0: 60 s
-    decision::Duration eject_most{};  ///< 0: 10 min
-    double most_share = 1.0 / 3.0;    ///< of the ready endpoints that may be out at once
+    std::uint32_t failure_threshold = 3;      ///< that eject an endpoint; a served call takes one off
+    decision::Duration min_failure_gap{};     ///< failures closer than this count once; 0: 10 s
+    decision::Duration base_ejection_time{};  ///< the first time, then twice as long each time; 0: 60 s
+    decision::Duration max_ejection_time{};   ///< 0: 10 min
+    double max_ejected_share = 1.0 / 3.0;     ///< of the ready endpoints that may be out at once
 };
 
 /// The module is told an ejected endpoint as draining, so that what is out there goes on and nothing new
@@ -29,15 +29,15 @@
 /// clears it.
 class OutlierPolicy : public Policy {
   public:
-    OutlierPolicy(std::unique_ptr<Policy> module, const Options& options, Counters& counters);
+    OutlierPolicy(std::unique_ptr<Policy> next, const Options& options, Counters& counters);
 
-    void start(decision::Time now, std::vector<decision::Action>& out) override { module_->start(now, out); }
+    void start(decision::Time now, std::vector<decision::Action>& out) override { next_->start(now, out); }
     void handle(decision::Time now, const decision::Event& event,
                 std::vector<decision::Action>& out) override;
 
     /// Others have ejected it: it is on its last failure here, and each call that it serves takes one off.
     /// What they say alone ejects nothing.
-    void warn(decision::EndpointId id);
+    void note_peer_ejection(decision::EndpointId id);
     /// Called with an endpoint that was ejected here, and its failures.
     void on_ejected(std::function<void(decision::EndpointId, std::uint32_t)> call) {
         on_ejected_ = std::move(call);
@@ -47,28 +47,31 @@
 
   private:
     struct Record {
-        decision::Endpoint told;
-        std::uint32_t count = 0;  // failures, less what was served
-        std::uint32_t times = 0;  // ejected, less what was served since
-        decision::Time counted{};
-        bool heard = false;
-        bool out = false;
+        decision::Endpoint listed;
+        std::uint32_t failure_count = 0;  // failures, less what was served
+        std::uint32_t ejections = 0;      // ejected, less what was served since
+        decision::Time last_counted{};
+        bool is_listed = false;
+        bool ejected = false;
         decision::Time until{};
     };
-    decision::Discovered take_in(const decision::Discovered& news);
-    decision::Endpoint seen(Record& record, const decision::Endpoint& told);
-    void judge(decision::Time now, const decision::Outcome& outcome, std::vector<decision::Action>& out);
+    decision::DiscoveryUpdate filter_update(const decision::DiscoveryUpdate& update);
+    decision::Endpoint as_presented(Record& record, const decision::Endpoint& listed);
+    void record_outcome(decision::Time now, const decision::Outcome& outcome,
+                        std::vector<decision::Action>& out);
     void readmit(decision::Time now, std::vector<decision::Action>& out);
-    void tell(decision::Time now, const decision::Endpoint& endpoint, std::vector<decision::Action>& out);
+    void update_next(decision::Time now, const decision::Endpoint& endpoint,
+                     std::vector<decision::Action>& out);
 
-    std::unique_ptr<Policy> module_;
+    std::unique_ptr<Policy> next_;
     Options options_;
     std::unordered_map<decision::EndpointId, Record> records_;
     std::size_t ready_ = 0, ejected_ = 0;
-    using Due = std::pair<decision::Time, decision::EndpointId>;
-    std::priority_queue<Due, std::vector<Due>, std::greater<>> due_;  // what is no longer out is passed over
+    using ReadmissionDue = std::pair<decision::Time, decision::EndpointId>;
+    std::priority_queue<ReadmissionDue, std::vector<ReadmissionDue>, std::greater<>>
+        readmissions_due_;  // what is no longer out is passed over
     std::function<void(decision::EndpointId, std::uint32_t)> on_ejected_;
-    Counter &ejections_, &readmissions_, &spared_, &warnings_;
+    Counter &ejections_, &readmissions_, &suppressed_, &peer_ejections_;
 };
 
 }  // namespace martenford::outlier
--- a/src/policy/budget.h
+++ b/src/policy/budget.h
@@ -33,21 +33,22 @@
 /// The ration of attempts after a request's first, where the settings tell one. It stands beside the retry
 /// budget, which goes by what was served: this one goes by what was taken, in a sliding window whose edge is
 /// read against us both ways.
-class AttemptRation {
+class AttemptBudgetLimiter {
   public:
-    explicit AttemptRation(const std::optional<AttemptBudget>& told)
-        : told_(told), taken_(told ? told->look_back : Duration{}), further_(taken_) {}
-    void took(Time now) { taken_.add(now); }
-    void sent(Time now) { further_.add(now); }
-    void not_sent(Time sent) { further_.remove(sent); }  // it turned out never to have been sent
-    bool allows(Time now) {
-        if (!told_) return true;
-        return further_.count(now, true) + 1.0 <= told_->floor + told_->ratio * taken_.count(now, false);
+    explicit AttemptBudgetLimiter(const std::optional<AttemptBudget>& budget)
+        : budget_(budget), requests_(budget ? budget->look_back : Duration{}), retries_(requests_) {}
+    void record_request(Time now) { requests_.add(now); }
+    void record_retry(Time now) { retries_.add(now); }
+    void forget_retry(Time sent_at) { retries_.remove(sent_at); }  // it turned out never to have been sent
+    bool allows_retry(Time now) {
+        if (!budget_) return true;
+        return retries_.count(now, true) + 1.0 <=
+               budget_->floor + budget_->ratio * requests_.count(now, false);
     }
 
   private:
-    std::optional<AttemptBudget> told_;
-    Window taken_, further_;
+    std::optional<AttemptBudget> budget_;
+    SlidingWindow requests_, retries_;
 };
 
 }  // namespace martenford::decision
--- a/src/policy/mechanics.h
+++ b/src/policy/mechanics.h
@@ -34,9 +34,9 @@
 }
 
 /// Points in time, counted over a window that slides. Add and count with times that don't go back.
-class Window {
+class SlidingWindow {
   public:
-    explicit Window(Duration length) : length_(length) {}
+    explicit SlidingWindow(Duration length) : length_(length) {}
     void add(Time at) {
         times_.push_back(at);
         drop_before(at - length_);
@@ -46,9 +46,9 @@
         if (it != times_.end()) times_.erase(it);
     }
     /// How many lie inside the window that ends now; one at its very start is counted where asked.
-    double count(Time now, bool with_start) {
+    double count(Time now, bool include_start) {
         drop_before(now - length_);
-        const auto at_start = with_start ? 0 : std::count(times_.begin(), times_.end(), now - length_);
+        const auto at_start = include_start ? 0 : std::count(times_.begin(), times_.end(), now - length_);
         return static_cast<double>(static_cast<std::ptrdiff_t>(times_.size()) - at_start);
     }
 
--- a/src/policy/ring.h
+++ b/src/policy/ring.h
@@ -16,39 +16,39 @@
 template <typename T>
 class Ring {
   public:
-    struct Place {
+    struct Entry {
         std::uint64_t key = 0;
         EndpointId id{};
-        T* what = nullptr;
+        T* value = nullptr;
     };
 
-    std::size_t size() const { return places_.size(); }
-    bool empty() const { return places_.empty(); }
+    std::size_t size() const { return entries_.size(); }
+    bool empty() const { return entries_.empty(); }
     /// At this rank, from 0 below size().
-    T& operator[](std::size_t rank) const { return *places_[rank].what; }
+    T& operator[](std::size_t rank) const { return *entries_[rank].value; }
     /// Of a place that is there.
     std::size_t rank(std::uint64_t key, EndpointId id) const {
-        return static_cast<std::size_t>(find(key, id) - places_.begin());
+        return static_cast<std::size_t>(find(key, id) - entries_.begin());
     }
-    void insert(std::uint64_t key, EndpointId id, T& what) {
-        places_.insert(find(key, id), {key, id, &what});
+    void insert(std::uint64_t key, EndpointId id, T& value) {
+        entries_.insert(find(key, id), {key, id, &value});
     }
     /// Of a place that is there.
-    void erase(std::uint64_t key, EndpointId id) { places_.erase(find(key, id)); }
+    void erase(std::uint64_t key, EndpointId id) { entries_.erase(find(key, id)); }
     /// All places anew, given in any order.
-    void assign(std::vector<Place>&& places) {
-        places_ = std::move(places);
-        std::sort(places_.begin(), places_.end(), before);
+    void assign(std::vector<Entry>&& entries) {
+        entries_ = std::move(entries);
+        std::sort(entries_.begin(), entries_.end(), less);
     }
 
   private:
-    static bool before(const Place& a, const Place& b) {
+    static bool less(const Entry& a, const Entry& b) {
         return std::pair(a.key, a.id) < std::pair(b.key, b.id);
     }
     auto find(std::uint64_t key, EndpointId id) const {
-        return std::lower_bound(places_.begin(), places_.end(), Place{key, id, nullptr}, before);
+        return std::lower_bound(entries_.begin(), entries_.end(), Entry{key, id, nullptr}, less);
     }
-    std::vector<Place> places_;
+    std::vector<Entry> entries_;
 };
 
 }  // namespace martenford::decision
--- a/src/policy/settings.cpp
+++ b/src/policy/settings.cpp
@@ -10,13 +10,13 @@
 void require(bool holds, const std::string& field, const char* rule) {
     if (!holds) throw std::invalid_argument("decision library: settings field '" + field + "' " + rule);
 }
-void span(Duration value, const std::string& field) {
+void check_duration(Duration value, const std::string& field) {
     require(value >= Duration{}, field, "is a negative span");
 }
-void share(double value, const std::string& field) {
+void check_share(double value, const std::string& field) {
     require(value >= 0.0 && value <= 1.0, field, "is not a share from 0 to 1");
 }
-void amount(double value, const std::string& field) {
+void check_amount(double value, const std::string& field) {
     require(std::isfinite(value) && value >= 0.0, field, "is not a number of 0 or more");
 }
 
@@ -30,42 +30,42 @@
     require(s.tiers > 0, "tiers", "is zero");
     require(s.tier < s.tiers, "tier", "is out of range");
     require(s.kinds > 0, "kinds", "is zero");
-    share(s.over_share_worth, "over_share_worth");
-    span(s.tick, "tick");
+    check_share(s.over_share_worth, "over_share_worth");
+    check_duration(s.tick, "tick");
     require(!s.classes.empty(), "classes", "is empty");
     for (const RequestClass& c : s.classes) {
-        amount(c.worth, "classes.worth");
-        share(c.late_worth, "classes.late_worth");
-        span(c.aim, "classes.aim");
-        amount(c.aim_stretch, "classes.aim_stretch");
+        check_amount(c.worth, "classes.worth");
+        check_share(c.late_worth, "classes.late_worth");
+        check_duration(c.latency_target, "classes.aim");
+        check_amount(c.latency_target_stretch, "classes.aim_stretch");
         require(c.deadline > Duration{}, "classes.deadline", "is not above zero");
-        span(c.window, "classes.window");
+        check_duration(c.dedup_window, "classes.window");
     }
     for (const Tenant& t : s.tenants) {
-        share(t.share, "tenants.share");
-        amount(t.allowance_per_s, "tenants.allowance_per_s");
+        check_share(t.share, "tenants.share");
+        check_amount(t.allowance_per_s, "tenants.allowance_per_s");
     }
     require(s.limits.max_attempts > 0, "limits.max_attempts", "is zero");
     require(s.limits.streams_per_connection > 0, "limits.streams_per_connection", "is zero");
-    span(s.limits.connection_idle, "limits.connection_idle");
-    span(s.limits.connect_timeout, "limits.connect_timeout");
-    span(s.limits.max_retry_after, "limits.max_retry_after");
+    check_duration(s.limits.connection_idle, "limits.connection_idle");
+    check_duration(s.limits.connect_timeout, "limits.connect_timeout");
+    check_duration(s.limits.max_retry_after, "limits.max_retry_after");
     for (const double price : {s.prices.connection, s.prices.cross_zone, s.prices.discovery,
                                s.prices.handshake, s.prices.late_fail, s.prices.probe, s.prices.waste}) {
-        amount(price, "prices");
+        check_amount(price, "prices");
     }
-    span(s.rules.answer_slack, "rules.answer_slack");
-    span(s.rules.ask_every, "rules.ask_every");
-    span(s.rules.drain_grace, "rules.drain_grace");
-    share(s.rules.cold_from, "rules.cold_from");
-    span(s.rules.ramp_time, "rules.ramp_time");
-    require(std::isfinite(s.rules.fall_multiple) && s.rules.fall_multiple > 0.0, "rules.fall_multiple",
-            "is not above zero");
-    span(s.rules.tip_after, "rules.tip_after");
-    span(s.rules.turn_gap, "rules.turn_gap");
+    check_duration(s.rules.answer_slack, "rules.answer_slack");
+    check_duration(s.rules.subscribe_interval, "rules.ask_every");
+    check_duration(s.rules.drain_grace, "rules.drain_grace");
+    check_share(s.rules.cold_capacity_share, "rules.cold_from");
+    check_duration(s.rules.warm_up_time, "rules.ramp_time");
+    require(std::isfinite(s.rules.overload_multiple) && s.rules.overload_multiple > 0.0,
+            "rules.fall_multiple", "is not above zero");
+    check_duration(s.rules.overload_time, "rules.tip_after");
+    check_duration(s.rules.key_cooldown, "rules.turn_gap");
     if (const auto& budget = s.rules.attempt_budget) {
-        amount(budget->floor, "rules.attempt_budget.floor");
-        share(budget->ratio, "rules.attempt_budget.ratio");
+        check_amount(budget->floor, "rules.attempt_budget.floor");
+        check_share(budget->ratio, "rules.attempt_budget.ratio");
         require(budget->look_back > Duration{}, "rules.attempt_budget.look_back", "is not above zero");
     }
 }
--- a/src/policy/waits.h
+++ b/src/policy/waits.h
@@ -29,7 +29,7 @@
 };
 
 /// What is left of a request's time for a retry: none where it is 0 or less.
-inline Duration left_for_retry(Time deadline, Time now) {
+inline Duration retry_time_left(Time deadline, Time now) {
     return deadline - now - kDeadlineBuffer;
 }
 
--- a/src/proxy/inbound_protocol.cpp
+++ b/src/proxy/inbound_protocol.cpp
@@ -174,7 +174,7 @@
     // A response without an Attempt-Id may be a surplus one that says "not executed" of an earlier request
     // while this one runs.
     if (id.empty()) return Status::Reset;
-    if (not_run) return Status::Full;
+    if (not_run) return Status::Rejected;
     // To the client these statuses prove that nothing ran, which the endpoint does not promise.
     if (proves_not_run(status)) return Status::Reset;
     if (status / 100 == 2 && (head[kServerSeal].empty() || !head[http::field::content_encoding].empty()))
--- a/src/proxy/outbound_protocol.cpp
+++ b/src/proxy/outbound_protocol.cpp
@@ -220,7 +220,7 @@
             policy_.turned_away(RequestId(message->field(kAttemptId)), from);
         const auto newer = whole_number(head[kHopConfigVersionField]);
         if (message && newer) outbound_.outdated(*message, static_cast<mesh_config::Version>(*newer));
-        return Status::Full;
+        return Status::Rejected;
     }
     if (!head[kHopDeliveredField].empty()) {
         if (message) policy_.delivered(RequestId(message->field(kAttemptId)));
--- a/src/subset/subset.cpp
+++ b/src/subset/subset.cpp
@@ -45,22 +45,22 @@
     return std::min(count - 1, static_cast<std::size_t>(share * static_cast<double>(count)));
 }
 
-std::vector<std::size_t> rounds(const std::vector<EndpointId>& members, const Place& place,
+std::vector<std::size_t> rounds(const std::vector<EndpointId>& members, const SubsetParams& params,
                                 std::size_t width) {
     const std::size_t subsets = std::max<std::size_t>(1, members.size() / width);
     std::vector<std::size_t> shuffled(members.size());
     std::iota(shuffled.begin(), shuffled.end(), std::size_t{0});
-    Random random(place.position / subsets + 1);
+    Random random(params.position / subsets + 1);
     for (std::size_t i = shuffled.size(); i > 1; --i) std::swap(shuffled[i - 1], shuffled[random.below(i)]);
-    return window(shuffled, place.position % subsets * width, width);
+    return window(shuffled, params.position % subsets * width, width);
 }
 
 /// Whoever its share of the ring touches; the share begins where the one before it ends.
-std::vector<std::size_t> aperture(const std::vector<EndpointId>& members, const Place& place,
+std::vector<std::size_t> aperture(const std::vector<EndpointId>& members, const SubsetParams& params,
                                   std::size_t width) {
     const auto count = static_cast<double>(members.size());
-    const double from = count * place.position / place.replicas;
-    const double length = std::max(count / place.replicas, static_cast<double>(width));
+    const double from = count * params.position / params.replicas;
+    const double length = std::max(count / params.replicas, static_cast<double>(width));
     const auto first = static_cast<std::size_t>(from);
     const auto last = static_cast<std::size_t>(std::ceil(from + length - 1e-9));
     return window(ring_order(members, 0), first, std::min(members.size(), last - first));
@@ -73,18 +73,19 @@
     return value;
 }
 
-std::vector<std::size_t> lots(const std::vector<EndpointId>& members, const Place& place, std::size_t width) {
+std::vector<std::size_t> lots(const std::vector<EndpointId>& members, const SubsetParams& params,
+                              std::size_t width) {
     // Rounded up, so that a lot reaches everybody. A power of two, so that the points of a whole lot are
     // exactly even and a lot keeps its size while the tier changes little.
     const auto size =
         static_cast<std::uint32_t>(std::bit_ceil(std::max<std::size_t>(1, members.size() / width)));
-    const auto ring = ring_order(members, place.position / size + 1);
-    return window(ring, rank_at(van_der_corput(place.position % size), members.size()), width);
+    const auto ring = ring_order(members, params.position / size + 1);
+    return window(ring, rank_at(van_der_corput(params.position % size), members.size()), width);
 }
 
 }  // namespace
 
-Method method_of(std::string_view name) {
+Method parse_method(std::string_view name) {
     if (name == "window") return Method::Window;
     if (name == "rounds") return Method::Rounds;
     if (name == "aperture") return Method::Aperture;
@@ -92,29 +93,30 @@
     throw std::invalid_argument("'" + std::string(name) + "' is none of window, rounds, aperture, lots");
 }
 
-std::vector<std::size_t> choose(Method method, const std::vector<EndpointId>& members, const Place& place) {
-    if (place.replicas == 0) throw std::invalid_argument("replicas is 0");
-    if (place.width == 0) throw std::invalid_argument("width is 0");
-    Place here = place;
-    here.position %= here.replicas;
-    const std::size_t width = std::min(place.width, members.size());
+std::vector<std::size_t> choose(Method method, const std::vector<EndpointId>& members,
+                                const SubsetParams& params) {
+    if (params.replicas == 0) throw std::invalid_argument("replicas is 0");
+    if (params.width == 0) throw std::invalid_argument("width is 0");
+    SubsetParams wrapped = params;
+    wrapped.position %= wrapped.replicas;
+    const std::size_t width = std::min(params.width, members.size());
     if (width == 0) return {};
     std::vector<std::size_t> result;
     switch (method) {
         case Method::Window: {
             const std::size_t start =
-                static_cast<std::size_t>(here.position) * members.size() / here.replicas;
+                static_cast<std::size_t>(wrapped.position) * members.size() / wrapped.replicas;
             result = window(ring_order(members, 0), start, width);
             break;
         }
         case Method::Rounds:
-            result = rounds(members, here, width);
+            result = rounds(members, wrapped, width);
             break;
         case Method::Aperture:
-            result = aperture(members, here, width);
+            result = aperture(members, wrapped, width);
             break;
         case Method::Lots:
-            result = lots(members, here, width);
+            result = lots(members, wrapped, width);
             break;
     }
     std::sort(result.begin(), result.end());
--- a/src/subset/subset.h
+++ b/src/subset/subset.h
@@ -13,7 +13,7 @@
 namespace martenford::subset {
 
 /// One sidecar among its replicas.
-struct Place {
+struct SubsetParams {
     std::uint32_t position = 0;  ///< 0 to replicas - 1; a higher one is taken modulo replicas
     std::uint32_t replicas = 1;  ///< at least 1
     std::size_t width = 20;      ///< endpoints to use; no more than there are will be
@@ -30,11 +30,11 @@
 };
 
 /// Throws std::invalid_argument where the name is none: "window", "rounds", "aperture", "lots".
-Method method_of(std::string_view name);
+Method parse_method(std::string_view name);
 
 /// The chosen ones as indices into `members`, which are in rising order without repeats; the result rises
 /// too. O(n log n). Throws std::invalid_argument where replicas or width is 0.
 std::vector<std::size_t> choose(Method method, const std::vector<decision::EndpointId>& members,
-                                const Place& place);
+                                const SubsetParams& params);
 
 }  // namespace martenford::subset
--- a/src/subset/subset_policy.h
+++ b/src/subset/subset_policy.h
@@ -14,8 +14,8 @@
 namespace martenford::subset {
 
 struct Options {
-    std::size_t width = 20;        ///< endpoints used while all is well
-    std::size_t most_width = 160;  ///< and at most; bounds the connections of a fleet that fails as a whole
+    std::size_t width = 20;       ///< endpoints used while all is well
+    std::size_t max_width = 160;  ///< and at most; bounds the connections of a fleet that fails as a whole
 };
 
 /// The window of `Method::Window`, kept up at a cost that grows with what changes and with the width. Own
@@ -29,10 +29,10 @@
 class SubsetPolicy : public Policy {
   public:
     /// `settings` are the sidecar's own; the module behind must have been given those of alone().
-    SubsetPolicy(std::unique_ptr<Policy> module, const decision::Settings& settings, const Options& options,
+    SubsetPolicy(std::unique_ptr<Policy> next, const decision::Settings& settings, const Options& options,
                  Counters& counters);
     /// The same settings for a module that is to use all that it is shown.
-    static decision::Settings alone(decision::Settings settings);
+    static decision::Settings single_replica_settings(decision::Settings settings);
 
     void start(decision::Time now, std::vector<decision::Action>& out) override;
     void handle(decision::Time now, const decision::Event& event,
@@ -40,7 +40,7 @@
 
     std::size_t width() const { return width_; }
     /// Those that the module may send to, in rising order.
-    std::vector<decision::EndpointId> used() const;
+    std::vector<decision::EndpointId> selected() const;
 
   private:
     using Id = decision::EndpointId;
@@ -49,33 +49,34 @@
       public:
         void insert(Id id);
         void erase(Id id);
-        void clear() { places_.clear(); }
+        void clear() { ids_.clear(); }
         void assign(std::vector<Id>&& ids);
-        std::size_t size() const { return places_.size(); }
-        Id operator[](std::size_t i) const { return places_[i]; }
+        std::size_t size() const { return ids_.size(); }
+        Id operator[](std::size_t i) const { return ids_[i]; }
 
       private:
         // Ids alone: where one stands is computed from it. A change moves what lies behind, and 10,000 of
         // them fit into the nearest cache.
-        std::vector<Id> places_;
+        std::vector<Id> ids_;
     };
-    Order& order_of(const decision::Endpoint& e) { return e.zone == zone_ ? near_ : far_; }
-    decision::Discovered take_in(const decision::Discovered& news, std::vector<decision::Action>& out);
-    void choose();
-    void shift(decision::EndpointList& news, std::vector<decision::Action>& out);
-    void look_back(decision::Time now, std::vector<decision::Action>& out);
+    Order& zone_order(const decision::Endpoint& e) { return e.zone == zone_ ? near_ : far_; }
+    decision::DiscoveryUpdate filter_update(const decision::DiscoveryUpdate& update,
+                                            std::vector<decision::Action>& out);
+    void select();
+    void apply_selection(decision::EndpointList& changes, std::vector<decision::Action>& out);
+    void evaluate_period(decision::Time now, std::vector<decision::Action>& out);
 
-    std::unique_ptr<Policy> module_;
+    std::unique_ptr<Policy> next_;
     std::uint32_t position_, replicas_, zone_, zones_;
     Options options_;
     std::size_t width_;
     std::unordered_map<Id, decision::Endpoint> members_;  // all that are listed
     Order near_, far_;
-    std::vector<Id> chosen_;                            // rising
-    std::unordered_map<Id, decision::Endpoint> shown_;  // as the module knows them
+    std::vector<Id> selected_;                              // rising
+    std::unordered_map<Id, decision::Endpoint> forwarded_;  // as the module knows them
     decision::Time period_end_{}, calm_since_{};
-    std::size_t good_ = 0, bad_ = 0, out_now_ = 0, out_most_ = 0;
-    Counter &grown_, &shrunk_, &moved_;
+    std::size_t successes_ = 0, failures_ = 0, in_flight_ = 0, max_in_flight_ = 0;
+    Counter &grown_, &shrunk_, &added_;
 };
 
 }  // namespace martenford::subset
--- a/src/telemetry/collector.cpp
+++ b/src/telemetry/collector.cpp
@@ -25,7 +25,7 @@
             return "ok";
         case Status::Error:
             return "error";
-        case Status::Full:
+        case Status::Rejected:
             return "turned-away";
         case Status::Timeout:
             return "timeout";
@@ -107,7 +107,7 @@
     nodes_[id].uid = uid;
 }
 
-void Collector::listed(const decision::Discovered& news) {
+void Collector::listed(const decision::DiscoveryUpdate& news) {
     if (!news.endpoints) return;
     for (const decision::Endpoint& each : *news.endpoints) {
         if (each.availability == decision::Availability::Gone) {
@@ -173,7 +173,8 @@
     story.answer = why == Why::Client ? "left" : name_of(how);
     story.why = name_of(why);
     const auto& rules = settings_.classes[open.class_index];
-    story.late = how == Tally::End::Served && rules.aim > Duration{} && story.took > rules.aim;
+    story.late =
+        how == Tally::End::Served && rules.latency_target > Duration{} && story.took > rules.latency_target;
     open.over = true;
     if (how == Tally::End::Served)
         latencies_[open.class_index].add(static_cast<double>(story.took.count()) * 1e-9);
--- a/src/telemetry/collector.h
+++ b/src/telemetry/collector.h
@@ -39,7 +39,7 @@
     void sent(const decision::RequestId& id, std::size_t attempt, EndpointId endpoint) override;
     void ended(const decision::RequestId& id, std::size_t attempt, decision::Status status) override;
     void completed(const decision::RequestId& id, Tally::End how, Why why) override;
-    void listed(const decision::Discovered& news) override;
+    void listed(const decision::DiscoveryUpdate& news) override;
 
     /// A call of an operator: `why [SECONDS]`, `story ID`, `slowest N [CLASS]`, `latencies`; nothing where it
     /// is none.
--- a/tests/adapter/adapter_test.cpp
+++ b/tests/adapter/adapter_test.cpp
@@ -33,7 +33,7 @@
            std::to_string(endpoint) +
            R"(,"locality":0,"class_of_host":0,"pack":0,"availability":1,"nominal":1,"online_since":null}]})";
 }
-std::string known(int ref, int kind = 1, int id = 0) {
+std::string peers_known(int ref, int kind = 1, int id = 0) {
     return R"({"t":"peers_known","sidecar_id":)" + std::to_string(id) + R"(,"ref":)" + std::to_string(ref) +
            R"(,"serial":1,"kind":)" + std::to_string(kind) + "}";
 }
@@ -54,7 +54,7 @@
 TEST(Adapter, RequestIsPlacedOnTheKnownEndpoint) {
     Host host;
     const std::string reply = host.reply(
-        batch(4, provision() + "," + ledger(3, 51530247) + "," + known(3) + "," + ingress("c:a\\\"b")));
+        batch(4, provision() + "," + ledger(3, 51530247) + "," + peers_known(3) + "," + ingress("c:a\\\"b")));
     EXPECT_EQ(reply,
               R"({"round":4,"cmds":[{"t":"place","sidecar_id":0,"request_id":"c:a\"b","endpoint":51530247},)"
               R"({"t":"defer","sidecar_id":0,"when":500001000,"label":1}]})");
@@ -62,9 +62,9 @@
 
 TEST(Adapter, ListNumbersReusedInOneBatchAreResolvedInOrder) {
     Host host;
-    const std::string reply = host.reply(
-        batch(1, provision(0) + "," + ledger(0, 11) + "," + known(0, 1, 0) + "," + provision(1) + "," +
-                     ledger(0, 22) + "," + known(0, 1, 1) + "," + ingress("x", 0) + "," + ingress("y", 1)));
+    const std::string reply = host.reply(batch(
+        1, provision(0) + "," + ledger(0, 11) + "," + peers_known(0, 1, 0) + "," + provision(1) + "," +
+               ledger(0, 22) + "," + peers_known(0, 1, 1) + "," + ingress("x", 0) + "," + ingress("y", 1)));
     EXPECT_NE(reply.find(R"("request_id":"x","endpoint":11)"), std::string::npos) << reply;
     EXPECT_NE(reply.find(R"("request_id":"y","endpoint":22)"), std::string::npos) << reply;
 }
@@ -72,13 +72,13 @@
 TEST(Adapter, ListsAreKeptBetweenBatches) {
     Host host;
     host.reply(batch(1, provision() + "," + ledger(15, 33)));
-    const std::string reply = host.reply(batch(2, known(15) + "," + ingress("x")));
+    const std::string reply = host.reply(batch(2, peers_known(15) + "," + ingress("x")));
     EXPECT_NE(reply.find(R"("endpoint":33)"), std::string::npos) << reply;
 }
 
 TEST(Adapter, StopThenProvisionInOneBatchStartsAfresh) {
     Host host;
-    host.reply(batch(1, provision() + "," + ledger(0, 5) + "," + known(0) + "," + ingress("x")));
+    host.reply(batch(1, provision() + "," + ledger(0, 5) + "," + peers_known(0) + "," + ingress("x")));
     // The fresh instance knows neither the request nor the endpoint of its former life.
     const std::string reply = host.reply(
         batch(2, R"({"t":"stop","sidecar_id":0},)" + provision() + "," +
@@ -90,7 +90,7 @@
 
 TEST(Adapter, LoadReportsOfAnyNamesAreRead) {
     Host host;
-    host.reply(batch(1, provision() + "," + ledger(0, 5) + "," + known(0) + "," + ingress("x")));
+    host.reply(batch(1, provision() + "," + ledger(0, 5) + "," + peers_known(0) + "," + ingress("x")));
     EXPECT_NO_THROW(host.reply(batch(
         2, R"({"t":"completed","sidecar_id":0,"request_id":"x","go":0,"endpoint":5,"ending":1,)"
            R"("wait_time":1000,"last":true,"report":{"load_share":0.5,"concurrent":3,"novel":"text"}})")));
@@ -110,7 +110,8 @@
         std::string text = ingress(id);
         return text.replace(text.find(R"("extra":1)"), 9, R"("key":5)");
     };
-    return host.reply(batch(1, with + "," + ledger(0, 5) + "," + known(0) + "," + one("x") + "," + one("y")));
+    return host.reply(
+        batch(1, with + "," + ledger(0, 5) + "," + peers_known(0) + "," + one("x") + "," + one("y")));
 }
 
 TEST(Adapter, OrderByKeyIsPassedOn) {
@@ -130,7 +131,7 @@
         const std::string with =
             provision_with(R"("tip_after":2000000000})", R"("tip_after":2000000000)" + extra + "}");
         Host host;
-        host.reply(batch(1, with + "," + ledger(0, 5) + "," + known(0) + "," + ingress("x")));
+        host.reply(batch(1, with + "," + ledger(0, 5) + "," + peers_known(0) + "," + ingress("x")));
         host.reply(batch(2, R"({"t":"completed","sidecar_id":0,"request_id":"x","go":0,"endpoint":5,)"
                             R"("ending":0,"wait_time":1000,"last":false,"report":null})"));
         // The timer of the retry is the first that the balancer set; its token is the request's number.
@@ -160,7 +161,7 @@
 class MalformedLine : public testing::TestWithParam<Malformed> {};
 
 TEST_P(MalformedLine, EndsWithAPlainMessageAndNoPartialReply) {
-    std::istringstream in(batch(1, provision() + "," + ledger(0, 5) + "," + known(0)) + "\n" +
+    std::istringstream in(batch(1, provision() + "," + ledger(0, 5) + "," + peers_known(0)) + "\n" +
                           GetParam().line + "\n");
     std::ostringstream out, err;
     EXPECT_NE(serve(in, out, err), 0);
@@ -201,8 +202,8 @@
                      R"("wait_time":1})"),
             "field 'ending' is out of range"},
         Malformed{"ListOutOfRange", batch(2, ledger(16, 5)), "field 'ref' is out of range"},
-        Malformed{"ListNeverSent", batch(2, known(7)), "names a list that was never sent"},
-        Malformed{"ListKind", batch(2, known(0, 0)), "field 'kind' is out of range"},
+        Malformed{"ListNeverSent", batch(2, peers_known(7)), "names a list that was never sent"},
+        Malformed{"ListKind", batch(2, peers_known(0, 0)), "field 'kind' is out of range"},
         Malformed{"KeyOutOfRange",
                   batch(2, R"({"t":"ingress","sidecar_id":0,"request_id":"x","priority":0,"valid_until":5,)"
                            R"("key":9007199254740992})"),
@@ -223,14 +224,14 @@
             "ZoneOutOfRange",
             batch(2,
                   R"({"t":"ledger","ref":1,"members_list":[{"endpoint":1,"locality":1,"availability":1}]},)" +
-                      known(1)),
+                      peers_known(1)),
             "'locality' is out of range"},
         Malformed{
             "KindOutOfRange",
             batch(
                 2,
                 R"({"t":"ledger","ref":1,"members_list":[{"endpoint":1,"class_of_host":1,"availability":1}]},)" +
-                    known(1)),
+                    peers_known(1)),
             "'class_of_host' is out of range"},
         Malformed{"AvailabilityOutOfRange",
                   batch(2, R"({"t":"ledger","ref":1,"members_list":[{"endpoint":1,"availability":3}]})"),
@@ -250,10 +251,10 @@
 
 TEST(Adapter, BatchThatFailsLeavesTheInstanceAsItWas) {
     Host host;
-    host.reply(batch(1, provision() + "," + ledger(0, 5) + "," + known(0)));
+    host.reply(batch(1, provision() + "," + ledger(0, 5) + "," + peers_known(0)));
     EXPECT_THROW(host.reply(batch(2, R"({"t":"stop","sidecar_id":0},)" + ledger(0, 6) + "," + ingress("x"))),
                  WireError);
-    const std::string reply = host.reply(batch(3, known(0) + "," + ingress("x")));
+    const std::string reply = host.reply(batch(3, peers_known(0) + "," + ingress("x")));
     EXPECT_NE(reply.find(R"("request_id":"x","endpoint":5)"), std::string::npos) << reply;
 }
 
@@ -279,8 +280,8 @@
     writer.write(1, SetTimer{Time{Duration{99}}, 3});
     writer.write(1, Probe{EndpointId{7}});
     writer.write(1, Subscribe{});
-    writer.write(1, ShutIdle{EndpointId{7}});
-    writer.write_broken(2, "bad\n\"index\"");
+    writer.write(1, CloseIdleConnections{EndpointId{7}});
+    writer.write_error(2, "bad\n\"index\"");
     EXPECT_EQ(std::move(writer).finish(),
               R"({"round":5,"cmds":[)"
               R"({"t":"place","sidecar_id":1,"request_id":"a","endpoint":7,"limit":80000000},)"
--- a/tests/assembly/features_test.cpp
+++ b/tests/assembly/features_test.cpp
@@ -9,7 +9,7 @@
 TEST(Features, NothingIsOnUnlessItsSectionStandsThere) {
     const Features none = read_features("", "martenford.toml");
     EXPECT_FALSE(none.subset || none.outliers || none.caution_share || none.ledger);
-    EXPECT_EQ(none.connections.most, 0u);
+    EXPECT_EQ(none.connections.max_total, 0u);
     EXPECT_EQ(none.connections.per_endpoint, 0u);
     EXPECT_EQ(membership_options(none, {}).caution, Duration{});
 }
@@ -30,10 +30,10 @@
                                        "martenford.toml");
     ASSERT_TRUE(all.subset && all.outliers);
     EXPECT_EQ(all.subset->width, 30u);
-    EXPECT_EQ(all.subset->most_width, 240u);
-    EXPECT_EQ(all.outliers->eject_for, 30s);
-    EXPECT_EQ(all.outliers->most_share, 0.2);
-    EXPECT_EQ(all.connections.most, 500u);
+    EXPECT_EQ(all.subset->max_width, 240u);
+    EXPECT_EQ(all.outliers->base_ejection_time, 30s);
+    EXPECT_EQ(all.outliers->max_ejected_share, 0.2);
+    EXPECT_EQ(all.connections.max_total, 500u);
     EXPECT_EQ(all.connections.per_endpoint, 4u);
     decision::Settings settings;
     settings.rules.drain_grace = 1s;
--- a/tests/consumer/consumer.cpp
+++ b/tests/consumer/consumer.cpp
@@ -12,9 +12,10 @@
     const martenford::decision::Time now{};
     balancer.start(now, actions);
     auto endpoints = std::make_shared<martenford::decision::EndpointList>(1);
-    balancer.handle(now,
-                    martenford::decision::Discovered{martenford::decision::Discovered::Kind::Full, endpoints},
-                    actions);
+    balancer.handle(
+        now,
+        martenford::decision::DiscoveryUpdate{martenford::decision::DiscoveryUpdate::Kind::Full, endpoints},
+        actions);
     martenford::decision::Request request;
     request.id = "r";
     request.deadline = now + std::chrono::seconds(1);
--- a/tests/discovery/doubted_watch_test.cpp
+++ b/tests/discovery/doubted_watch_test.cpp
@@ -41,7 +41,7 @@
         config_.name = "n0";
         config_.seed = kSoon;
         config_.names = {{"a"}, {"m"}};
-        config_.settings.rules = usual_rules();
+        config_.settings.rules = default_rules();
         config_.settings.replicas = 1;
         config_.discovery = {boost::asio::ip::address_v4::loopback(),
                              static_cast<std::uint16_t>(listener_.port())};
--- a/tests/emulator/emulation_test.cpp
+++ b/tests/emulator/emulation_test.cpp
@@ -95,13 +95,13 @@
   public:
     using Mutant::Mutant;
     void handle(Time now, const Event& event, std::vector<Action>& out) override {
-        const auto* news = std::get_if<Discovered>(&event);
+        const auto* news = std::get_if<DiscoveryUpdate>(&event);
         if (!news || !news->endpoints) return real.handle(now, event, out);
         auto changed = std::make_shared<EndpointList>(*news->endpoints);
         for (Endpoint& e : *changed) {
             if (e.availability == Availability::Draining) e.availability = Availability::Ready;
         }
-        real.handle(now, Discovered{news->kind, changed}, out);
+        real.handle(now, DiscoveryUpdate{news->kind, changed}, out);
     }
 };
 
@@ -110,7 +110,7 @@
   public:
     using Mutant::Mutant;
     void handle(Time now, const Event& event, std::vector<Action>& out) override {
-        if (const auto* news = std::get_if<Discovered>(&event); news && news->endpoints) {
+        if (const auto* news = std::get_if<DiscoveryUpdate>(&event); news && news->endpoints) {
             for (const Endpoint& e : *news->endpoints) {
                 if (e.started && e.availability == Availability::Ready) newest = e.id;
                 if (e.id == newest && e.availability != Availability::Ready) newest.reset();
--- a/tests/emulator/rule_checker_test.cpp
+++ b/tests/emulator/rule_checker_test.cpp
@@ -12,7 +12,7 @@
 namespace {
 
 using decision::Availability;
-using decision::Effect;
+using decision::Idempotency;
 
 Time at(double s) {
     return Time{from_seconds(s)};
@@ -22,10 +22,10 @@
 
 std::vector<decision::RequestClass> classes() {
     std::vector<decision::RequestClass> result(3);
-    result[kSafe].effect = Effect::Free;
-    result[kKeyed].effect = Effect::Guarded;
-    result[kKeyed].window = 6s;
-    result[kUnsafe].effect = Effect::SingleShot;
+    result[kSafe].idempotency = Idempotency::Idempotent;
+    result[kKeyed].idempotency = Idempotency::Deduplicated;
+    result[kKeyed].dedup_window = 6s;
+    result[kUnsafe].idempotency = Idempotency::NonIdempotent;
     return result;
 }
 
--- a/tests/emulator/scenario_test.cpp
+++ b/tests/emulator/scenario_test.cpp
@@ -56,7 +56,7 @@
     EXPECT_EQ(s.tiers[0].endpoints, 4u);
     ASSERT_EQ(s.classes.size(), 1u);
     EXPECT_DOUBLE_EQ(s.classes[0].share, 1.0);
-    EXPECT_EQ(s.classes[0].effect, decision::Effect::Free);
+    EXPECT_EQ(s.classes[0].effect, decision::Idempotency::Idempotent);
     EXPECT_EQ(s.sidecars_of(0), 1u);
 }
 
--- a/tests/grpc/h2_client_test.cpp
+++ b/tests/grpc/h2_client_test.cpp
@@ -110,10 +110,10 @@
     failed.expect(How::Trailers, Status::Error, 14);
     Call away;
     away.head({{":status", "200"}, {"grpc-status", "14"}, {"x-not-processed", "1"}}, true);
-    away.expect(How::Trailers, Status::Full, 14);
+    away.expect(How::Trailers, Status::Rejected, 14);
     Call proxy;
     proxy.head({{":status", "503"}, {"x-not-processed", "1"}}, true);
-    proxy.expect(How::HttpStatus, Status::Full, 503);
+    proxy.expect(How::HttpStatus, Status::Rejected, 503);
     Call html;
     html.head({{":status", "502"}, {"content-type", "text/html"}});
     html.data("<html>", true);
@@ -160,7 +160,7 @@
 TEST(H2Client, ResetsByTheirCodes) {
     Call refused;
     refused.say(frame(NGHTTP2_RST_STREAM, 0, refused.id, word(NGHTTP2_REFUSED_STREAM)));
-    refused.expect(How::StreamRefused, Status::Full);
+    refused.expect(How::StreamRefused, Status::Rejected);
     for (const std::uint32_t code : {0u, 1u, 2u, 8u, 11u, 13u, 77u}) {
         Call reset;
         reset.say(frame(NGHTTP2_RST_STREAM, 0, reset.id, word(code)));
--- a/tests/grpc/status_test.cpp
+++ b/tests/grpc/status_test.cpp
@@ -29,10 +29,11 @@
         Row{{How::ConnectFailed, 0, false}, Status::ConnectFailed},
         Row{{How::NotWhole, 0, false}, Status::ConnectFailed},
         Row{{How::GoAwayAbove, 0, false}, Status::ConnectFailed},
-        Row{{How::StreamRefused, 7, false}, Status::Full},
-        Row{{How::Trailers, code(Code::Unavailable), true}, Status::Full},
-        Row{{How::Trailers, code(Code::ResourceExhausted), true}, Status::Full},
-        Row{{How::HttpStatus, 503, true}, Status::Full}, Row{{How::HttpStatus, 504, true}, Status::Full},
+        Row{{How::StreamRefused, 7, false}, Status::Rejected},
+        Row{{How::Trailers, code(Code::Unavailable), true}, Status::Rejected},
+        Row{{How::Trailers, code(Code::ResourceExhausted), true}, Status::Rejected},
+        Row{{How::HttpStatus, 503, true}, Status::Rejected},
+        Row{{How::HttpStatus, 504, true}, Status::Rejected},
         // The endpoint's own answer.
         Row{{How::Trailers, code(Code::Ok), false}, Status::Ok},
         Row{{How::Trailers, code(Code::InvalidArgument), false}, Status::Ok},
@@ -86,7 +87,7 @@
         const Closing closing = closing_of(kind, late);
         return outcome_of({How::Trailers, code(closing.code), closing.not_processed});
     };
-    EXPECT_EQ(again(Answer::Kind::Refused, false), Status::Full);
+    EXPECT_EQ(again(Answer::Kind::Refused, false), Status::Rejected);
     EXPECT_EQ(again(Answer::Kind::Failed, false), Status::Error);
     EXPECT_EQ(again(Answer::Kind::Failed, true), Status::Error);
 }
--- a/tests/membership/membership_test.cpp
+++ b/tests/membership/membership_test.cpp
@@ -10,7 +10,7 @@
 
 using namespace martenford;
 using decision::Availability;
-using decision::Discovered;
+using decision::DiscoveryUpdate;
 
 Target target(const std::string& uid, Availability state = Availability::Ready, std::int64_t boot_ms = 0) {
     Target result;
@@ -108,13 +108,13 @@
 TEST(Membership, ChangesWithoutAListAndOlderOnesAreNotTakenIn) {
     Membership membership({});
     auto update = membership.take(list(5, false, fleet(0, 3)), false, kStart, Time{});
-    EXPECT_EQ(update.news.kind, Discovered::Kind::Failed);
+    EXPECT_EQ(update.news.kind, DiscoveryUpdate::Kind::Failed);
     EXPECT_TRUE(update.ask_whole);
     EXPECT_EQ(membership.size(), 0u);
     membership.take(list(5, true, fleet(0, 3)), false, kStart, Time{});
     // Overtaken on the way, or from a discovery that began to count anew.
     update = membership.take(list(4, false, gone(0, 3)), false, kStart, Time{});
-    EXPECT_EQ(update.news.kind, Discovered::Kind::Failed);
+    EXPECT_EQ(update.news.kind, DiscoveryUpdate::Kind::Failed);
     EXPECT_TRUE(update.ask_whole);
     EXPECT_FALSE(membership.revision());
     EXPECT_EQ(membership.size(), 3u);
@@ -147,9 +147,9 @@
     EXPECT_EQ(membership.doubted(), 60u);
     EXPECT_EQ(membership.next_due(), kStart + 1400ms);
     // Nobody contradicts: it is believed, within the time.
-    EXPECT_EQ(membership.believe(kStart + 1399ms).news.kind, Discovered::Kind::Failed);
+    EXPECT_EQ(membership.believe(kStart + 1399ms).news.kind, DiscoveryUpdate::Kind::Failed);
     const auto later = membership.believe(kStart + 1400ms);
-    EXPECT_EQ(later.news.kind, Discovered::Kind::Delta);
+    EXPECT_EQ(later.news.kind, DiscoveryUpdate::Kind::Delta);
     EXPECT_EQ(later.removed.size(), 60u);
     EXPECT_EQ(membership.ready(), 40u);
     EXPECT_FALSE(membership.next_due());
@@ -158,7 +158,7 @@
 TEST_F(Cautious, AnEmptyListIsDoubtedUntilASecondSaysTheSame) {
     auto update = membership.take(list(2, true, {}), false, kStart, Time{});
     EXPECT_TRUE(update.ask_whole);
-    EXPECT_EQ(update.news.kind, Discovered::Kind::Full);
+    EXPECT_EQ(update.news.kind, DiscoveryUpdate::Kind::Full);
     // A whole list replaces the module's: those that are doubted are in it.
     EXPECT_EQ(update.news.endpoints->size(), 100u);
     update = membership.take(list(2, true, {}), false, kStart + 20ms, Time{});
@@ -215,8 +215,8 @@
     Time now = kStart;
     std::uint64_t revision = 1;
     const auto hand_over = [&](const Membership::Update& update) {
-        if (update.news.kind == Discovered::Kind::Failed) return;
-        if (update.news.kind != Discovered::Kind::Delta) module.clear();
+        if (update.news.kind == DiscoveryUpdate::Kind::Failed) return;
+        if (update.news.kind != DiscoveryUpdate::Kind::Delta) module.clear();
         for (const auto& e : *update.news.endpoints) {
             if (e.availability == Availability::Gone) {
                 module.erase(e.id);
--- a/tests/membership/staleness_test.cpp
+++ b/tests/membership/staleness_test.cpp
@@ -16,10 +16,10 @@
     char letter;
     EndpointId id;
     Status status;
-} kLetters[] = {{'c', kGone, Status::ConnectFailed}, {'t', kGone, Status::Full},
+} kLetters[] = {{'c', kGone, Status::ConnectFailed}, {'t', kGone, Status::Rejected},
                 {'e', kGone, Status::Error},         {'o', kGone, Status::Ok},
                 {'m', kGone, Status::NotSent},       {'O', kSound, Status::Ok},
-                {'T', kSound, Status::Full}};
+                {'T', kSound, Status::Rejected}};
 
 /// Plays one letter each 100 ms: c, t: the first endpoint refuses the connection, turns the request away; e,
 /// o: it fails, serves; m: never sent; O, T: the other serves, turns away; '.': nothing; n, w:
--- a/tests/mesh/admission_controller_test.cpp
+++ b/tests/mesh/admission_controller_test.cpp
@@ -128,7 +128,7 @@
     CHECK(inbound.actions(inbound.receive(attempt("order"))) == "fail ");
     // An outcome that proves that it did not run releases the id.
     const auto other = inbound.receive(attempt("other"));
-    inbound.end(other, Status::Full);
+    inbound.end(other, Status::Rejected);
     CHECK(inbound.actions(other) == "send refuse ");
     CHECK(inbound.actions(inbound.receive(attempt("other"))) == "send ");
 }
@@ -140,7 +140,7 @@
     inbound.receive(attempt("b"));
     const auto queued = inbound.receive(attempt("c"));
     inbound.controller.remove_endpoint();
-    inbound.end(turned_away, Status::Full);
+    inbound.end(turned_away, Status::Rejected);
     REQUIRE(inbound.actions(turned_away) == "send refuse ");
     REQUIRE(inbound.actions(queued) == "refuse ");
     CHECK(inbound.controller.was_turned_away(turned_away));
@@ -172,7 +172,7 @@
 
 TEST_CASE("an id that was released and sent again is remembered from the second time on") {
     Fixture inbound;
-    inbound.end(inbound.receive(attempt("a")), Status::Full);
+    inbound.end(inbound.receive(attempt("a")), Status::Rejected);
     inbound.now += 59s;
     inbound.end(inbound.receive(attempt("a")), Status::Reset);
     inbound.now += 2s;
--- a/tests/mesh/hop_test.cpp
+++ b/tests/mesh/hop_test.cpp
@@ -180,7 +180,7 @@
     refusal.set("Attempt-Id", "b");
     CHECK_FALSE(classify());
     refusal.set("Attempt-Id", "a");
-    CHECK(classify() == decision::Status::Full);
+    CHECK(classify() == decision::Status::Rejected);
 }
 
 TEST_CASE("endpoints that turn requests away: further arrivals stay within the retry budget") {
--- a/tests/mesh/outbound_policy_test.cpp
+++ b/tests/mesh/outbound_policy_test.cpp
@@ -63,7 +63,7 @@
     const auto first = caller.next<Send>();
     REQUIRE(first);
     CHECK(caller.policy.admission_mode("a") == AdmissionMode::IfSlotFree);
-    caller.end("a", 0, first->endpoint, Status::Full);
+    caller.end("a", 0, first->endpoint, Status::Rejected);
     const auto second = caller.next<Send>();
     REQUIRE(second);
     CHECK(second->endpoint != first->endpoint);
@@ -80,7 +80,7 @@
         CHECK(caller.policy.admission_mode("a") == AdmissionMode::IfSlotFree);
         waits[send->endpoint] = 100ms * (3 - static_cast<int>(i));
         caller.policy.queue_hint(send->endpoint, caller.now, waits[send->endpoint]);
-        caller.end("a", i, send->endpoint, Status::Full);
+        caller.end("a", i, send->endpoint, Status::Rejected);
     }
     const auto queued = caller.next<Send>();
     REQUIRE(queued);
@@ -96,7 +96,7 @@
     for (AttemptNumber i = 0; i < 12 && !refused; ++i) {
         const auto send = caller.next<Send>();
         if (!send) break;
-        caller.end("a", i, send->endpoint, Status::Full);
+        caller.end("a", i, send->endpoint, Status::Rejected);
         for (const Action& action : caller.out) {
             if (const auto* found = std::get_if<Refuse>(&action)) refused = *found;
         }
@@ -173,7 +173,7 @@
 
 TEST_CASE(
     "after a reset the inbound proxy is queried, and only its rejection lets the request go elsewhere") {
-    for (const Status answer : {Status::Full, Status::Reset, Status::Error, Status::Timeout,
+    for (const Status answer : {Status::Rejected, Status::Reset, Status::Error, Status::Timeout,
                                 Status::ConnectFailed, Status::NotSent, Status::Cancelled}) {
         CAPTURE(static_cast<int>(answer));
         Fixture caller;
@@ -190,7 +190,7 @@
         CHECK(caller.out.empty());
         caller.end("a", 1, query->endpoint, answer);
         REQUIRE(caller.out.size() == 1);
-        if (answer == Status::Full) {
+        if (answer == Status::Rejected) {
             CHECK(caller.next<Send>()->endpoint != first->endpoint);
             CHECK_FALSE(caller.policy.delivery_query("a"));
         } else {
@@ -228,7 +228,7 @@
         RequestPlan plan = *caller.policy.plan("a");
         plan.idempotent = false;
         caller.policy.replan("a", plan);
-        caller.end("a", last, send->endpoint, Status::Full);
+        caller.end("a", last, send->endpoint, Status::Rejected);
         REQUIRE(caller.out.size() == 1);
         CHECK(std::holds_alternative<Fail>(caller.out.front()) == may_have_run);
         CHECK(std::holds_alternative<Send>(caller.out.front()) == !may_have_run);
@@ -319,7 +319,7 @@
         const auto first = caller.next<Send>();
         if (draining) caller.policy.drain();
         caller.policy.withdraw(first->endpoint);
-        caller.handle(Discovered{});
+        caller.handle(DiscoveryUpdate{});
         const auto timer = caller.next<SetTimer>();  // and no Cancel before it
         REQUIRE(timer);
         caller.now = timer->at;
@@ -329,7 +329,7 @@
         CHECK(second->endpoint != first->endpoint);
         caller.policy.remove_upstream(first->endpoint);
         // The other upstream has no free slot: nothing is left but the first.
-        caller.end("a", 1, second->endpoint, Status::Full);
+        caller.end("a", 1, second->endpoint, Status::Rejected);
         CHECK(caller.next<Fail>().has_value() == !draining);
         caller.end("a", 0, first->endpoint, draining ? Status::Ok : Status::Cancelled, true);
         CHECK(caller.policy.plan("a") == nullptr);
--- a/tests/outlier/outlier_policy_test.cpp
+++ b/tests/outlier/outlier_policy_test.cpp
@@ -23,7 +23,7 @@
         policy.start(now, actions);
         EndpointList list;
         for (std::uint32_t i = 0; i < size; ++i) list.push_back(endpoint(i));
-        tell(Discovered{Discovered::Kind::Full, std::make_shared<EndpointList>(list)});
+        tell(DiscoveryUpdate{DiscoveryUpdate::Kind::Full, std::make_shared<EndpointList>(list)});
     }
     static Endpoint endpoint(std::uint32_t id) {
         Endpoint e;
@@ -35,7 +35,7 @@
         policy.handle(now, event, actions);
     }
     void change(Endpoint e) {
-        tell(Discovered{Discovered::Kind::Delta, std::make_shared<EndpointList>(EndpointList{e})});
+        tell(DiscoveryUpdate{DiscoveryUpdate::Kind::Delta, std::make_shared<EndpointList>(EndpointList{e})});
     }
     void outcome(std::uint32_t id, Status status) {
         tell(Outcome{"r", 0, EndpointId{id}, status, 1ms, true, std::nullopt, true});
@@ -81,17 +81,17 @@
 
 TEST(Outlier, OneThatOthersEjectedIsOutAtItsFirstFailureAndNotBefore) {
     Sidecar sidecar;
-    std::vector<std::uint32_t> told;
+    std::vector<std::uint32_t> reported;
     sidecar.policy.on_ejected(
-        [&](EndpointId id, std::uint32_t) { told.push_back(static_cast<std::uint32_t>(id)); });
-    sidecar.policy.warn(EndpointId{7});
-    sidecar.policy.warn(EndpointId{99});  // known to nobody here
+        [&](EndpointId id, std::uint32_t) { reported.push_back(static_cast<std::uint32_t>(id)); });
+    sidecar.policy.note_peer_ejection(EndpointId{7});
+    sidecar.policy.note_peer_ejection(EndpointId{99});  // known to nobody here
     EXPECT_EQ(sidecar.seen(7), Availability::Ready);
     sidecar.outcome(7, Status::Error);
     EXPECT_EQ(sidecar.seen(7), Availability::Draining);
-    EXPECT_EQ(told, std::vector<std::uint32_t>{7});
+    EXPECT_EQ(reported, std::vector<std::uint32_t>{7});
     // What it serves here weighs against what others say.
-    sidecar.policy.warn(EndpointId{8});
+    sidecar.policy.note_peer_ejection(EndpointId{8});
     sidecar.outcome(8, Status::Ok);
     sidecar.outcome(8, Status::Ok);
     sidecar.fail(8, 1);
@@ -119,7 +119,7 @@
 
 TEST(Outlier, BeingFullOrGivenUpIsNoFailure) {
     Sidecar sidecar;
-    for (const Status status : {Status::Full, Status::Cancelled, Status::NotSent}) {
+    for (const Status status : {Status::Rejected, Status::Cancelled, Status::NotSent}) {
         for (int i = 0; i < 10; ++i) {
             sidecar.now += 60s;
             sidecar.outcome(7, status);
@@ -172,10 +172,10 @@
 
 TEST(Outlier, WrongOptionsAreRefused) {
     Options options;
-    options.failures = 0;
+    options.failure_threshold = 0;
     EXPECT_THROW(Sidecar{options}, std::invalid_argument);
-    options.failures = 3;
-    options.most_share = 1.5;
+    options.failure_threshold = 3;
+    options.max_ejected_share = 1.5;
     EXPECT_THROW(Sidecar{options}, std::invalid_argument);
 }
 
@@ -183,7 +183,7 @@
 /// listed as ready stays out for longer than the most.
 TEST(Outlier, KeepsItsBoundsUnderRandomEvents) {
     Options options;
-    options.eject_most = 300s;
+    options.max_ejection_time = 300s;
     Sidecar sidecar(options, 30);
     std::mt19937_64 random(3);
     std::map<std::uint32_t, Endpoint> listed;
--- a/tests/policy/large_fleet_test.cpp
+++ b/tests/policy/large_fleet_test.cpp
@@ -19,33 +19,33 @@
 
 using namespace std::chrono_literals;
 
-Settings settings(Group group) {
+Settings settings(DedupScope dedup_scope) {
     Settings s;
-    const auto add = [&](const char* name, Effect effect) {
+    const auto add = [&](const char* name, Idempotency idempotency) {
         RequestClass c;
         c.name = name;
-        c.aim = 1s;
+        c.latency_target = 1s;
         c.deadline = 2s;
-        c.effect = effect;
-        c.group = group;
-        c.window = 6s;
+        c.idempotency = idempotency;
+        c.dedup_scope = dedup_scope;
+        c.dedup_window = 6s;
         s.classes.push_back(c);
     };
-    add("look", Effect::Free);
-    add("post", Effect::Guarded);
-    add("debit", Effect::SingleShot);
+    add("look", Idempotency::Idempotent);
+    add("post", Idempotency::Deduplicated);
+    add("debit", Idempotency::NonIdempotent);
     s.zones = 3;
     s.replicas = 7;
     s.position = 3;
     s.limits.max_attempts = 3;
     s.limits.may_cancel = true;
     s.limits.connection_idle = 30s;
-    s.rules = martenford::standins::usual_rules();
+    s.rules = martenford::standins::default_rules();
     s.tick = 1ms;
     return s;
 }
 
-std::string show(const Action& action) {
+std::string to_text(const Action& action) {
     struct Visitor {
         std::string operator()(const Send& a) const {
             return "send " + a.id + " " + std::to_string(static_cast<std::uint32_t>(a.endpoint)) + " " +
@@ -61,7 +61,7 @@
         }
         std::string operator()(const Probe&) const { return "probe"; }
         std::string operator()(const Subscribe&) const { return "subscribe"; }
-        std::string operator()(const ShutIdle& a) const {
+        std::string operator()(const CloseIdleConnections& a) const {
             return "shut " + std::to_string(static_cast<std::uint32_t>(a.endpoint));
         }
     };
@@ -69,18 +69,21 @@
 }
 
 /// A made-up fleet and what happens to it, told to two balancers at once.
-class Twins {
+class BalancerPair {
   public:
-    Twins(std::uint64_t seed, Group group, int size = 40, std::uint32_t cells = 8)
-        : random(seed), cells(cells), by_changes(settings(group), seed), by_lists(settings(group), seed) {
+    BalancerPair(std::uint64_t seed, DedupScope dedup_scope, int size = 40, std::uint32_t cells = 8)
+        : random(seed),
+          cells(cells),
+          by_changes(settings(dedup_scope), seed),
+          by_lists(settings(dedup_scope), seed) {
         std::vector<Action> ignored;
         by_changes.start(now, ignored);
         by_lists.start(now, ignored);
-        for (int i = 0; i < size; ++i) fresh_endpoint();
+        for (int i = 0; i < size; ++i) add_endpoint();
         EndpointList all;
         for (const auto& [id, endpoint] : fleet) all.push_back(endpoint);
-        const Event event = Discovered{Discovered::Kind::Full, std::make_shared<EndpointList>(all)};
-        tell(event, event);
+        const Event event = DiscoveryUpdate{DiscoveryUpdate::Kind::Full, std::make_shared<EndpointList>(all)};
+        handle_both(event, event);
     }
 
     void step() {
@@ -93,14 +96,14 @@
             request.id = "r" + std::to_string(++last);
             request.class_index = static_cast<std::uint32_t>(random.below(3));
             request.deadline = now + 2s;
-            tell(request, request);
+            handle_both(request, request);
         } else if (what < 0.9) {
             outcome();
         } else if (!timers.empty()) {
             const SetTimer timer = timers.front();
             timers.erase(timers.begin());
             now = std::max(now, timer.at);
-            tell(TimerFired{timer.token}, TimerFired{timer.token});
+            handle_both(TimerFired{timer.token}, TimerFired{timer.token});
         }
     }
 
@@ -114,7 +117,7 @@
         Time at{};
     };
 
-    void fresh_endpoint() {
+    void add_endpoint() {
         Endpoint endpoint;
         endpoint.id = EndpointId{static_cast<std::uint32_t>(random.next())};
         endpoint.zone = static_cast<std::uint32_t>(random.below(3));
@@ -126,46 +129,46 @@
     /// One endpoint comes, drains, returns, restarts, moves to another cell or goes.
     void change() {
         ++changes;
-        std::vector<Endpoint> told;
+        std::vector<Endpoint> changed;
         auto it = fleet.begin();
         std::advance(it, static_cast<std::ptrdiff_t>(random.below(fleet.size())));
         const double what = random.unit();
         if (what < 0.25 || fleet.size() < 5) {
             const auto before = fleet;
-            fresh_endpoint();
+            add_endpoint();
             for (const auto& [id, endpoint] : fleet) {
-                if (!before.contains(id)) told.push_back(endpoint);
+                if (!before.contains(id)) changed.push_back(endpoint);
             }
         } else if (what < 0.5) {
             it->second.availability =
                 it->second.availability == Availability::Ready ? Availability::Draining : Availability::Ready;
-            told.push_back(it->second);
+            changed.push_back(it->second);
         } else if (what < 0.6) {
             it->second.started = now;
-            told.push_back(it->second);
+            changed.push_back(it->second);
         } else if (what < 0.75) {
             it->second.cell = static_cast<std::uint32_t>(random.below(cells));
             it->second.zone = static_cast<std::uint32_t>(random.below(3));
-            told.push_back(it->second);
+            changed.push_back(it->second);
         } else {
             Endpoint gone = it->second;
             gone.availability = Availability::Gone;
-            told.push_back(gone);
+            changed.push_back(gone);
             fleet.erase(it);
         }
         EndpointList all;
         for (const auto& [id, endpoint] : fleet) all.push_back(endpoint);
-        tell(Discovered{Discovered::Kind::Delta, std::make_shared<EndpointList>(told)},
-             Discovered{Discovered::Kind::Full, std::make_shared<EndpointList>(all)});
+        handle_both(DiscoveryUpdate{DiscoveryUpdate::Kind::Delta, std::make_shared<EndpointList>(changed)},
+                    DiscoveryUpdate{DiscoveryUpdate::Kind::Full, std::make_shared<EndpointList>(all)});
     }
 
     void outcome() {
         const std::size_t i = random.below(open.size());
         const Out out = open[i];
         open.erase(open.begin() + static_cast<std::ptrdiff_t>(i));
-        constexpr Status kStatuses[] = {Status::Ok,    Status::Ok,    Status::Ok,
-                                        Status::Ok,    Status::Error, Status::Timeout,
-                                        Status::Reset, Status::Full,  Status::ConnectFailed};
+        constexpr Status kStatuses[] = {Status::Ok,    Status::Ok,       Status::Ok,
+                                        Status::Ok,    Status::Error,    Status::Timeout,
+                                        Status::Reset, Status::Rejected, Status::ConnectFailed};
         Outcome result;
         result.id = out.id;
         result.attempt = out.attempt;
@@ -173,17 +176,17 @@
         result.status = kStatuses[random.below(std::size(kStatuses))];
         result.latency = now - out.at;
         result.last = result.status == Status::Ok;
-        tell(result, result);
+        handle_both(result, result);
     }
 
-    void tell(const Event& to_first, const Event& to_second) {
+    void handle_both(const Event& to_first, const Event& to_second) {
         std::vector<Action> first, second;
         by_changes.handle(now, to_first, first);
         by_lists.handle(now, to_second, second);
-        std::vector<std::string> shown_first, shown_second;
-        for (const Action& action : first) shown_first.push_back(show(action));
-        for (const Action& action : second) shown_second.push_back(show(action));
-        ASSERT_EQ(shown_first, shown_second);
+        std::vector<std::string> first_text, second_text;
+        for (const Action& action : first) first_text.push_back(to_text(action));
+        for (const Action& action : second) second_text.push_back(to_text(action));
+        ASSERT_EQ(first_text, second_text);
         for (const Action& action : first) {
             if (const auto* send = std::get_if<Send>(&action)) {
                 const auto known = fleet.find(send->endpoint);
@@ -208,15 +211,15 @@
     std::uint64_t last = 0;
 };
 
-class LargeFleet : public testing::TestWithParam<Group> {};
+class LargeFleet : public testing::TestWithParam<DedupScope> {};
 
 TEST_P(LargeFleet, ChangesOneByOneLeadToTheDecisionsOfWholeLists) {
     std::uint64_t sent = 0, changes = 0;
     for (std::uint64_t seed = 1; seed <= 30 && !HasFatalFailure(); ++seed) {
-        Twins twins(seed, GetParam());
-        for (int i = 0; i < 1500 && !HasFatalFailure(); ++i) twins.step();
-        sent += twins.sent;
-        changes += twins.changes;
+        BalancerPair pair(seed, GetParam());
+        for (int i = 0; i < 1500 && !HasFatalFailure(); ++i) pair.step();
+        sent += pair.sent;
+        changes += pair.changes;
     }
     EXPECT_GT(sent, 5'000u);
     EXPECT_GT(changes, 3'000u);
@@ -226,16 +229,17 @@
 TEST_P(LargeFleet, OneCellThatGrowsAndShrinksAcrossThatSize) {
     std::uint64_t sent = 0, changes = 0;
     for (std::uint64_t seed = 1; seed <= 6 && !HasFatalFailure(); ++seed) {
-        Twins twins(seed, GetParam(), 155, 1);
-        for (int i = 0; i < 1500 && !HasFatalFailure(); ++i) twins.step();
-        sent += twins.sent;
-        changes += twins.changes;
+        BalancerPair pair(seed, GetParam(), 155, 1);
+        for (int i = 0; i < 1500 && !HasFatalFailure(); ++i) pair.step();
+        sent += pair.sent;
+        changes += pair.changes;
     }
     EXPECT_GT(sent, 1'000u);
     EXPECT_GT(changes, 500u);
 }
 
-INSTANTIATE_TEST_SUITE_P(Groups, LargeFleet, testing::Values(Group::All, Group::Zone, Group::Cell));
+INSTANTIATE_TEST_SUITE_P(Groups, LargeFleet,
+                         testing::Values(DedupScope::All, DedupScope::Zone, DedupScope::Cell));
 
 }  // namespace
 }  // namespace martenford::decision
--- a/tests/policy/logic_test.cpp
+++ b/tests/policy/logic_test.cpp
@@ -20,33 +20,34 @@
 
 constexpr Duration kTick = 1ms;
 
-RequestClass make_class(Effect effect, Group group = Group::All) {
+RequestClass make_class(Idempotency idempotency, DedupScope dedup_scope = DedupScope::All) {
     RequestClass result;
     result.name = "c";
-    result.aim = 1s;
+    result.latency_target = 1s;
     result.deadline = 3s;
-    result.effect = effect;
-    result.group = group;
-    result.window = 2s;
+    result.idempotency = idempotency;
+    result.dedup_scope = dedup_scope;
+    result.dedup_window = 2s;
     return result;
 }
 
-Settings plain(Effect effect = Effect::Free, Group group = Group::All) {
+Settings default_settings(Idempotency idempotency = Idempotency::Idempotent,
+                          DedupScope dedup_scope = DedupScope::All) {
     Settings s;
     s.tick = kTick;
-    s.classes = {make_class(effect, group)};
+    s.classes = {make_class(idempotency, dedup_scope)};
     s.zones = 4;
     s.kinds = 4;
     s.limits.max_attempts = 3;
     s.limits.may_cancel = true;
-    s.limits.second_copies = true;
+    s.limits.hedging = true;
     s.rules.answer_slack = 20ms;
-    s.rules.ask_every = 10s;
+    s.rules.subscribe_interval = 10s;
     s.rules.drain_grace = 500ms;
-    s.rules.cold_from = 0.2;
-    s.rules.ramp_time = 10s;
-    s.rules.fall_multiple = 3.0;
-    s.rules.tip_after = 1s;
+    s.rules.cold_capacity_share = 0.2;
+    s.rules.warm_up_time = 10s;
+    s.rules.overload_multiple = 3.0;
+    s.rules.overload_time = 1s;
     return s;
 }
 
@@ -79,8 +80,8 @@
         return step([&](auto& out) { balancer_.handle(now, Event{std::move(event)}, out); });
     }
     std::vector<Action> list(std::vector<Endpoint> endpoints,
-                             Discovered::Kind kind = Discovered::Kind::Full) {
-        return give(Discovered{kind, std::make_shared<const EndpointList>(std::move(endpoints))});
+                             DiscoveryUpdate::Kind kind = DiscoveryUpdate::Kind::Full) {
+        return give(DiscoveryUpdate{kind, std::make_shared<const EndpointList>(std::move(endpoints))});
     }
     std::vector<Action> request(const RequestId& id, Duration left = 3s) {
         Request request;
@@ -146,48 +147,48 @@
 // ---- retry budget, backoff, deadline --------------------------------------------------------------
 
 /// Fails first attempts until one is not retried; how many retries were granted.
-int retries_until_dry(Rig& rig, const std::string& prefix) {
+int retries_until_exhausted(Rig& rig, const std::string& prefix) {
     for (int i = 0; i < 1000; ++i) {
         const auto send = only<Send>(rig.request(numbered(prefix, i)));
         if (!send) return -1;
-        const auto after = rig.outcome(*send, Status::Full);
+        const auto after = rig.outcome(*send, Status::Rejected);
         if (answers(after) != 0) return i;
         // A retry that isn't sent costs nothing, and one that is served earns: let it lapse while it is out.
         const auto retry = only<Send>(rig.advance(400ms));
         if (!retry) return -1;
         rig.give(DeadlineExpired{send->id});
-        rig.outcome(*retry, Status::Full, 1, true);
+        rig.outcome(*retry, Status::Rejected, 1, true);
         rig.now += 3s;  // failures remembered by health fade meanwhile
     }
     return 1000;
 }
 
 TEST(RetryBudget, OnlyServedCallsEarnWhatRetriesSpend) {
-    Rig rig(plain());
+    Rig rig(default_settings());
     rig.list(servers(4));
-    const int full = retries_until_dry(rig, "a");
+    const int full = retries_until_exhausted(rig, "a");
     EXPECT_GT(full, 0);
     EXPECT_LE(full, 10);
-    EXPECT_EQ(retries_until_dry(rig, "b"), 0);  // failures earn nothing
+    EXPECT_EQ(retries_until_exhausted(rig, "b"), 0);  // failures earn nothing
     for (int i = 0; i < 9; ++i) rig.outcome(*only<Send>(rig.request(numbered("s", i))), Status::Ok, 0, true);
-    const int early = retries_until_dry(rig, "c");
+    const int early = retries_until_exhausted(rig, "c");
     for (int i = 0; i < 10; ++i) rig.outcome(*only<Send>(rig.request(numbered("t", i))), Status::Ok, 0, true);
-    const int later = retries_until_dry(rig, "d");
+    const int later = retries_until_exhausted(rig, "d");
     EXPECT_EQ(early + later, 1);  // 19 served calls at the cost of ten a retry
 }
 
 TEST(RetryBudget, CapacityBoundsWhatManySuccessesEarn) {
-    Rig rig(plain());
+    Rig rig(default_settings());
     rig.list(servers(4));
     for (int i = 0; i < 2000; ++i)
         rig.outcome(*only<Send>(rig.request(numbered("s", i))), Status::Ok, 0, true);
-    EXPECT_LE(retries_until_dry(rig, "a"), 10);
+    EXPECT_LE(retries_until_exhausted(rig, "a"), 10);
 }
 
 TEST(Backoff, WaitsKeepDecorrelatedJitterAndDiffer) {
     std::set<Duration> waits;
     for (std::uint64_t seed = 0; seed < 50; ++seed) {
-        Rig rig(plain(), seed);
+        Rig rig(default_settings(), seed);
         rig.list(servers(4));
         const auto first = only<Send>(rig.request("a"));
         const auto timer = only<SetTimer>(rig.outcome(*first, Status::Error));
@@ -201,7 +202,7 @@
 }
 
 TEST(Deadline, NoAttemptStartsInsideTheBuffer) {
-    Rig rig(plain());
+    Rig rig(default_settings());
     rig.list(servers(4));
     const auto send = only<Send>(rig.request("a", 400ms));
     ASSERT_TRUE(send);
@@ -212,13 +213,13 @@
 }
 
 TEST(Deadline, AlreadyPastGetsItsAnswerAtOnce) {
-    Rig rig(plain());
+    Rig rig(default_settings());
     rig.list({});
     EXPECT_EQ(answers(rig.request("a", -5ms)), 1);
 }
 
 TEST(Attempts, StopAtTheToldLimitAndGoElsewhere) {
-    Rig rig(plain());
+    Rig rig(default_settings());
     rig.list(servers(6));
     std::set<EndpointId> met;
     auto send = only<Send>(rig.request("a"));
@@ -226,7 +227,7 @@
     AttemptNumber attempt = 0;
     while (send) {
         EXPECT_TRUE(met.insert(send->endpoint).second) << "a retry goes elsewhere";
-        after = rig.outcome(*send, Status::Full, attempt++);
+        after = rig.outcome(*send, Status::Rejected, attempt++);
         if (answers(after) == 0) after = rig.advance(1s);
         send = only<Send>(after);
     }
@@ -236,18 +237,18 @@
 
 // ---- what a class may repeat or refuse ------------------------------------------------------------
 
-struct Repeat {
+struct RetryCase {
     const char* name;
-    Effect effect;
+    Idempotency idempotency;
     Status status;
     bool may_repeat;
     bool may_refuse;
 };
-class EachOutcome : public testing::TestWithParam<Repeat> {};
+class EachOutcome : public testing::TestWithParam<RetryCase> {};
 
 TEST_P(EachOutcome, IsRepeatedAndAnsweredAsItsClassAllows) {
-    const Repeat& c = GetParam();
-    Settings settings = plain(c.effect, Group::Cell);
+    const RetryCase& c = GetParam();
+    Settings settings = default_settings(c.idempotency, DedupScope::Cell);
     Rig rig(settings);
     rig.list(servers(4));
     const auto send = only<Send>(rig.request("a"));
@@ -267,26 +268,27 @@
 
 INSTANTIATE_TEST_SUITE_P(
     Classes, EachOutcome,
-    testing::Values(Repeat{"FreeError", Effect::Free, Status::Error, true, true},
-                    Repeat{"FreeTimeout", Effect::Free, Status::Timeout, true, true},
-                    Repeat{"FreeReset", Effect::Free, Status::Reset, true, true},
-                    Repeat{"FreeFull", Effect::Free, Status::Full, true, true},
-                    Repeat{"GuardedError", Effect::Guarded, Status::Error, true, false},
-                    Repeat{"GuardedTimeout", Effect::Guarded, Status::Timeout, true, false},
-                    Repeat{"GuardedReset", Effect::Guarded, Status::Reset, true, false},
-                    Repeat{"GuardedFull", Effect::Guarded, Status::Full, true, true},
-                    Repeat{"UnsafeError", Effect::SingleShot, Status::Error, false, false},
-                    Repeat{"UnsafeTimeout", Effect::SingleShot, Status::Timeout, false, false},
-                    Repeat{"UnsafeReset", Effect::SingleShot, Status::Reset, false, false},
-                    Repeat{"UnsafeFull", Effect::SingleShot, Status::Full, true, true},
-                    Repeat{"UnsafeNoConnection", Effect::SingleShot, Status::ConnectFailed, true, true}),
+    testing::Values(RetryCase{"FreeError", Idempotency::Idempotent, Status::Error, true, true},
+                    RetryCase{"FreeTimeout", Idempotency::Idempotent, Status::Timeout, true, true},
+                    RetryCase{"FreeReset", Idempotency::Idempotent, Status::Reset, true, true},
+                    RetryCase{"FreeFull", Idempotency::Idempotent, Status::Rejected, true, true},
+                    RetryCase{"GuardedError", Idempotency::Deduplicated, Status::Error, true, false},
+                    RetryCase{"GuardedTimeout", Idempotency::Deduplicated, Status::Timeout, true, false},
+                    RetryCase{"GuardedReset", Idempotency::Deduplicated, Status::Reset, true, false},
+                    RetryCase{"GuardedFull", Idempotency::Deduplicated, Status::Rejected, true, true},
+                    RetryCase{"UnsafeError", Idempotency::NonIdempotent, Status::Error, false, false},
+                    RetryCase{"UnsafeTimeout", Idempotency::NonIdempotent, Status::Timeout, false, false},
+                    RetryCase{"UnsafeReset", Idempotency::NonIdempotent, Status::Reset, false, false},
+                    RetryCase{"UnsafeFull", Idempotency::NonIdempotent, Status::Rejected, true, true},
+                    RetryCase{"UnsafeNoConnection", Idempotency::NonIdempotent, Status::ConnectFailed, true,
+                              true}),
     [](const auto& info) { return info.param.name; });
 
-TEST(Guarded, StaysInTheCellZoneOrAnywhereAsItsGroupSays) {
-    for (const Group group : {Group::All, Group::Zone, Group::Cell}) {
+TEST(Deduplicated, StaysInTheCellZoneOrAnywhereAsItsGroupSays) {
+    for (const DedupScope dedup_scope : {DedupScope::All, DedupScope::Zone, DedupScope::Cell}) {
         std::set<unsigned> met;
         for (std::uint64_t seed = 0; seed < 60; ++seed) {
-            Rig rig(plain(Effect::Guarded, group), seed);
+            Rig rig(default_settings(Idempotency::Deduplicated, dedup_scope), seed);
             // Cells 1 to 4, zones 1 and 2; two servers a cell.
             std::vector<Endpoint> all;
             for (unsigned i = 0; i < 8; ++i) all.push_back(server(10 + i, 1 + i / 2, 1 + i / 4));
@@ -298,20 +300,20 @@
             const unsigned a = static_cast<unsigned>(first->endpoint) - 10,
                            b = static_cast<unsigned>(second->endpoint) - 10;
             EXPECT_NE(a, b);
-            if (group == Group::Cell) {
+            if (dedup_scope == DedupScope::Cell) {
                 EXPECT_EQ(a / 2, b / 2);
             }
-            if (group == Group::Zone) {
+            if (dedup_scope == DedupScope::Zone) {
                 EXPECT_EQ(a / 4, b / 4);
             }
             if (a / 4 != b / 4) met.insert(b);
         }
-        EXPECT_EQ(met.empty(), group != Group::All);
+        EXPECT_EQ(met.empty(), dedup_scope != DedupScope::All);
     }
 }
 
-TEST(Guarded, IsNotRepeatedPastTheWindow) {
-    Settings settings = plain(Effect::Guarded, Group::All);
+TEST(Deduplicated, IsNotRepeatedPastTheWindow) {
+    Settings settings = default_settings(Idempotency::Deduplicated, DedupScope::All);
     settings.classes[0].deadline = 10s;
     Rig rig(settings);
     rig.list(servers(4));
@@ -324,8 +326,8 @@
     EXPECT_EQ(answers(after), 1);
 }
 
-TEST(Guarded, CellIsRememberedAfterTheListDropsItsServer) {
-    Rig rig(plain(Effect::Guarded, Group::Cell));
+TEST(Deduplicated, CellIsRememberedAfterTheListDropsItsServer) {
+    Rig rig(default_settings(Idempotency::Deduplicated, DedupScope::Cell));
     rig.list({server(1, 7)});
     const auto send = only<Send>(rig.request("a"));
     rig.list({server(2, 7), server(3, 8), server(4, 8)});
@@ -337,17 +339,17 @@
 
 // ---- one final answer -----------------------------------------------------------------------------
 
-TEST(Answer, NoServerKnownIsHeldThenServedOrRefusedOnceInTime) {
-    Rig rig(plain());
+TEST(FinalAnswer, NoServerKnownIsHeldThenServedOrRefusedOnceInTime) {
+    Rig rig(default_settings());
     EXPECT_EQ(answers(rig.request("a")), 0);
     EXPECT_EQ(all_of<Send>(rig.list(servers(1))).size(), 1u);
-    Rig none(plain());
+    Rig none(default_settings());
     none.request("a");
     EXPECT_EQ(answers(none.advance(3s)), 1);
 }
 
-TEST(Answer, TimeoutAtTheDeadlineIsAnsweredOnce) {
-    Rig rig(plain(Effect::SingleShot));
+TEST(FinalAnswer, TimeoutAtTheDeadlineIsAnsweredOnce) {
+    Rig rig(default_settings(Idempotency::NonIdempotent));
     rig.list(servers(2));
     const auto send = only<Send>(rig.request("a", 500ms));
     rig.now += 500ms;
@@ -356,8 +358,8 @@
     EXPECT_EQ(answers(rig.advance(5s)), 0);
 }
 
-TEST(Answer, LapsedLateRepeatedAndUnknownEventsArePassedOver) {
-    Rig rig(plain());
+TEST(FinalAnswer, LapsedLateRepeatedAndUnknownEventsArePassedOver) {
+    Rig rig(default_settings());
     rig.list(servers(2));
     const auto send = only<Send>(rig.request("a"));
     rig.give(DeadlineExpired{"a"});
@@ -371,26 +373,26 @@
     EXPECT_TRUE(rig.give(Outcome{"never", 0, EndpointId{1}, Status::Error, 1ms, false, {}}).empty());
     const auto next = only<Send>(rig.request("b"));
     EXPECT_TRUE(rig.give(Outcome{"b", 9, next->endpoint, Status::Error, 1ms, false, {}}).empty());
-    EXPECT_TRUE(rig.give(Discovered{Discovered::Kind::Full, nullptr}).empty());
+    EXPECT_TRUE(rig.give(DiscoveryUpdate{DiscoveryUpdate::Kind::Full, nullptr}).empty());
 }
 
-TEST(Answer, HeldIdIsNotTakenTwice) {
-    Rig rig(plain());
+TEST(FinalAnswer, HeldIdIsNotTakenTwice) {
+    Rig rig(default_settings());
     rig.list(servers(2));
     EXPECT_EQ(all_of<Send>(rig.request("a")).size(), 1u);
     EXPECT_TRUE(rig.request("a").empty());
 }
 
-TEST(Answer, OutlivedTimerDoesNotCutALaterWaitShort) {
+TEST(FinalAnswer, OutlivedTimerDoesNotCutALaterWaitShort) {
     // Held for want of a server until near its end, then sent and failed: only the retry's own timer counts.
     for (std::uint64_t seed = 0; seed < 20; ++seed) {
-        Rig rig(plain(), seed);
+        Rig rig(default_settings(), seed);
         const auto hold = only<SetTimer>(rig.request("a", 400ms));
         ASSERT_TRUE(hold);
         rig.now += 200ms;
         const auto send = only<Send>(rig.list(servers(3)));
         ASSERT_TRUE(send);
-        const auto retry = only<SetTimer>(rig.outcome(*send, Status::Full));
+        const auto retry = only<SetTimer>(rig.outcome(*send, Status::Rejected));
         ASSERT_TRUE(retry);
         ASSERT_LE(retry->at, hold->at);
         rig.now = retry->at - 50ms;
@@ -398,8 +400,8 @@
     }
 }
 
-TEST(Answer, OneServerGetsTheRetryToo) {
-    Rig rig(plain());
+TEST(FinalAnswer, OneServerGetsTheRetryToo) {
+    Rig rig(default_settings());
     rig.list(servers(1));
     rig.outcome(*only<Send>(rig.request("a")), Status::Error);
     EXPECT_EQ(all_of<Send>(rig.advance(1s)).size(), 1u);
@@ -407,13 +409,13 @@
 
 // ---- order by key ---------------------------------------------------------------------------------
 
-Settings ordered(Duration turn_gap = {}) {
-    Settings s = plain();
+Settings sequential_settings(Duration key_cooldown = {}) {
+    Settings s = default_settings();
     s.classes[0].sequential = true;
-    s.classes.push_back(make_class(Effect::SingleShot));
+    s.classes.push_back(make_class(Idempotency::NonIdempotent));
     s.classes[1].sequential = true;
-    s.classes.push_back(make_class(Effect::Free));  // a class that keeps no order
-    s.rules.turn_gap = turn_gap;
+    s.classes.push_back(make_class(Idempotency::Idempotent));  // a class that keeps no order
+    s.rules.key_cooldown = key_cooldown;
     return s;
 }
 std::vector<Action> keyed(Rig& rig, const RequestId& id, std::optional<std::uint64_t> key,
@@ -426,8 +428,8 @@
     return rig.give(request);
 }
 
-TEST(Order, OneKeyRunsInTurnOverAllSequentialClassesAndOthersAreNotBound) {
-    Rig rig(ordered());
+TEST(KeyOrder, OneKeyRunsInTurnOverAllSequentialClassesAndOthersAreNotBound) {
+    Rig rig(sequential_settings());
     rig.list(servers(4));
     const auto a = only<Send>(keyed(rig, "a", 7));
     ASSERT_TRUE(a);
@@ -444,8 +446,8 @@
     EXPECT_EQ(c->id, "c");
 }
 
-TEST(Order, RequestThatWaitsForItsRetryKeepsTheTurn) {
-    Rig rig(ordered());
+TEST(KeyOrder, RequestThatWaitsForItsRetryKeepsTheTurn) {
+    Rig rig(sequential_settings());
     rig.list(servers(4));
     const auto a = only<Send>(keyed(rig, "a", 7));
     keyed(rig, "b", 7);
@@ -456,8 +458,8 @@
     EXPECT_EQ(only<Send>(rig.outcome(*again, Status::Ok, 1, true))->id, "b");
 }
 
-TEST(Order, AttemptThatOutlivesItsRequestStillBlocks) {
-    Rig rig(ordered());
+TEST(KeyOrder, AttemptThatOutlivesItsRequestStillBlocks) {
+    Rig rig(sequential_settings());
     rig.list(servers(4));
     const auto a = only<Send>(keyed(rig, "a", 7));
     keyed(rig, "b", 7);
@@ -466,9 +468,9 @@
     EXPECT_EQ(only<Send>(rig.outcome(*a, Status::Error, 0, true))->id, "b");
 }
 
-TEST(Order, KeyRestsAfterAnAttemptThatMayStillRun) {
+TEST(KeyOrder, KeyRestsAfterAnAttemptThatMayStillRun) {
     for (const Status status : {Status::Timeout, Status::Reset, Status::Cancelled}) {
-        Rig rig(ordered(300ms));
+        Rig rig(sequential_settings(300ms));
         rig.list(servers(4));
         const auto a = only<Send>(keyed(rig, "a", 7, 1));
         keyed(rig, "b", 7, 1);
@@ -477,7 +479,7 @@
         EXPECT_EQ(only<Send>(rig.advance(2ms))->id, "b");
     }
     // With nobody waiting the rest still binds who comes meanwhile, and nobody who comes later.
-    Rig rig(ordered(300ms));
+    Rig rig(sequential_settings(300ms));
     rig.list(servers(4));
     rig.outcome(*only<Send>(keyed(rig, "a", 7, 1)), Status::Reset);
     EXPECT_FALSE(only<Send>(keyed(rig, "b", 7, 1)));
@@ -487,15 +489,15 @@
     rig.advance(301ms);
     EXPECT_TRUE(only<Send>(keyed(rig, "c", 7, 1)));
     // An outcome that ends the work needs no rest.
-    Rig none(ordered(300ms));
+    Rig none(sequential_settings(300ms));
     none.list(servers(4));
     const auto first = only<Send>(keyed(none, "a", 7, 1));
     keyed(none, "b", 7, 1);
     EXPECT_TRUE(only<Send>(none.outcome(*first, Status::Error)));
 }
 
-TEST(Order, QueuedRequestThatCannotBeInTimeIsRefusedInTimeAndLeavesTheQueue) {
-    Rig rig(ordered());
+TEST(KeyOrder, QueuedRequestThatCannotBeInTimeIsRefusedInTimeAndLeavesTheQueue) {
+    Rig rig(sequential_settings());
     rig.list(servers(4));
     const auto a = only<Send>(keyed(rig, "a", 7));
     keyed(rig, "b", 7, 1, 500ms);
@@ -506,8 +508,8 @@
     EXPECT_EQ(only<Send>(rig.outcome(*a, Status::Ok, 0, true))->id, "c");
 }
 
-TEST(Order, LapsedInTheQueueDoesNotWedgeIt) {
-    Rig rig(ordered());
+TEST(KeyOrder, LapsedInTheQueueDoesNotWedgeIt) {
+    Rig rig(sequential_settings());
     rig.list(servers(4));
     const auto a = only<Send>(keyed(rig, "a", 7));
     for (const char* id : {"b", "c", "d"}) keyed(rig, id, 7);
@@ -518,8 +520,8 @@
     EXPECT_EQ(only<Send>(rig.outcome(*b, Status::Timeout, 0, true))->id, "d");
 }
 
-TEST(Order, QueueHeldForWantOfAServerKeepsItsOrder) {
-    Rig rig(ordered());
+TEST(KeyOrder, QueueHeldForWantOfAServerKeepsItsOrder) {
+    Rig rig(sequential_settings());
     keyed(rig, "a", 7);
     keyed(rig, "b", 7);
     const auto a = only<Send>(rig.list(servers(2)));
@@ -530,63 +532,63 @@
 // ---- ration of attempts ---------------------------------------------------------------------------
 
 /// Takes so many requests and lets each first attempt fail; how many further attempts went out at once.
-int further_attempts(Rig& rig, const std::string& prefix, int requests) {
+int retries_sent(Rig& rig, const std::string& prefix, int requests) {
     for (int i = 0; i < requests; ++i) {
         const auto send = only<Send>(rig.request(numbered(prefix, i)));
         if (send) rig.outcome(*send, Status::Error);
     }
     return static_cast<int>(all_of<Send>(rig.advance(310ms)).size());
 }
-Settings rationed(double floor, double ratio, Duration look_back = 2s) {
-    Settings s = plain();
+Settings with_attempt_budget(double floor, double ratio, Duration look_back = 2s) {
+    Settings s = default_settings();
     s.rules.attempt_budget = {floor, ratio, look_back};
     s.limits.max_attempts = 2;
     return s;
 }
 
-TEST(Ration, BindsAtItsExactEdge) {
-    Rig floor_only(rationed(2, 0.0));
+TEST(AttemptLimit, BindsAtItsExactEdge) {
+    Rig floor_only(with_attempt_budget(2, 0.0));
     floor_only.list(servers(8));
-    EXPECT_EQ(further_attempts(floor_only, "a", 5), 2);
-    Rig share(rationed(0, 0.5));
+    EXPECT_EQ(retries_sent(floor_only, "a", 5), 2);
+    Rig share(with_attempt_budget(0, 0.5));
     share.list(servers(8));
-    EXPECT_EQ(further_attempts(share, "a", 5), 2);  // 2.5 allowed
-    Rig exact(rationed(1, 0.5));
+    EXPECT_EQ(retries_sent(share, "a", 5), 2);  // 2.5 allowed
+    Rig exact(with_attempt_budget(1, 0.5));
     exact.list(servers(8));
-    EXPECT_EQ(further_attempts(exact, "a", 4), 3);
-    Rig none(rationed(0, 0.0));
+    EXPECT_EQ(retries_sent(exact, "a", 4), 3);
+    Rig none(with_attempt_budget(0, 0.0));
     none.list(servers(8));
-    EXPECT_EQ(further_attempts(none, "a", 5), 0);
-    Rig absent(plain());
+    EXPECT_EQ(retries_sent(none, "a", 5), 0);
+    Rig absent(default_settings());
     absent.list(servers(8));
-    EXPECT_EQ(further_attempts(absent, "a", 5), 5);
+    EXPECT_EQ(retries_sent(absent, "a", 5), 5);
 }
 
-TEST(Ration, WindowSlidesAndAQuietInstanceHasItsFloor) {
-    Rig rig(rationed(1, 0.0));
+TEST(AttemptLimit, WindowSlidesAndAQuietInstanceHasItsFloor) {
+    Rig rig(with_attempt_budget(1, 0.0));
     rig.list(servers(8));
-    EXPECT_EQ(further_attempts(rig, "a", 2), 1);
+    EXPECT_EQ(retries_sent(rig, "a", 2), 1);
     const auto held_back = all_of<Send>(rig.advance(1500ms));
     EXPECT_TRUE(held_back.empty());  // within the window of the first
     rig.now += 10s;
-    EXPECT_EQ(further_attempts(rig, "b", 2), 1);
+    EXPECT_EQ(retries_sent(rig, "b", 2), 1);
 }
 
-TEST(Ration, MootOnesDoNotCount) {
-    Rig rig(rationed(1, 0.0));
+TEST(AttemptLimit, MootOnesDoNotCount) {
+    Rig rig(with_attempt_budget(1, 0.0));
     rig.list(servers(8));
-    rig.outcome(*only<Send>(rig.request("a")), Status::Full);
+    rig.outcome(*only<Send>(rig.request("a")), Status::Rejected);
     const auto again = only<Send>(rig.advance(310ms));
     ASSERT_TRUE(again);
     rig.outcome(*again, Status::NotSent, 1, true);
-    rig.outcome(*only<Send>(rig.request("b")), Status::Full);
+    rig.outcome(*only<Send>(rig.request("b")), Status::Rejected);
     EXPECT_EQ(all_of<Send>(rig.advance(310ms)).size(), 1u);
 }
 
-TEST(Ration, RetryThatIsNotSentCostsNoTokens) {
+TEST(AttemptLimit, RetryThatIsNotSentCostsNoTokens) {
     // Held retries whose clients leave give their tokens back: the bucket holds ten retries, here fifty
     // lapse.
-    Rig rig(plain());
+    Rig rig(default_settings());
     rig.list(servers(8));
     for (int i = 0; i < 50; ++i) {
         const auto send = only<Send>(rig.request(numbered("a", i)));
@@ -600,63 +602,64 @@
 // ---- discovery ------------------------------------------------------------------------------------
 
 TEST(Discovery, NothingNewGoesToDrainingGoneOrReplacedServers) {
-    Rig rig(plain());
+    Rig rig(default_settings());
     rig.list(servers(3));
     Endpoint draining = server(1), gone = server(2);
     draining.availability = Availability::Draining;
     gone.availability = Availability::Gone;
-    rig.list({draining, gone}, Discovered::Kind::Delta);
+    rig.list({draining, gone}, DiscoveryUpdate::Kind::Delta);
     for (int i = 0; i < 30; ++i) {
         const auto send = only<Send>(rig.request(numbered("a", i)));
         ASSERT_TRUE(send);
         EXPECT_EQ(send->endpoint, EndpointId{3});
         rig.outcome(*send, Status::Ok, 0, true);
     }
-    rig.list({server(4)}, Discovered::Kind::Cached);
+    rig.list({server(4)}, DiscoveryUpdate::Kind::Cached);
     const auto send = only<Send>(rig.request("b"));
     ASSERT_TRUE(send);
     EXPECT_EQ(send->endpoint, EndpointId{4});
 }
 
 TEST(Discovery, DeltaKeepsWhatItDoesNotName) {
-    Rig rig(plain());
+    Rig rig(default_settings());
     rig.list(servers(1));
-    rig.list({server(9)}, Discovered::Kind::Delta);
+    rig.list({server(9)}, DiscoveryUpdate::Kind::Delta);
     std::set<EndpointId> met;
     for (int i = 0; i < 40; ++i) met.insert(only<Send>(rig.request(numbered("a", i)))->endpoint);
     EXPECT_EQ(met, (std::set<EndpointId>{EndpointId{1}, EndpointId{9}}));
 }
 
 TEST(Discovery, SubscribesWhereItMustAskAndAgainAfterAFailure) {
-    Settings settings = plain();
+    Settings settings = default_settings();
     settings.subscribe = true;
     Rig rig(settings);
     EXPECT_EQ(all_of<Subscribe>(rig.advance(10s)).size(), 1u);
     rig.list(servers(2));
-    const auto failed = rig.give(Discovered{Discovered::Kind::Failed, nullptr});
+    const auto failed = rig.give(DiscoveryUpdate{DiscoveryUpdate::Kind::Failed, nullptr});
     EXPECT_EQ(all_of<Send>(rig.request("a")).size(), 1u);  // the old list stands
     EXPECT_EQ(all_of<SetTimer>(failed).size(), 1u);
     EXPECT_EQ(all_of<Subscribe>(rig.advance(10s)).size(), 1u);
-    Rig pushed(plain());
+    Rig pushed(default_settings());
     EXPECT_TRUE(all_of<Subscribe>(pushed.advance(60s)).empty());
 }
 
 TEST(Discovery, AnInstanceToldNothingAsksInTimeAndKeepsAsking) {
     // Guards against: being treated as told of drains that it never asked about.
     for (std::uint64_t seed = 0; seed < 20; ++seed) {
-        Settings settings = plain();
+        Settings settings = default_settings();
         settings.subscribe = true;
         Rig rig(settings, seed);
-        ASSERT_EQ(all_of<Subscribe>(rig.advance(settings.rules.ask_every / 2)).size(), 1u);
+        ASSERT_EQ(all_of<Subscribe>(rig.advance(settings.rules.subscribe_interval / 2)).size(), 1u);
         for (int failures = 0; failures < 10; ++failures) {
-            rig.give(Discovered{Discovered::Kind::Failed, nullptr});
-            ASSERT_EQ(all_of<Subscribe>(rig.advance(settings.rules.ask_every)).size(), 1u) << failures;
+            rig.give(DiscoveryUpdate{DiscoveryUpdate::Kind::Failed, nullptr});
+            ASSERT_EQ(all_of<Subscribe>(rig.advance(settings.rules.subscribe_interval)).size(), 1u)
+                << failures;
         }
     }
 }
 
 TEST(Discovery, EmptyListHoldsRequests) {
-    Rig rig(plain());
+    Rig rig(default_settings());
     rig.list({});
     EXPECT_TRUE(all_of<Send>(rig.request("a")).empty());
     EXPECT_EQ(answers(rig.advance(4s)), 1);
@@ -664,8 +667,8 @@
 
 // ---- cold servers ---------------------------------------------------------------------------------
 
-TEST(Cold, AloneItStillServes) {
-    Rig rig(plain());
+TEST(WarmUp, AloneItStillServes) {
+    Rig rig(default_settings());
     Endpoint cold = server(1);
     cold.started = rig.now;
     rig.list({cold});
@@ -675,8 +678,8 @@
     EXPECT_EQ(all_of<Send>(done).size(), 1u);
 }
 
-TEST(Cold, AmongWarmOnesItGetsAtMostItsShare) {
-    Rig rig(plain());
+TEST(WarmUp, AmongWarmOnesItGetsAtMostItsShare) {
+    Rig rig(default_settings());
     auto all = servers(9);
     all.push_back(server(10));
     all.back().started = rig.now;
@@ -691,9 +694,9 @@
     EXPECT_LT(cold, 60);  // a warm one's share is 100, and it has a fifth to a quarter of their capacity
 }
 
-TEST(Cold, NoWindowHoldsMoreWorkThanTheToldMultipleHeavyCallsToo) {
+TEST(WarmUp, NoWindowHoldsMoreWorkThanTheToldMultipleHeavyCallsToo) {
     // Ten servers at half their capacity, a hundred calls a second; every tenth call is five times as heavy.
-    const Settings settings = plain();
+    const Settings settings = default_settings();
     const double warm_capacity = 2.0 * 10.0 * (0.9 * 0.05 + 0.1 * 0.25);  // work a second of one server
     for (std::uint64_t seed = 1; seed <= 10; ++seed) {
         Rig rig(settings, seed);
@@ -712,13 +715,14 @@
                 held += window.back().second;
                 ++met;
             }
-            while (!window.empty() && window.front().first <= rig.now - settings.rules.tip_after) {
+            while (!window.empty() && window.front().first <= rig.now - settings.rules.overload_time) {
                 held -= window.front().second;
                 window.pop_front();
             }
             const double age = std::chrono::duration<double>(rig.now - started).count() / 10.0;
-            const double share = settings.rules.cold_from + (1.0 - settings.rules.cold_from) * age;
-            ASSERT_LE(held, settings.rules.fall_multiple * share * warm_capacity) << "at call " << i;
+            const double share =
+                settings.rules.cold_capacity_share + (1.0 - settings.rules.cold_capacity_share) * age;
+            ASSERT_LE(held, settings.rules.overload_multiple * share * warm_capacity) << "at call " << i;
             rig.outcome(*send, Status::Ok, 0, true, 50ms);
             rig.now += 10ms;
         }
@@ -726,13 +730,13 @@
     }
 }
 
-TEST(Cold, ManyAtOnceTakeWhatTheyCanAtOnce) {
+TEST(WarmUp, ManyAtOnceTakeWhatTheyCanAtOnce) {
     // Guards against: of the few servers that each instance of a large fleet uses half are new, all instances
     // keep them nearly idle, and the rest crowd. What is served here earns half of a warm server's
     // calls, and no less, as long as the told multiple leaves room for it.
-    Settings settings = plain();
-    settings.rules.cold_from = 0.34;
-    settings.rules.fall_multiple = 3.0;
+    Settings settings = default_settings();
+    settings.rules.cold_capacity_share = 0.34;
+    settings.rules.overload_multiple = 3.0;
     Rig rig(settings);
     auto all = servers(4);
     all[2].started = all[3].started = rig.now;
@@ -750,9 +754,9 @@
     EXPECT_LE(cold, warm);
 }
 
-TEST(Cold, IsNotPushedOverWhileTheRestAreFull) {
+TEST(WarmUp, IsNotPushedOverWhileTheRestAreFull) {
     // Guards against: the idle-looking cold server takes every retry that the full ones turn away.
-    Settings settings = plain();
+    Settings settings = default_settings();
     settings.limits.max_attempts = 1;
     Rig rig(settings);
     auto all = servers(4);
@@ -763,7 +767,7 @@
         const auto send = only<Send>(rig.request(numbered("a", i)));
         if (!send) continue;  // shed
         if (send->endpoint == EndpointId{4}) ++cold;
-        rig.outcome(*send, Status::Full, 0, true);
+        rig.outcome(*send, Status::Rejected, 0, true);
         rig.now += 3ms;
     }
     EXPECT_LE(cold, 1);  // nothing was served, so nothing was earned
@@ -771,7 +775,7 @@
 
 // ---- reach ----------------------------------------------------------------------------------------
 
-std::set<EndpointId> met_at_low_rate(const Settings& settings, const std::vector<Endpoint>& list) {
+std::set<EndpointId> endpoints_used_at_low_rate(const Settings& settings, const std::vector<Endpoint>& list) {
     Rig rig(settings);
     rig.list(list);
     std::set<EndpointId> met;
@@ -784,25 +788,25 @@
     return met;
 }
 
-TEST(Reach, ReplicasUseStablePartsThatTogetherCoverTheFleet) {
+TEST(SubsetSize, ReplicasUseStablePartsThatTogetherCoverTheFleet) {
     // Guards against: replicas x servers connections, more than the servers accept.
-    Settings settings = plain();
+    Settings settings = default_settings();
     settings.replicas = 40;
     std::set<EndpointId> all;
     for (std::uint32_t i = 0; i < 40; ++i) {
         settings.position = i;
-        const auto met = met_at_low_rate(settings, servers(60));
+        const auto met = endpoints_used_at_low_rate(settings, servers(60));
         EXPECT_LE(met.size(), 8u);
         EXPECT_GE(met.size(), 2u);
-        EXPECT_EQ(met, met_at_low_rate(settings, servers(60)));
+        EXPECT_EQ(met, endpoints_used_at_low_rate(settings, servers(60)));
         all.insert(met.begin(), met.end());
     }
     EXPECT_EQ(all.size(), 60u);
 }
 
-TEST(Reach, GrowsWithTheCallsOut) {
+TEST(SubsetSize, GrowsWithTheCallsOut) {
     // Guards against: a hot instance crowds the few servers of its part.
-    Settings settings = plain();
+    Settings settings = default_settings();
     settings.replicas = 40;
     Rig rig(settings);
     rig.list(servers(60));
@@ -818,44 +822,44 @@
 // ---- server view ----------------------------------------------------------------------------------
 
 /// How many of 200 calls, one after another, meet server 1 when it answers so and the rest serve in 100 ms.
-int calls_to_odd_server(Status status, Duration latency) {
-    Rig rig(plain());
+int calls_to_faulty_server(Status status, Duration latency) {
+    Rig rig(default_settings());
     rig.list(servers(4));
     int met = 0;
     for (int i = 0; i < 200; ++i) {
         const auto send = only<Send>(rig.request(numbered("a", i)));
         if (!send) continue;
-        const bool odd = send->endpoint == EndpointId{1};
-        met += odd ? 1 : 0;
-        rig.now += odd ? latency : 100ms;
-        rig.outcome(*send, odd ? status : Status::Ok, 0, true, odd ? latency : 100ms);
+        const bool faulty = send->endpoint == EndpointId{1};
+        met += faulty ? 1 : 0;
+        rig.now += faulty ? latency : 100ms;
+        rig.outcome(*send, faulty ? status : Status::Ok, 0, true, faulty ? latency : 100ms);
     }
     return met;
 }
 
-TEST(View, FastFailingAndSlowServersGetLessThanTheirShare) {
+TEST(ServerHealth, FastFailingAndSlowServersGetLessThanTheirShare) {
     // Guards against: an empty server keeps winning draws while it fails fast or crawls. A share is 50.
-    EXPECT_LT(calls_to_odd_server(Status::Error, 1ms), 15);
-    EXPECT_LT(calls_to_odd_server(Status::Timeout, 1s), 15);
-    EXPECT_LT(calls_to_odd_server(Status::Ok, 600ms), 20);
-    EXPECT_GT(calls_to_odd_server(Status::Ok, 100ms), 30);
+    EXPECT_LT(calls_to_faulty_server(Status::Error, 1ms), 15);
+    EXPECT_LT(calls_to_faulty_server(Status::Timeout, 1s), 15);
+    EXPECT_LT(calls_to_faulty_server(Status::Ok, 600ms), 20);
+    EXPECT_GT(calls_to_faulty_server(Status::Ok, 100ms), 30);
 }
 
 /// Of 60 calls that come while each sound server holds eight, how many go to one that answers half of its
 /// calls with an error at once.
-int sent_to_the_failing(Effect effect, Duration waits) {
-    Settings settings = plain(effect);
-    settings.classes.push_back(make_class(Effect::Free));
+int calls_to_failing_server(Idempotency idempotency, Duration waits) {
+    Settings settings = default_settings(idempotency);
+    settings.classes.push_back(make_class(Idempotency::Idempotent));
     settings.limits.max_attempts = 1;
     Rig rig(settings);
     rig.list(servers(4));
-    int at_failing = 0, toward = 0;
+    int at_failing = 0, routed = 0;
     std::deque<Send> held;
     for (int i = 0; i < 400; ++i) {
         const auto send = only<Send>(keyed(rig, numbered("r", i), std::nullopt, i % 4 == 0 ? 0 : 1));
         if (!send) continue;
         if (send->endpoint == EndpointId{1}) {
-            if (i >= 160 && i % 4 == 0) ++toward;
+            if (i >= 160 && i % 4 == 0) ++routed;
             rig.advance(1ms);
             const bool sound = at_failing++ % 2 == 1;
             rig.outcome(*send, sound ? Status::Ok : Status::Error, 0, true, sound ? 120ms : 1ms);
@@ -867,21 +871,23 @@
         rig.outcome(held.front(), Status::Ok, 0, true, 120ms + (i > 100 ? waits : Duration{}));
         held.pop_front();
     }
-    return toward;
+    return routed;
 }
 
-TEST(View, UnsafeCallKeepsOffQuickErrorsThatOthersMayRisk) {
+TEST(ServerHealth, UnsafeCallKeepsOffQuickErrorsThatOthersMayRisk) {
     // Guards against: an endpoint that fails at once looks idle beside sound ones that hold several calls
     // each, and a call that may not go again fails there for good.
-    EXPECT_LE(sent_to_the_failing(Effect::SingleShot, 0ms), 2);
-    EXPECT_GT(sent_to_the_failing(Effect::Free, 0ms), 8) << "one that may go again does not wait for others";
-    EXPECT_GT(sent_to_the_failing(Effect::SingleShot, 500ms), 8) << "where all wait its place is worth more";
+    EXPECT_LE(calls_to_failing_server(Idempotency::NonIdempotent, 0ms), 2);
+    EXPECT_GT(calls_to_failing_server(Idempotency::Idempotent, 0ms), 8)
+        << "one that may go again does not wait for others";
+    EXPECT_GT(calls_to_failing_server(Idempotency::NonIdempotent, 500ms), 8)
+        << "where all wait its place is worth more";
 }
 
-TEST(View, ACallThatWasTurnedAwayTellsNothingOfItsServer) {
+TEST(ServerHealth, ACallThatWasTurnedAwayTellsNothingOfItsServer) {
     // Guards against: servers with one place turn calls of many replicas away by chance; a replica that takes
     // this for a bad server or a queue sends elsewhere for 10 s and refuses good work.
-    Rig rig(plain());
+    Rig rig(default_settings());
     rig.list(servers(2));
     std::map<EndpointId, int> met;
     for (int i = 0; i < 400; ++i) {
@@ -891,15 +897,15 @@
         ASSERT_TRUE(send);
         ++met[send->endpoint];
         const bool turned_away = send->endpoint == EndpointId{1} && i % 4 == 0;
-        rig.outcome(*send, turned_away ? Status::Full : Status::Ok, 0, true);
+        rig.outcome(*send, turned_away ? Status::Rejected : Status::Ok, 0, true);
         rig.now += 50ms;
     }
     EXPECT_GT(met[EndpointId{1}], 160);
 }
 
-TEST(View, ToldSizeWeighsTheCallsInFlight) {
+TEST(ServerHealth, ToldSizeWeighsTheCallsInFlight) {
     // Guards against: servers of half the size held as full as the others.
-    Rig rig(plain());
+    Rig rig(default_settings());
     auto list = servers(4);
     for (auto& endpoint : list) endpoint.weight = endpoint.id == EndpointId{1} ? 1.0 : 3.0;
     rig.list(list);
@@ -913,13 +919,13 @@
     EXPECT_TRUE(only<Send>(rig.request("b")));
 }
 
-TEST(View, IsForgottenInTime) {
-    Rig rig(plain());
+TEST(ServerHealth, IsForgottenInTime) {
+    Rig rig(default_settings());
     rig.list(servers(2));
     for (int i = 0; i < 30; ++i) {
         const auto send = only<Send>(rig.request(numbered("a", i)));
-        const bool odd = send->endpoint == EndpointId{1};
-        rig.outcome(*send, odd ? Status::Error : Status::Ok, 0, true, 100ms);
+        const bool faulty = send->endpoint == EndpointId{1};
+        rig.outcome(*send, faulty ? Status::Error : Status::Ok, 0, true, 100ms);
     }
     rig.now += 2min;
     int met = 0;
@@ -933,7 +939,7 @@
 
 TEST(Silence, ServerWithAnOverdueCallGetsLessBeforeAnyAnswer) {
     // Guards against: a server that stands still or vanished; there is no answer to go by.
-    Rig rig(plain());
+    Rig rig(default_settings());
     rig.list(servers(2));
     for (int i = 0; i < 20; ++i) {
         rig.outcome(*only<Send>(rig.request(numbered("w", i))), Status::Ok, 0, true, 100ms);
@@ -956,7 +962,7 @@
 /// Sends calls a second apart to one server, all idle connections being dead or none: how often connections
 /// were closed before use. A call on a connection that is fresh, or was closed and opened anew, is served.
 int closes_in_calls(int calls, bool idle_is_dead, bool all_silent = false) {
-    Settings settings = plain();
+    Settings settings = default_settings();
     settings.limits.connection_idle = 15s;
     Rig rig(settings);
     rig.list(servers(1));
@@ -966,7 +972,7 @@
         const auto done = rig.request(numbered("a", i), 500ms);
         const auto send = only<Send>(done);
         if (!send) continue;  // shed
-        const bool closed = !all_of<ShutIdle>(done).empty();
+        const bool closed = !all_of<CloseIdleConnections>(done).empty();
         closes += closed ? 1 : 0;
         const bool silent = all_silent || (idle_is_dead && idle && !closed);
         rig.now += silent ? 500ms : 20ms;
@@ -999,7 +1005,7 @@
 }
 
 TEST(Overdue, AttemptIsEndedAndItsCallGoesElsewhere) {
-    Rig rig(plain());
+    Rig rig(default_settings());
     rig.list(servers(2));
     serve_one(rig, "quick");
     const auto first = all_of<Send>(rig.request("slow"));
@@ -1016,7 +1022,7 @@
 }
 
 TEST(Overdue, UnsafeCallWaitsOnUntilItsClientLeaves) {
-    Rig rig(plain(Effect::SingleShot));
+    Rig rig(default_settings(Idempotency::NonIdempotent));
     rig.list(servers(2));
     serve_one(rig, "quick");
     ASSERT_EQ(all_of<Send>(rig.request("slow")).size(), 1u);
@@ -1032,8 +1038,8 @@
     // Guards against: a debit that is lost with its connection keeps an endpoint out until its deadline, and
     // for the fading of a view after it, since nothing is sent there that could show it alive.
     for (const bool stands_still : {false, true}) {
-        Settings settings = plain(Effect::Free);
-        settings.classes.push_back(make_class(Effect::SingleShot));
+        Settings settings = default_settings(Idempotency::Idempotent);
+        settings.classes.push_back(make_class(Idempotency::NonIdempotent));
         settings.limits.max_attempts = 1;
         Rig rig(settings);
         rig.list(servers(2));
@@ -1068,7 +1074,7 @@
 
 TEST(Overdue, CallsThatWaitAloneAreNoQueueAndOthersAre) {
     for (const bool alone : {true, false}) {
-        Rig rig(plain(Effect::SingleShot));
+        Rig rig(default_settings(Idempotency::NonIdempotent));
         rig.list(servers(1));
         if (!alone) serve_one(rig, "before");
         for (std::size_t i = 0; i < 6; ++i) {
@@ -1086,7 +1092,7 @@
 TEST(Shedding, CrowdedInstanceDeclinesTheLeastWorthFirstAndRecovers) {
     // Guards against: servers fill and stay slow, since nothing is declined before they decline it
     // themselves.
-    Settings settings = plain();
+    Settings settings = default_settings();
     settings.classes.push_back(settings.classes[0]);
     settings.classes[1].worth = 10.0;
     Rig rig(settings);
@@ -1118,21 +1124,21 @@
 }
 
 /// A request whose body goes out as it comes, with room for the slowest one.
-Request arriving(const Rig& rig, const RequestId& id, Duration at_most = 60s) {
+Request streamed_request(const Rig& rig, const RequestId& id, Duration at_most = 60s) {
     Request request;
     request.id = id;
     request.deadline = rig.now + at_most;
-    request.arriving = true;
+    request.body_pending = true;
     return request;
 }
 
-TEST(Arriving, TimeThatABodyTakesIsNotAnEndpoints) {
-    Rig rig(plain());
+TEST(StreamedRequest, TimeThatABodyTakesIsNotAnEndpoints) {
+    Rig rig(default_settings());
     rig.list(servers(2));
     const auto warm = all_of<Send>(rig.request("warm"));
     rig.advance(100ms);
     rig.outcome(warm.at(0), Status::Ok, 0, true, 100ms);
-    const auto first = all_of<Send>(rig.give(arriving(rig, "long")));
+    const auto first = all_of<Send>(rig.give(streamed_request(rig, "long")));
     ASSERT_EQ(first.size(), 1u);
     EXPECT_TRUE(all_of<Cancel>(rig.advance(20s)).empty())
         << "an attempt that is not whole yet is not overdue";
@@ -1147,14 +1153,14 @@
     }
     EXPECT_GT(same, 10u);
     // From its last byte on it is an attempt like any other, with the time that its client has.
-    rig.give(Received{"long", rig.now + 3s});
+    rig.give(BodyReceived{"long", rig.now + 3s});
     const auto ended = all_of<Cancel>(rig.advance(2s));
     ASSERT_EQ(ended.size(), 1u);
     EXPECT_EQ(ended[0].id, "long");
 }
 
-TEST(Arriving, ManyOfThemAreNoQueueForWhichOthersAreShed) {
-    Settings settings = plain();
+TEST(StreamedRequest, ManyOfThemAreNoQueueForWhichOthersAreShed) {
+    Settings settings = default_settings();
     Rig rig(settings);
     rig.list(servers(4));
     for (int i = 0; i < 40; ++i) {  // calm: calls come back in 10 ms
@@ -1163,7 +1169,7 @@
         rig.outcome(sent.at(0), Status::Ok, 0, true, 10ms);
     }
     for (int i = 0; i < 50; ++i)
-        ASSERT_EQ(all_of<Send>(rig.give(arriving(rig, numbered("long", i)))).size(), 1u);
+        ASSERT_EQ(all_of<Send>(rig.give(streamed_request(rig, numbered("long", i)))).size(), 1u);
     rig.advance(500ms);
     for (int i = 0; i < 50; ++i) {
         const auto sent = all_of<Send>(rig.request(numbered("r", i)));
@@ -1173,13 +1179,13 @@
     }
 }
 
-TEST(Arriving, OneThatEndsBeforeItsLastByteLeavesTheCountsAsTheyWere) {
-    Rig rig(plain(Effect::SingleShot));
+TEST(StreamedRequest, OneThatEndsBeforeItsLastByteLeavesTheCountsAsTheyWere) {
+    Rig rig(default_settings(Idempotency::NonIdempotent));
     rig.list(servers(1));
-    const auto sent = all_of<Send>(rig.give(arriving(rig, "long")));
+    const auto sent = all_of<Send>(rig.give(streamed_request(rig, "long")));
     rig.outcome(sent.at(0), Status::ConnectFailed, 0, true);
-    rig.give(Received{"long", rig.now + 3s});  // of what is over: passed over
-    rig.give(Received{"nobody", rig.now + 3s});
+    rig.give(BodyReceived{"long", rig.now + 3s});  // of what is over: passed over
+    rig.give(BodyReceived{"nobody", rig.now + 3s});
     for (int i = 0; i < 10; ++i) {
         const auto next = all_of<Send>(rig.request(numbered("r", i)));
         ASSERT_EQ(next.size(), 1u);
@@ -1191,7 +1197,7 @@
 TEST(Shedding, CountOfCallsOutIsTrustedOnceCallsAreSeenToWait) {
     // Guards against: a jam that shows in answers only seconds late; and a calm day taken for one.
     for (const Duration latency : {100ms, 500ms}) {
-        Rig rig(plain());
+        Rig rig(default_settings());
         rig.list(servers(8));
         for (int i = 0; i < 40; ++i) {
             const auto send = only<Send>(rig.request(numbered("w", i)));
@@ -1209,10 +1215,10 @@
 /// Steady calls that take `before`; from 4 s on they come `times` as often and take `after`. Gives back how
 /// many of those that came in the second after the step were declined.
 int declined_at_step(std::uint32_t replicas, double times, Duration before, Duration after) {
-    Settings settings = plain();
+    Settings settings = default_settings();
     settings.replicas = replicas;
     settings.classes.push_back(settings.classes[0]);
-    settings.classes[0].aim = 700ms;
+    settings.classes[0].latency_target = 700ms;
     settings.classes[1].worth = 40.0;  // never asked for: these calls are of the least worth
     Rig rig(settings);
     rig.list(servers(8));
@@ -1252,9 +1258,9 @@
     EXPECT_GT(declined_at_step(1, 2.0, 250ms, 250ms), 10) << "nor where there is none";
 }
 
-TEST(Doomed, CallOfAnInnerTierThatCannotBeInTimeIsDeclinedAtOnce) {
+TEST(TooLate, CallOfAnInnerTierThatCannotBeInTimeIsDeclinedAtOnce) {
     // Guards against: a jam in which slots above are held for calls whose answers nobody wants any more.
-    Settings settings = plain(Effect::SingleShot);
+    Settings settings = default_settings(Idempotency::NonIdempotent);
     settings.tiers = 2;
     settings.tier = 1;
     Rig rig(settings);
@@ -1277,7 +1283,7 @@
 
 // ---- determinism, bad input, odd sequences --------------------------------------------------------
 
-std::string text(const std::vector<Action>& actions) {
+std::string to_text(const std::vector<Action>& actions) {
     std::ostringstream to;
     struct Print {
         std::ostringstream& to;
@@ -1292,7 +1298,9 @@
         }
         void operator()(const Probe& a) const { to << 'P' << static_cast<unsigned>(a.endpoint); }
         void operator()(const Subscribe&) const { to << 'W'; }
-        void operator()(const ShutIdle& a) const { to << 'I' << static_cast<unsigned>(a.endpoint); }
+        void operator()(const CloseIdleConnections& a) const {
+            to << 'I' << static_cast<unsigned>(a.endpoint);
+        }
     };
     for (const Action& action : actions) {
         std::visit(Print{to}, action);
@@ -1302,9 +1310,9 @@
 }
 
 /// A long odd day, by one seed: checks rules 1, 2, 3, 5 and 6 on the actions that come out.
-class OddDay {
+class RandomScenario {
   public:
-    OddDay(Settings settings, std::uint64_t seed)
+    RandomScenario(Settings settings, std::uint64_t seed)
         : settings_(settings), rig_(settings, seed), state_(seed * 77 + 1) {
         rig_.watch = [this](const std::vector<Action>& actions) { check(actions); };
     }
@@ -1348,13 +1356,13 @@
         bool out = true, may_have_run = true;
     };
     struct Call {
-        unsigned cls = 0;
+        unsigned class_index = 0;
         Time deadline{};
         std::vector<Sent> sends;
         bool over = false;
         std::optional<std::uint64_t> key;
-        unsigned order = 0;  // of arrival
-        Time rests_until{};  // its key, once it is over
+        unsigned order = 0;        // of arrival
+        Time key_blocked_until{};  // its key, once it is over
     };
 
     unsigned below(std::size_t n) {
@@ -1368,7 +1376,7 @@
         request.deadline = rig_.now + Duration{1ms} * below(3000);
         if (below(4) != 0) request.key = below(3);
         open_[request.id] = {request.class_index, request.deadline, {}, false, request.key, count_, {}};
-        taken_.push_back(rig_.now);
+        accepted_.push_back(rig_.now);
         rig_.give(request);
         if (below(10) == 0 && !open_.at(request.id).over) rig_.give(request);  // the same id again
     }
@@ -1388,13 +1396,13 @@
     void end_attempt(const RequestId& id, Call& call, AttemptNumber n, Status status, bool serves) {
         Sent& sent = call.sends[n];
         sent.out = false;
-        if (status == Status::Full || status == Status::ConnectFailed || status == Status::NotSent) {
+        if (status == Status::Rejected || status == Status::ConnectFailed || status == Status::NotSent) {
             sent.may_have_run = false;
         }
         if (status == Status::Timeout || status == Status::Reset || status == Status::Cancelled) {
-            call.rests_until = rig_.now + settings_.rules.turn_gap;
+            call.key_blocked_until = rig_.now + settings_.rules.key_cooldown;
         }
-        if (status == Status::NotSent && n > 0) further_.erase(further_.find(sent.at));
+        if (status == Status::NotSent && n > 0) retries_.erase(retries_.find(sent.at));
         const bool last = serves || call.over;
         if (serves) call.over = true;
         rig_.give(Outcome{id, n, sent.to, status, rig_.now - sent.at, last, {}});
@@ -1409,15 +1417,15 @@
             if (below(4) == 0) endpoint.started = rig_.now - Duration{1s} * below(20);
             entries.push_back(endpoint);
         }
-        const auto kind = static_cast<Discovered::Kind>(below(4));
-        if (kind == Discovered::Kind::Full || kind == Discovered::Kind::Cached) usable_.clear();
-        if (kind != Discovered::Kind::Failed) {
+        const auto kind = static_cast<DiscoveryUpdate::Kind>(below(4));
+        if (kind == DiscoveryUpdate::Kind::Full || kind == DiscoveryUpdate::Kind::Cached) ready_.clear();
+        if (kind != DiscoveryUpdate::Kind::Failed) {
             for (const Endpoint& e : entries) {
                 known_[e.id] = e;
                 if (e.availability == Availability::Ready) {
-                    usable_.insert(e.id);
+                    ready_.insert(e.id);
                 } else {
-                    usable_.erase(e.id);
+                    ready_.erase(e.id);
                 }
             }
         }
@@ -1442,7 +1450,7 @@
         }
     }
     void check(const std::vector<Action>& actions) {
-        log += text(actions);
+        log += to_text(actions);
         for (const Action& action : actions) {
             if (const auto* send = std::get_if<Send>(&action)) check_send(*send);
             if (const auto* refuse = std::get_if<Refuse>(&action)) check_end(refuse->id, true);
@@ -1453,46 +1461,47 @@
         ASSERT_TRUE(open_.contains(send.id));
         Call& call = open_.at(send.id);
         EXPECT_FALSE(call.over) << "rule 1: sent after its end";
-        EXPECT_TRUE(usable_.contains(send.endpoint)) << "rule 3";
+        EXPECT_TRUE(ready_.contains(send.endpoint)) << "rule 3";
         EXPECT_LT(call.sends.size(), settings_.limits.max_attempts);
-        const RequestClass& rules = settings_.classes[call.cls];
+        const RequestClass& rules = settings_.classes[call.class_index];
         const Endpoint& to = known_.at(send.endpoint);
         const auto out = std::count_if(call.sends.begin(), call.sends.end(), [](auto& s) { return s.out; });
-        EXPECT_LT(out, settings_.limits.second_copies ? 2 : 1);
+        EXPECT_LT(out, settings_.limits.hedging ? 2 : 1);
         for (const Sent& sent : call.sends) {
-            if (!sent.may_have_run || rules.effect == Effect::Free) continue;
-            EXPECT_NE(rules.effect, Effect::SingleShot) << "rule 2";
-            EXPECT_LE(rig_.now, sent.at + rules.window) << "rule 2: past the window";
-            if (rules.group == Group::Cell) {
+            if (!sent.may_have_run || rules.idempotency == Idempotency::Idempotent) continue;
+            EXPECT_NE(rules.idempotency, Idempotency::NonIdempotent) << "rule 2";
+            EXPECT_LE(rig_.now, sent.at + rules.dedup_window) << "rule 2: past the window";
+            if (rules.dedup_scope == DedupScope::Cell) {
                 EXPECT_EQ(sent.cell, to.cell) << "rule 2";
             }
-            if (rules.group == Group::Zone) {
+            if (rules.dedup_scope == DedupScope::Zone) {
                 EXPECT_EQ(sent.zone, to.zone) << "rule 2";
             }
         }
         if (call.sends.empty()) check_turn(call);
-        if (!call.sends.empty()) check_ration();
+        if (!call.sends.empty()) check_attempt_budget();
         call.sends.push_back({send.endpoint, to.cell, to.zone, rig_.now, true, true});
     }
     void check_turn(const Call& call) {
-        if (!call.key || !settings_.classes[call.cls].sequential) return;
+        if (!call.key || !settings_.classes[call.class_index].sequential) return;
         for (const auto& [id, other] : open_) {
             if (other.key != call.key || other.order >= call.order) continue;
-            if (!settings_.classes[other.cls].sequential) continue;
+            if (!settings_.classes[other.class_index].sequential) continue;
             EXPECT_TRUE(other.over) << "rule 5: " << id << " came earlier and is not over";
             for (const Sent& sent : other.sends) EXPECT_FALSE(sent.out) << "rule 5: " << id << " is out";
-            EXPECT_LE(other.rests_until, rig_.now) << "rule 5: rest after " << id;
+            EXPECT_LE(other.key_blocked_until, rig_.now) << "rule 5: rest after " << id;
         }
     }
-    void check_ration() {
-        further_.insert(rig_.now);
+    void check_attempt_budget() {
+        retries_.insert(rig_.now);
         const auto& told = settings_.rules.attempt_budget;
         if (!told) return;
         // The window as the wire words it, with its edge read both ways.
         const Time from = rig_.now - told->look_back;
-        const auto further = std::distance(further_.lower_bound(from), further_.end());
-        const auto taken = std::count_if(taken_.begin(), taken_.end(), [&](Time t) { return t > from; });
-        EXPECT_LE(static_cast<double>(further), told->floor + told->ratio * static_cast<double>(taken))
+        const auto retries = std::distance(retries_.lower_bound(from), retries_.end());
+        const auto taken =
+            std::count_if(accepted_.begin(), accepted_.end(), [&](Time t) { return t > from; });
+        EXPECT_LE(static_cast<double>(retries), told->floor + told->ratio * static_cast<double>(taken))
             << "rule 6";
     }
     void check_end(const RequestId& id, bool refused) {
@@ -1501,9 +1510,9 @@
         EXPECT_FALSE(call.over) << "rule 1: answered twice";
         EXPECT_LE(rig_.now, std::max(call.deadline, rig_.now - kTick) + settings_.rules.answer_slack);
         call.over = true;
-        const RequestClass& rules = settings_.classes[call.cls];
-        if (!refused || rules.effect == Effect::Free) return;
-        if (rules.effect == Effect::Guarded && rules.group == Group::All) return;
+        const RequestClass& rules = settings_.classes[call.class_index];
+        if (!refused || rules.idempotency == Idempotency::Idempotent) return;
+        if (rules.idempotency == Idempotency::Deduplicated && rules.dedup_scope == DedupScope::All) return;
         for (const Sent& sent : call.sends)
             EXPECT_FALSE(sent.may_have_run) << "rule 2: refused though it may have run";
     }
@@ -1513,36 +1522,37 @@
     std::uint64_t state_;
     unsigned count_ = 0;
     std::map<RequestId, Call> open_;
-    std::vector<Time> taken_;
-    std::multiset<Time> further_;
-    std::set<EndpointId> usable_;
+    std::vector<Time> accepted_;
+    std::multiset<Time> retries_;
+    std::set<EndpointId> ready_;
     std::map<EndpointId, Endpoint> known_;
 };
 
-Settings odd_settings(std::uint64_t seed) {
-    Settings settings = plain();
-    settings.classes = {make_class(Effect::Free), make_class(Effect::Guarded, Group::Cell),
-                        make_class(Effect::Guarded, Group::Zone), make_class(Effect::Guarded, Group::All),
-                        make_class(Effect::SingleShot)};
-    settings.classes[1].window = Duration{};
+Settings random_settings(std::uint64_t seed) {
+    Settings settings = default_settings();
+    settings.classes = {
+        make_class(Idempotency::Idempotent), make_class(Idempotency::Deduplicated, DedupScope::Cell),
+        make_class(Idempotency::Deduplicated, DedupScope::Zone),
+        make_class(Idempotency::Deduplicated, DedupScope::All), make_class(Idempotency::NonIdempotent)};
+    settings.classes[1].dedup_window = Duration{};
     settings.subscribe = seed % 2 == 0;
-    settings.limits.second_copies = seed % 3 != 0;
+    settings.limits.hedging = seed % 3 != 0;
     settings.limits.probing = seed % 5 == 0;
     settings.replicas = 1 + static_cast<std::uint32_t>(seed % 4) * 7;
     if (seed % 4 == 1) settings.report_via = ReportVia::Answers;
     if (seed % 3 == 0) {
         settings.classes[0].sequential = settings.classes[1].sequential = settings.classes[4].sequential =
             true;
-        settings.rules.turn_gap = Duration{1ms} * (seed % 2 * 150);
+        settings.rules.key_cooldown = Duration{1ms} * (seed % 2 * 150);
     }
     if (seed % 4 >= 2) settings.rules.attempt_budget = {1.0, 0.1, 2s};
     return settings;
 }
 
-TEST(OddSequences, KeepTheRulesThatAnInstanceKeepsAlone) {
+TEST(RandomEvents, KeepTheRulesThatAnInstanceKeepsAlone) {
     for (std::uint64_t seed = 1; seed <= 40; ++seed) {
         SCOPED_TRACE(seed);
-        OddDay day(odd_settings(seed), seed);
+        RandomScenario day(random_settings(seed), seed);
         for (int i = 0; i < 1500; ++i) day.step();
         day.finish();
         if (testing::Test::HasFailure()) return;
@@ -1552,12 +1562,12 @@
 TEST(Determinism, SameSeedAndEventsGiveTheSameActionsAndInstancesAreApart) {
     std::vector<std::string> alone;
     for (std::uint64_t seed = 1; seed <= 3; ++seed) {
-        OddDay day(odd_settings(seed), seed);
+        RandomScenario day(random_settings(seed), seed);
         for (int i = 0; i < 800; ++i) day.step();
         alone.push_back(day.log);
         EXPECT_FALSE(day.log.empty());
     }
-    OddDay a(odd_settings(1), 1), b(odd_settings(2), 2), c(odd_settings(3), 3);
+    RandomScenario a(random_settings(1), 1), b(random_settings(2), 2), c(random_settings(3), 3);
     for (int i = 0; i < 800; ++i) {
         c.step();
         a.step();
@@ -1566,22 +1576,22 @@
     EXPECT_EQ(a.log, alone[0]);
     EXPECT_EQ(b.log, alone[1]);
     EXPECT_EQ(c.log, alone[2]);
-    OddDay other(odd_settings(1), 2);
+    RandomScenario other(random_settings(1), 2);
     for (int i = 0; i < 800; ++i) other.step();
     EXPECT_NE(other.log, alone[0]);
 }
 
-struct Senseless {
+struct InvalidSetting {
     const char* name;
-    void (*spoil)(Settings&);
+    void (*corrupt)(Settings&);
     const char* field;
 };
-class SenselessSettings : public testing::TestWithParam<Senseless> {};
+class InvalidSettings : public testing::TestWithParam<InvalidSetting> {};
 
-TEST_P(SenselessSettings, AreRejectedByName) {
-    Settings settings = plain();
+TEST_P(InvalidSettings, AreRejectedByName) {
+    Settings settings = default_settings();
     EXPECT_NO_THROW(Balancer(settings, 1));
-    GetParam().spoil(settings);
+    GetParam().corrupt(settings);
     try {
         Balancer balancer(settings, 1);
         ADD_FAILURE() << "accepted";
@@ -1591,45 +1601,45 @@
 }
 
 INSTANTIATE_TEST_SUITE_P(
-    Settings, SenselessSettings,
-    testing::Values(Senseless{"NoClasses", [](Settings& s) { s.classes.clear(); }, "classes"},
-                    Senseless{"NoAttempts", [](Settings& s) { s.limits.max_attempts = 0; }, "max_attempts"},
-                    Senseless{"NoReplicas", [](Settings& s) { s.replicas = 0; }, "replicas"},
-                    Senseless{"ZoneOut", [](Settings& s) { s.zone = 4; }, "zone"},
-                    Senseless{"TierOut", [](Settings& s) { s.tier = 1; }, "tier"},
-                    Senseless{"NegativeTick", [](Settings& s) { s.tick = -1ms; }, "tick"},
-                    Senseless{"NegativeAim", [](Settings& s) { s.classes[0].aim = -1ms; }, "classes.aim"},
-                    Senseless{"NoDeadline", [](Settings& s) { s.classes[0].deadline = 0ms; },
-                              "classes.deadline"},
-                    Senseless{"LateWorth", [](Settings& s) { s.classes[0].late_worth = 1.5; }, "late_worth"},
-                    Senseless{"ColdShare", [](Settings& s) { s.rules.cold_from = -0.1; }, "cold_from"},
-                    Senseless{"Ramp", [](Settings& s) { s.rules.ramp_time = -1s; }, "ramp_time"},
-                    Senseless{"Multiple", [](Settings& s) { s.rules.fall_multiple = NAN; }, "fall_multiple"},
-                    Senseless{"TurnGap", [](Settings& s) { s.rules.turn_gap = -1ms; }, "turn_gap"},
-                    Senseless{"RatioWithoutWindow",
-                              [](Settings& s) {
-                                  s.rules.attempt_budget = {2.0, 0.1, 0ms};
-                              },
-                              "attempt_budget.look_back"},
-                    Senseless{"NegativeFloor",
-                              [](Settings& s) {
-                                  s.rules.attempt_budget = {-1.0, 0.1, 2s};
-                              },
-                              "attempt_budget.floor"},
-                    Senseless{"RatioOut",
-                              [](Settings& s) {
-                                  s.rules.attempt_budget = {2.0, 1.5, 2s};
-                              },
-                              "attempt_budget.ratio"},
-                    Senseless{"TenantShare",
-                              [](Settings& s) {
-                                  s.tenants = {{"t", 2.0, 0.0}};
-                              },
-                              "tenants.share"}),
+    Settings, InvalidSettings,
+    testing::Values(
+        InvalidSetting{"NoClasses", [](Settings& s) { s.classes.clear(); }, "classes"},
+        InvalidSetting{"NoAttempts", [](Settings& s) { s.limits.max_attempts = 0; }, "max_attempts"},
+        InvalidSetting{"NoReplicas", [](Settings& s) { s.replicas = 0; }, "replicas"},
+        InvalidSetting{"ZoneOut", [](Settings& s) { s.zone = 4; }, "zone"},
+        InvalidSetting{"TierOut", [](Settings& s) { s.tier = 1; }, "tier"},
+        InvalidSetting{"NegativeTick", [](Settings& s) { s.tick = -1ms; }, "tick"},
+        InvalidSetting{"NegativeAim", [](Settings& s) { s.classes[0].latency_target = -1ms; }, "classes.aim"},
+        InvalidSetting{"NoDeadline", [](Settings& s) { s.classes[0].deadline = 0ms; }, "classes.deadline"},
+        InvalidSetting{"LateWorth", [](Settings& s) { s.classes[0].late_worth = 1.5; }, "late_worth"},
+        InvalidSetting{"ColdShare", [](Settings& s) { s.rules.cold_capacity_share = -0.1; }, "cold_from"},
+        InvalidSetting{"Ramp", [](Settings& s) { s.rules.warm_up_time = -1s; }, "ramp_time"},
+        InvalidSetting{"Multiple", [](Settings& s) { s.rules.overload_multiple = NAN; }, "fall_multiple"},
+        InvalidSetting{"TurnGap", [](Settings& s) { s.rules.key_cooldown = -1ms; }, "turn_gap"},
+        InvalidSetting{"RatioWithoutWindow",
+                       [](Settings& s) {
+                           s.rules.attempt_budget = {2.0, 0.1, 0ms};
+                       },
+                       "attempt_budget.look_back"},
+        InvalidSetting{"NegativeFloor",
+                       [](Settings& s) {
+                           s.rules.attempt_budget = {-1.0, 0.1, 2s};
+                       },
+                       "attempt_budget.floor"},
+        InvalidSetting{"RatioOut",
+                       [](Settings& s) {
+                           s.rules.attempt_budget = {2.0, 1.5, 2s};
+                       },
+                       "attempt_budget.ratio"},
+        InvalidSetting{"TenantShare",
+                       [](Settings& s) {
+                           s.tenants = {{"t", 2.0, 0.0}};
+                       },
+                       "tenants.share"}),
     [](const auto& info) { return info.param.name; });
 
 TEST(BadInput, ClassOrTenantOutOfRangeIsRefusedBeforeAnythingChanges) {
-    Settings settings = plain();
+    Settings settings = default_settings();
     settings.tenants = {{"t", 1.0, 10.0}};
     Rig rig(settings);
     rig.list(servers(2));
--- a/tests/policy/ring_test.cpp
+++ b/tests/policy/ring_test.cpp
@@ -13,14 +13,14 @@
 namespace martenford::decision {
 namespace {
 
-using Plain = std::map<std::pair<std::uint64_t, EndpointId>, int*>;
+using Reference = std::map<std::pair<std::uint64_t, EndpointId>, int*>;
 
-void expect_alike(const Ring<int>& ring, const Plain& plain) {
-    ASSERT_EQ(ring.size(), plain.size());
+void expect_equal(const Ring<int>& ring, const Reference& reference) {
+    ASSERT_EQ(ring.size(), reference.size());
     std::size_t rank = 0;
-    for (const auto& [place, what] : plain) {
-        ASSERT_EQ(&ring[rank], what);
-        ASSERT_EQ(ring.rank(place.first, place.second), rank);
+    for (const auto& [entry, value] : reference) {
+        ASSERT_EQ(&ring[rank], value);
+        ASSERT_EQ(ring.rank(entry.first, entry.second), rank);
         ++rank;
     }
 }
@@ -29,31 +29,31 @@
     for (std::uint64_t seed = 1; seed <= 20; ++seed) {
         Random random(seed);
         Ring<int> ring;
-        Plain plain;
+        Reference reference;
         std::vector<std::unique_ptr<int>> owned;
         for (int step = 0; step < 500; ++step) {
-            if (plain.empty() || random.unit() < 0.6) {
+            if (reference.empty() || random.unit() < 0.6) {
                 // Few keys, so that many are alike and the id decides.
                 const std::uint64_t key = random.below(20);
                 const EndpointId id{static_cast<std::uint32_t>(step)};
                 owned.push_back(std::make_unique<int>(step));
                 ring.insert(key, id, *owned.back());
-                plain[{key, id}] = owned.back().get();
+                reference[{key, id}] = owned.back().get();
             } else {
-                auto it = plain.begin();
-                std::advance(it, static_cast<std::ptrdiff_t>(random.below(plain.size())));
+                auto it = reference.begin();
+                std::advance(it, static_cast<std::ptrdiff_t>(random.below(reference.size())));
                 ring.erase(it->first.first, it->first.second);
-                plain.erase(it);
+                reference.erase(it);
             }
-            if (step % 50 == 0) expect_alike(ring, plain);
+            if (step % 50 == 0) expect_equal(ring, reference);
         }
-        expect_alike(ring, plain);
-        std::vector<Ring<int>::Place> places;
-        for (const auto& [place, what] : plain) places.push_back({place.first, place.second, what});
-        std::reverse(places.begin(), places.end());
-        Ring<int> anew;
-        anew.assign(std::move(places));
-        expect_alike(anew, plain);
+        expect_equal(ring, reference);
+        std::vector<Ring<int>::Entry> entries;
+        for (const auto& [entry, value] : reference) entries.push_back({entry.first, entry.second, value});
+        std::reverse(entries.begin(), entries.end());
+        Ring<int> rebuilt;
+        rebuilt.assign(std::move(entries));
+        expect_equal(rebuilt, reference);
     }
 }
 
