--- a/tests/standins/recording_policy.h
+++ b/tests/standins/recording_policy.h
@@ -16,23 +16,23 @@
     struct Record {
         std::map<decision::EndpointId, decision::Endpoint> listed;
         std::size_t lists = 0, changes = 0, outcomes = 0;
-        std::size_t endpoints_told = 0;      ///< entries over all changes
-        std::vector<decision::Action> next;  ///< given back at the next event
+        std::size_t endpoints_in_changes = 0;        ///< entries over all changes
+        std::vector<decision::Action> next_actions;  ///< given back at the next event
     };
     explicit RecordingPolicy(std::shared_ptr<Record> record) : record_(std::move(record)) {}
     void start(decision::Time, std::vector<decision::Action>&) override {}
     void handle(decision::Time, const decision::Event& event, std::vector<decision::Action>& out) override {
-        using decision::Discovered;
-        if (const auto* news = std::get_if<Discovered>(&event);
-            news && news->kind != Discovered::Kind::Failed) {
-            if (news->kind == Discovered::Kind::Delta) {
+        using decision::DiscoveryUpdate;
+        if (const auto* update = std::get_if<DiscoveryUpdate>(&event);
+            update && update->kind != DiscoveryUpdate::Kind::Failed) {
+            if (update->kind == DiscoveryUpdate::Kind::Delta) {
                 ++record_->changes;
-                record_->endpoints_told += news->endpoints->size();
+                record_->endpoints_in_changes += update->endpoints->size();
             } else {
                 ++record_->lists;
                 record_->listed.clear();
             }
-            for (const auto& e : *news->endpoints) {
+            for (const auto& e : *update->endpoints) {
                 if (e.availability == decision::Availability::Gone) {
                     record_->listed.erase(e.id);
                 } else {
@@ -41,7 +41,7 @@
             }
         }
         if (std::holds_alternative<decision::Outcome>(event)) ++record_->outcomes;
-        for (auto& action : std::exchange(record_->next, {})) out.push_back(std::move(action));
+        for (auto& action : std::exchange(record_->next_actions, {})) out.push_back(std::move(action));
     }
 
   private:
--- a/tests/standins/usual_rules.h
+++ b/tests/standins/usual_rules.h
@@ -5,16 +5,16 @@
 
 namespace martenford::standins {
 
-inline decision::Rules usual_rules() {
+inline decision::Rules default_rules() {
     using namespace std::chrono_literals;
     decision::Rules rules;
     rules.answer_slack = 20ms;
-    rules.ask_every = 6s;
+    rules.subscribe_interval = 6s;
     rules.drain_grace = 1s;
-    rules.cold_from = 0.4;
-    rules.ramp_time = 6s;
-    rules.fall_multiple = 3.0;
-    rules.tip_after = 1s;
+    rules.cold_capacity_share = 0.4;
+    rules.warm_up_time = 6s;
+    rules.overload_multiple = 3.0;
+    rules.overload_time = 1s;
     return rules;
 }
 
--- a/tests/subset/subset_policy_test.cpp
+++ b/tests/subset/subset_policy_test.cpp
@@ -35,12 +35,13 @@
         actions.clear();
         policy->handle(now, event, actions);
     }
-    void list(Discovered::Kind kind, EndpointList endpoints) {
-        tell(Discovered{kind, std::make_shared<EndpointList>(std::move(endpoints))});
+    void list(DiscoveryUpdate::Kind kind, EndpointList endpoints) {
+        tell(DiscoveryUpdate{kind, std::make_shared<EndpointList>(std::move(endpoints))});
     }
     void outcome(Status status, int times = 1) {
         for (int i = 0; i < times; ++i) {
-            record->next.push_back(Send{"r", policy->used().empty() ? EndpointId{} : policy->used()[0], {}});
+            record->next_actions.push_back(
+                Send{"r", policy->selected().empty() ? EndpointId{} : policy->selected()[0], {}});
             tell(Request{});
             tell(Outcome{"r", 0, EndpointId{}, status, 1ms, true, std::nullopt, true});
         }
@@ -53,8 +54,8 @@
         return result;
     }
     bool agrees() const {
-        const auto used = policy->used();
-        return ready() == std::set<EndpointId>(used.begin(), used.end());
+        const auto selected = policy->selected();
+        return ready() == std::set<EndpointId>(selected.begin(), selected.end());
     }
     Counters counters;
     std::shared_ptr<RecordingPolicy::Record> record;
@@ -79,7 +80,7 @@
 
 TEST(SubsetPolicy, ShowsTheModuleItsWidthAndNoMore) {
     Sidecar sidecar(3, 92, {20, 160});
-    sidecar.list(Discovered::Kind::Full, fleet(1'000));
+    sidecar.list(DiscoveryUpdate::Kind::Full, fleet(1'000));
     EXPECT_EQ(sidecar.record->listed.size(), 20u);
     EXPECT_TRUE(sidecar.agrees());
 }
@@ -88,8 +89,8 @@
     std::map<EndpointId, int> callers;
     for (std::uint32_t i = 0; i < 100; ++i) {
         Sidecar sidecar(i, 100, {20, 160});
-        sidecar.list(Discovered::Kind::Full, fleet(1'000));
-        for (const EndpointId id : sidecar.policy->used()) ++callers[id];
+        sidecar.list(DiscoveryUpdate::Kind::Full, fleet(1'000));
+        for (const EndpointId id : sidecar.policy->selected()) ++callers[id];
     }
     ASSERT_EQ(callers.size(), 1'000u);
     for (const auto& [id, count] : callers) EXPECT_EQ(count, 2);
@@ -97,43 +98,43 @@
 
 TEST(SubsetPolicy, AnEndpointThatGoesIsReplacedByOneChange) {
     Sidecar sidecar(0, 10, {20, 160});
-    sidecar.list(Discovered::Kind::Full, fleet(1'000));
+    sidecar.list(DiscoveryUpdate::Kind::Full, fleet(1'000));
     Endpoint lost = sidecar.record->listed.begin()->second;
     const auto before = sidecar.ready();
     lost.availability = Availability::Gone;
-    sidecar.list(Discovered::Kind::Delta, {lost});
+    sidecar.list(DiscoveryUpdate::Kind::Delta, {lost});
     EXPECT_TRUE(sidecar.agrees());
     const auto after = sidecar.ready();
     EXPECT_EQ(after.size(), 20u);
     std::vector<EndpointId> fresh;
     std::set_difference(after.begin(), after.end(), before.begin(), before.end(), std::back_inserter(fresh));
     EXPECT_EQ(fresh.size(), 1u);
-    EXPECT_LE(sidecar.record->endpoints_told, 3u);
+    EXPECT_LE(sidecar.record->endpoints_in_changes, 3u);
 }
 
 TEST(SubsetPolicy, ADrainReachesTheModuleAndOnesElsewhereDoNot) {
     Sidecar sidecar(0, 10, {20, 160});
-    sidecar.list(Discovered::Kind::Full, fleet(1'000));
-    const auto used = sidecar.policy->used();
+    sidecar.list(DiscoveryUpdate::Kind::Full, fleet(1'000));
+    const auto selected = sidecar.policy->selected();
     Endpoint mine = sidecar.record->listed.begin()->second;
     mine.availability = Availability::Draining;
-    sidecar.list(Discovered::Kind::Delta, {mine});
+    sidecar.list(DiscoveryUpdate::Kind::Delta, {mine});
     EXPECT_EQ(sidecar.record->listed.at(mine.id).availability, Availability::Draining);
     EXPECT_TRUE(sidecar.agrees());
     // An endpoint in the middle of another sidecar's window.
     std::uint32_t number = 0;
     Sidecar other(5, 10, {20, 160});
-    other.list(Discovered::Kind::Full, fleet(1'000));
-    while (endpoint(number).id != other.policy->used()[10]) ++number;
-    const auto told = sidecar.record->endpoints_told;
-    sidecar.list(Discovered::Kind::Delta, {endpoint(number, 0, Availability::Draining)});
-    EXPECT_EQ(sidecar.record->endpoints_told, told);
+    other.list(DiscoveryUpdate::Kind::Full, fleet(1'000));
+    while (endpoint(number).id != other.policy->selected()[10]) ++number;
+    const auto told = sidecar.record->endpoints_in_changes;
+    sidecar.list(DiscoveryUpdate::Kind::Delta, {endpoint(number, 0, Availability::Draining)});
+    EXPECT_EQ(sidecar.record->endpoints_in_changes, told);
     EXPECT_FALSE(sidecar.record->listed.contains(endpoint(number).id));
 }
 
 TEST(SubsetPolicy, WhatIsGivenUpIsGoneForTheModuleAndItsIdleConnectionsAreClosed) {
     Sidecar sidecar(0, 1, {5, 40});
-    sidecar.list(Discovered::Kind::Full, fleet(100));
+    sidecar.list(DiscoveryUpdate::Kind::Full, fleet(100));
     sidecar.outcome(Status::Reset, 10);
     sidecar.now += 1100ms;
     sidecar.tell(TimerFired{1});
@@ -145,7 +146,7 @@
         sidecar.outcome(Status::Ok, 5);
         shut += static_cast<std::size_t>(
             std::count_if(sidecar.actions.begin(), sidecar.actions.end(),
-                          [](auto& a) { return std::holds_alternative<ShutIdle>(a); }));
+                          [](auto& a) { return std::holds_alternative<CloseIdleConnections>(a); }));
         // The first event of a second brings the change.
         sidecar.tell(TimerFired{1});
     }
@@ -156,7 +157,7 @@
 
 TEST(SubsetPolicy, ASubsetWhoseEveryMemberIsBadGrowsUntilOthersAreIn) {
     Sidecar sidecar(0, 10, {5, 40});
-    sidecar.list(Discovered::Kind::Full, fleet(1'000));
+    sidecar.list(DiscoveryUpdate::Kind::Full, fleet(1'000));
     const auto bad = sidecar.ready();
     int seconds = 0;
     while (sidecar.policy->width() < 20 && seconds < 10) {
@@ -179,9 +180,10 @@
 
 TEST(SubsetPolicy, AHotSidecarSpreadsOverMore) {
     Sidecar sidecar(0, 10, {5, 40});
-    sidecar.list(Discovered::Kind::Full, fleet(100));
+    sidecar.list(DiscoveryUpdate::Kind::Full, fleet(100));
     for (int i = 0; i < 9; ++i) {
-        sidecar.record->next.push_back(Send{"r" + std::to_string(i), sidecar.policy->used()[0], {}});
+        sidecar.record->next_actions.push_back(
+            Send{"r" + std::to_string(i), sidecar.policy->selected()[0], {}});
         sidecar.tell(Request{});
     }
     sidecar.now += 1s;
@@ -198,10 +200,10 @@
 /// A wider subset may let held calls out at once: they are out like any other.
 TEST(SubsetPolicy, WhatAWiderSubsetLetsOutIsCounted) {
     Sidecar sidecar(0, 10, {4, 8});
-    sidecar.list(Discovered::Kind::Full, fleet(100));
+    sidecar.list(DiscoveryUpdate::Kind::Full, fleet(100));
     sidecar.outcome(Status::Reset, 10);
     for (int i = 0; i < 9; ++i)
-        sidecar.record->next.push_back(Send{"r" + std::to_string(i), EndpointId{1}, {}});
+        sidecar.record->next_actions.push_back(Send{"r" + std::to_string(i), EndpointId{1}, {}});
     sidecar.now += 1100ms;
     sidecar.tell(TimerFired{1});  // grows by the failures, and the module sends
     ASSERT_EQ(sidecar.policy->width(), 8u);
@@ -220,13 +222,13 @@
         return count;
     };
     Sidecar even(3, 30, {12, 96}, 1, 3);
-    even.list(Discovered::Kind::Full, fleet(300, 3));
+    even.list(DiscoveryUpdate::Kind::Full, fleet(300, 3));
     EXPECT_EQ(zones(even), (std::map<std::uint32_t, int>{{1, 12}}));
     // Its zone holds a sixth of what there is: half of the width, by the stated rule.
     EndpointList uneven;
     for (std::uint32_t i = 0; i < 300; ++i) uneven.push_back(endpoint(i, i % 6 == 0 ? 1 : 0));
     Sidecar small(3, 30, {12, 96}, 1, 3);
-    small.list(Discovered::Kind::Full, uneven);
+    small.list(DiscoveryUpdate::Kind::Full, uneven);
     EXPECT_EQ(zones(small)[1], 6);
     EXPECT_EQ(small.record->listed.size(), 12u);
     // Its zone goes as a whole.
@@ -234,7 +236,7 @@
     for (std::uint32_t i = 0; i < 300; ++i) {
         if (i % 3 == 1) gone.push_back(endpoint(i, 1, Availability::Gone));
     }
-    even.list(Discovered::Kind::Delta, gone);
+    even.list(DiscoveryUpdate::Kind::Delta, gone);
     EXPECT_EQ(zones(even).contains(1), false);
     EXPECT_EQ(even.record->listed.size(), 12u);
     EXPECT_TRUE(even.agrees());
@@ -242,11 +244,11 @@
 
 TEST(SubsetPolicy, TiersOfOneAndOfNone) {
     Sidecar sidecar(7, 92, {20, 160});
-    sidecar.list(Discovered::Kind::Full, {});
+    sidecar.list(DiscoveryUpdate::Kind::Full, {});
     EXPECT_TRUE(sidecar.record->listed.empty());
-    sidecar.list(Discovered::Kind::Delta, fleet(1));
+    sidecar.list(DiscoveryUpdate::Kind::Delta, fleet(1));
     EXPECT_EQ(sidecar.record->listed.size(), 1u);
-    sidecar.list(Discovered::Kind::Delta, {endpoint(0, 0, Availability::Gone)});
+    sidecar.list(DiscoveryUpdate::Kind::Delta, {endpoint(0, 0, Availability::Gone)});
     EXPECT_TRUE(sidecar.record->listed.empty());
     EXPECT_TRUE(sidecar.agrees());
 }
@@ -277,11 +279,11 @@
                 all[number] = e;
             }
         }
-        by_changes.list(Discovered::Kind::Delta, changes);
+        by_changes.list(DiscoveryUpdate::Kind::Delta, changes);
         EndpointList whole;
         for (const auto& [number, e] : all) whole.push_back(e);
-        by_lists.list(Discovered::Kind::Full, whole);
-        ASSERT_EQ(by_changes.policy->used(), by_lists.policy->used()) << "step " << step;
+        by_lists.list(DiscoveryUpdate::Kind::Full, whole);
+        ASSERT_EQ(by_changes.policy->selected(), by_lists.policy->selected()) << "step " << step;
         ASSERT_TRUE(by_changes.agrees()) << "step " << step;
         ASSERT_TRUE(by_lists.agrees()) << "step " << step;
         // What drains and was used is still known as that: what is out there goes on.
--- a/tests/subset/subset_test.cpp
+++ b/tests/subset/subset_test.cpp
@@ -22,9 +22,10 @@
     return {ids.begin(), ids.end()};
 }
 
-std::set<EndpointId> chosen(Method method, const std::vector<EndpointId>& members, const Place& place) {
+std::set<EndpointId> chosen(Method method, const std::vector<EndpointId>& members,
+                            const SubsetParams& params) {
     std::set<EndpointId> result;
-    for (const std::size_t i : choose(method, members, place)) result.insert(members[i]);
+    for (const std::size_t i : choose(method, members, params)) result.insert(members[i]);
     return result;
 }
 
@@ -119,8 +120,8 @@
 }
 
 TEST(Subset, NamesAreReadAndOthersSaidToBeNone) {
-    EXPECT_EQ(method_of("lots"), Method::Lots);
-    EXPECT_THROW(method_of("dice"), std::invalid_argument);
+    EXPECT_EQ(parse_method("lots"), Method::Lots);
+    EXPECT_THROW(parse_method("dice"), std::invalid_argument);
 }
 
 }  // namespace
--- a/tools/emulator/verdicts.cpp
+++ b/tools/emulator/verdicts.cpp
@@ -65,7 +65,8 @@
         s.endpoint_overrides = std::make_unique<replica::EndpointOverrides>(
             model.copy(i), model.copy(i).self().name, "", seed + i);
         s.policy->on_ejected([&s](EndpointId id, std::uint32_t) { s.to_tell.push_back(id); });
-        s.policy->handle(model.now(), decision::Discovered{decision::Discovered::Kind::Full, list}, ignored);
+        s.policy->handle(model.now(), decision::DiscoveryUpdate{decision::DiscoveryUpdate::Kind::Full, list},
+                         ignored);
     }
     const auto tell = [&](std::size_t i, std::uint32_t endpoint) {
         model.copy(i).write(model.now(), model.wall(i),
@@ -106,7 +107,7 @@
                     endpoint == kSound ? step % 100 == 1 : std::exchange(warned[i], seen) != seen;
                 if (news &&
                     s.endpoint_overrides->ejected_by_others(uid_of(endpoint), model.wall(i), words.sidecars))
-                    s.policy->warn(EndpointId{endpoint});
+                    s.policy->note_peer_ejection(EndpointId{endpoint});
             }
         }
         model.run_for(kStep);
