--- a/adapter/host.h
+++ b/adapter/host.h
@@ -1,4 +1,4 @@
-// Hosts many balancers behind one wire. No decisions.
+// Runs many balancers behind one JSON-lines connection.
 #pragma once
 
 #include <iosfwd>
@@ -11,7 +11,7 @@
 
 class Host {
   public:
-    /// The reply to one batch, without the line's end. Throws WireError on malformed input.
+    /// Returns the reply to one batch, without the newline. Throws WireError on malformed input.
     std::string reply(const std::string& line);
 
   private:
@@ -19,7 +19,7 @@
     std::map<std::uint32_t, Balancer> balancers_;
 };
 
-/// Answers batches, one flush a reply, until the input ends. Returns the exit code.
+/// Answers batches until the input ends and flushes after each reply. Returns the exit code.
 int serve(std::istream& in, std::ostream& out, std::ostream& err);
 
 }  // namespace martenford::decision::wire
--- a/adapter/wire.h
+++ b/adapter/wire.h
@@ -1,4 +1,4 @@
-// The bench's wire: JSON lines to typed events, typed actions to JSON lines. No decisions.
+// The test bench's protocol: JSON lines to typed events, and typed actions to JSON lines.
 #pragma once
 
 #include <simdjson.h>
@@ -17,7 +17,7 @@
 
 namespace martenford::decision::wire {
 
-/// Malformed input: the text names the round and the field.
+/// Malformed input. The message names the round and the field.
 using WireError = json::FieldError;
 
 struct Provision {
@@ -36,16 +36,16 @@
     std::vector<Message> messages;
 };
 
-/// Reads batches. Endpoint lists are kept between batches and resolved in the order of the events.
+/// Reads batches. Endpoint lists persist between batches and are resolved in the order of the events.
 class Reader {
   public:
-    /// Throws WireError where the line is no valid batch.
+    /// Throws WireError if the line is not a valid batch.
     Batch read(const std::string& line);
 
   private:
     static constexpr std::size_t kMaxLists = 16;
     simdjson::dom::parser parser_;
-    /// How many of each thing the settings name: what an index in an event must stay below.
+    /// Sizes from the settings. Indices in events must be below them.
     struct Ranges {
         std::size_t classes = 0, tenants = 0, zones = 0, kinds = 0;
     };
@@ -62,7 +62,7 @@
     State state_;
 };
 
-/// Writes one reply line, without the line's end.
+/// Writes one reply line, without the newline.
 class Writer {
   public:
     explicit Writer(std::uint64_t round);
--- a/include/martenford/decision/balancer.h
+++ b/include/martenford/decision/balancer.h
@@ -1,8 +1,8 @@
-// martenford decision library: the interface of the decision module. Every decision is made in src/logic.cpp.
+// Public interface of the martenford decision library. Every decision is made in src/policy/logic.cpp.
 //
-// A Balancer is one sidecar's decision maker. It does no I/O, reads no clock and starts no thread:
-// the host hands it typed events, each with its time, and performs the actions it gives back, in order.
-// The same settings, seed and events always give the same actions.
+// A Balancer decides for one sidecar. It does no I/O, reads no clock and starts no thread: the host passes it
+// typed events, each with a timestamp, and executes the returned actions in order.
+// The output is deterministic: the same settings, seed and events always give the same actions.
 #pragma once
 
 #include <chrono>
@@ -15,7 +15,7 @@
 
 namespace martenford::decision {
 
-/// The host's clock: it starts anywhere and only advances.
+/// The host's monotonic clock. Its epoch is arbitrary.
 struct Clock {
     using rep = std::int64_t;
     using period = std::nano;
@@ -28,34 +28,34 @@
 
 enum class EndpointId : std::uint32_t {};
 using RequestId = std::string;
-/// Number of an attempt within its request: 0, 1, 2 ... in the order of the sends.
+/// Index of an attempt within its request: 0, 1, 2 ... in the order in which the attempts were sent.
 using AttemptNumber = std::uint32_t;
 
 // ---- settings -------------------------------------------------------------------------------------
 
-/// Whether a request may take effect more than once.
+/// Whether a request may be executed more than once. Deduplicated: endpoints discard repeats.
 enum class Idempotency { Idempotent, Deduplicated, NonIdempotent };
-/// For guarded classes: which endpoints discard a repeat.
+/// For deduplicated classes: which endpoints recognize a repeat of a request that one of them has executed.
 enum class DedupScope { All, Zone, Cell };
 
 struct RequestClass {
     std::string name;
     double worth = 1.0;
-    double late_worth = 0.0;              ///< share of the worth for an answer after the aim
-    Duration latency_target{};            ///< answers inside this earn the full worth
-    double latency_target_stretch = 0.0;  ///< the aim grows by this multiple of the request's own work
-    Duration deadline{};                  ///< what a client waits in total
-    Idempotency idempotency = Idempotency::NonIdempotent;  ///< the careful choice where nothing is said
-    DedupScope dedup_scope = DedupScope::Cell;             ///< guarded only
-    Duration dedup_window{};                               ///< guarded only: how long repeats are discarded
+    double late_worth = 0.0;              ///< share of `worth` that a response after the latency target earns
+    Duration latency_target{};            ///< a response within this time earns the full `worth`
+    double latency_target_stretch = 0.0;  ///< the target grows by this multiple of the request's own work
+    Duration deadline{};                  ///< how long a client waits in total
+    Idempotency idempotency = Idempotency::NonIdempotent;  ///< the safe default
+    DedupScope dedup_scope = DedupScope::Cell;             ///< deduplicated classes only
+    Duration dedup_window{};  ///< deduplicated classes only: how long a repeat is recognized
     bool stream = false;
-    bool sequential = false;  ///< requests with one key take turns, in order of arrival
+    bool sequential = false;  ///< requests with the same key run one at a time, in order of arrival
 };
 
 struct Tenant {
     std::string name;
     double share = 0.0;
-    double allowance_per_s = 0.0;  ///< requests per second over all balancers; 0: none told
+    double allowance_per_s = 0.0;  ///< requests per second over all balancers; 0: not set
 };
 
 struct Prices {
@@ -76,24 +76,24 @@
     Duration max_retry_after{};
 };
 
-/// In any stretch of look_back, attempts after a request's first stay within floor + ratio x requests taken.
+/// In any window of length `look_back` there may be at most floor + ratio x accepted requests retries.
 struct AttemptBudget {
     double floor = 0.0;
     double ratio = 0.0;
     Duration look_back{};
 };
 
-/// Figures of the rules.
+/// Parameters of the rules that the balancer must keep.
 struct Rules {
     Duration answer_slack{};
-    Duration subscribe_interval{};  ///< 0: never deemed told
+    Duration subscribe_interval{};  ///< asking discovery this often counts as informed; 0: never does
     Duration drain_grace{};
-    double cold_capacity_share = 1.0;  ///< a fresh endpoint has at least this share of its capacity
-    Duration warm_up_time{};           ///< and is warm after this at most
-    double overload_multiple = 1.0;    ///< sent more than this multiple of its present capacity
-    Duration overload_time{};          ///< for this long, a cold endpoint falls over
-    Duration key_cooldown{};           ///< a key rests this long after an attempt that may still be running
-    std::optional<AttemptBudget> attempt_budget;  ///< absent: attempts are not rationed
+    double cold_capacity_share = 1.0;  ///< a freshly started endpoint has at least this share of its capacity
+    Duration warm_up_time{};           ///< and its full capacity after at most this time
+    double overload_multiple = 1.0;    ///< a cold endpoint that gets more than this multiple of its
+    Duration overload_time{};          ///< current capacity for this long collapses
+    Duration key_cooldown{};           ///< pause of a key after an attempt that may still be running
+    std::optional<AttemptBudget> attempt_budget;  ///< absent: no limit on retries
 };
 
 enum class Weights { None, Nominal, Rough, Live };
@@ -104,10 +104,10 @@
     std::uint32_t replicas = 1;
     std::uint32_t zone = 0;
     std::uint32_t zones = 1;
-    std::uint32_t kinds = 1;  ///< machine kinds that a list may name
+    std::uint32_t kinds = 1;  ///< number of machine kinds in endpoint lists
     std::uint32_t tier = 0;   ///< the tier this balancer sends to
     std::uint32_t tiers = 1;
-    bool subscribe = false;       ///< discovery speaks only when asked
+    bool subscribe = false;       ///< discovery sends updates only to subscribers
     bool passes_deadline = true;  ///< calls between tiers carry the caller's remaining time
     bool marks_retry = false;
     bool worth_by_work = false;
@@ -122,7 +122,7 @@
     Rules rules;
 };
 
-/// Throws std::invalid_argument that names the field where settings make no sense.
+/// Throws std::invalid_argument, which names the field, if a setting is invalid.
 void validate(const Settings& settings);
 
 // ---- events ---------------------------------------------------------------------------------------
@@ -136,18 +136,18 @@
     std::uint32_t cell = 0;
     Availability availability = Availability::Ready;
     double weight = 1.0;
-    std::optional<Time> started;  ///< absent: long ago
+    std::optional<Time> started;  ///< absent: long ago, so the endpoint is warm
 };
 using EndpointList = std::vector<Endpoint>;
 
-/// Load figures of an endpoint; each is absent where the endpoint does not report it.
+/// Load metrics of an endpoint. Those that the endpoint does not report are absent.
 struct LoadReport {
     std::optional<double> in_flight, queued, utilisation, service_ms, served_per_s, errors_per_s;
 };
 
 enum class Status { Error, Ok, Rejected, Timeout, ConnectFailed, Reset, Cancelled, NotSent };
 
-/// News from discovery. Full and Cached replace the list, Delta changes it, Failed carries nothing.
+/// A result of service discovery. Full and Cached replace the list, Delta changes it, Failed has no list.
 struct DiscoveryUpdate {
     enum class Kind { Cached, Full, Delta, Failed };
     Kind kind = Kind::Full;
@@ -161,12 +161,12 @@
     bool write = false;
     bool resent = false;
     std::optional<std::uint64_t> key;
-    std::optional<Duration> work;  ///< what it is expected to cost
-    /// Its last bytes are still to come, and go to an endpoint as they do: `deadline` is the latest that it
-    /// can have until Received tells it. Attempts are of no weight before.
+    std::optional<Duration> work;  ///< expected processing time
+    /// The body is still being received and is streamed to the endpoint. Until BodyReceived gives the final
+    /// deadline, `deadline` is an upper bound. Until then attempts don't count as load.
     bool body_pending = false;
 };
-/// All of a request that was arriving is here; the time that its client waits begins.
+/// The body of a streamed request is complete. From here on its client waits for the response.
 struct BodyReceived {
     RequestId id;
     Time deadline{};
@@ -183,11 +183,11 @@
     EndpointId endpoint{};
     Status status = Status::Error;
     Duration latency{};
-    bool last = false;  ///< the request is over; nothing is owed any more
+    bool last = false;  ///< the request is over; no response is owed any more
     std::optional<LoadReport> report;
-    bool connection_reusable = true;  ///< of an answer: its connection can carry another
+    bool connection_reusable = true;  ///< after a response: the connection can be reused
 };
-/// The client left; the request is over.
+/// The client gave up or its deadline passed; the request is over.
 struct DeadlineExpired {
     RequestId id;
 };
@@ -212,14 +212,14 @@
 struct Send {
     RequestId id;
     EndpointId endpoint{};
-    Duration timeout{};  ///< 0: until the client gives up
+    Duration timeout{};  ///< 0: no limit but the client's own deadline
 };
-/// Final answer: declined, and a retry does no harm.
+/// Final response: refused. The request was not executed or is idempotent, so the client may retry it.
 struct Refuse {
     RequestId id;
     Duration retry_after{};
 };
-/// Final answer: unsuccessful; nothing is said about its effect.
+/// Final response: failed. The request may or may not have been executed.
 struct Fail {
     RequestId id;
 };
@@ -235,7 +235,7 @@
     EndpointId endpoint{};
 };
 struct Subscribe {};
-/// Close the connections to an endpoint that carry nothing now.
+/// Close the idle connections to an endpoint.
 struct CloseIdleConnections {
     EndpointId endpoint{};
 };
@@ -245,16 +245,16 @@
 
 class Balancer {
   public:
-    /// Throws std::invalid_argument, as validate() does.
+    /// Throws std::invalid_argument on invalid settings, see validate().
     Balancer(Settings settings, std::uint64_t seed);
     ~Balancer();
     Balancer(Balancer&&) noexcept;
     Balancer& operator=(Balancer&&) noexcept;
 
-    /// Called once, before any event.
+    /// Must be called once, before the first event.
     void start(Time now, std::vector<Action>& out);
-    /// Appends what is to be done now, in order. Times must not go back. What is not or no longer known is
-    /// passed over; a class or tenant out of range throws std::invalid_argument and changes nothing.
+    /// Appends the actions to take now, in order. Timestamps must not decrease. Unknown requests, attempts
+    /// and timers are ignored; an out-of-range class or tenant throws std::invalid_argument without effect.
     void handle(Time now, const Event& event, std::vector<Action>& out);
 
   private:
--- a/src/assembly/features.h
+++ b/src/assembly/features.h
@@ -1,5 +1,5 @@
-// What our own configuration file switches on, beside the platform's configuration. Everything is off unless
-// its section stands there. docs/operate/configuration.md has the fields in words.
+// Optional features from martenford's own configuration file, beside the platform's configuration. A feature
+// is off unless the file has its section. docs/operate/configuration.md describes the fields.
 #pragma once
 
 #include <cstddef>
@@ -22,32 +22,32 @@
 namespace martenford {
 
 struct ConnectionOptions {
-    std::size_t max_total = 0;     ///< to all endpoints together; 0: half of the platform's sockets
-    std::size_t per_endpoint = 0;  ///< 0: as many as the whole allows
+    std::size_t max_total = 0;     ///< to all endpoints together; 0: half of the platform's socket limit
+    std::size_t per_endpoint = 0;  ///< 0: limited by max_total alone
 };
 
 struct Features {
     std::optional<subset::Options> subset;
     std::optional<outlier::Options> outliers;
-    std::optional<double> caution_share;  ///< of [membership]: the share of a tier whose removal is doubted
+    std::optional<double> caution_share;  ///< [membership] doubt_above: removal of more of a tier is doubted
     ConnectionOptions connections;
     std::optional<fleet::Options> fleet;
-    std::optional<replica::Options> state;  ///< needs `fleet`
+    std::optional<replica::Options> state;  ///< requires `fleet`
     std::optional<ledger::Options> ledger;
     std::optional<telemetry::Options> telemetry;
 };
 
-/// Throws TomlError: one line with file, line, column and what is wrong.
+/// Throws TomlError: one line with file, line, column and the problem.
 Features read_features(std::string_view text, const std::string& file);
 Features load_features(const std::string& path);
 
-/// The doubt as the membership takes it. Its length is two fifths of the drain grace: what is late on the way
-/// or in the loop has the rest.
+/// Options for the membership's caution about removals. It lasts two fifths of the drain grace; the rest is
+/// left for delays on the network and in the event loop.
 Membership::Options membership_options(const Features& features, const decision::Settings& settings);
 
-/// The decision module with what is switched on around it. Throws std::invalid_argument, as
-/// decision::validate() does. `outliers`: gets the one within, which lives as long; null where there is
-/// none.
+/// Builds the decision module with the decorators that `features` enables. Throws std::invalid_argument, as
+/// decision::validate() does. `outliers` receives the outlier policy, which the returned policy owns; it is
+/// left as it is if there is none.
 std::unique_ptr<Policy> make_policy(const decision::Settings& settings, std::uint64_t seed,
                                     const Features& features, Counters& counters,
                                     outlier::OutlierPolicy** outliers = nullptr);
--- a/src/outlier/outlier_policy.h
+++ b/src/outlier/outlier_policy.h
@@ -1,6 +1,6 @@
-// Remembers failures of endpoints that this sidecar seldom hears of: the module's view of an endpoint fades
-// in some tens of seconds, and one that is asked once a minute is new to it each time. Stands between the
-// engine and the module like a subset, and does no I/O.
+// Outlier ejection for endpoints that this sidecar seldom calls. The module's own health statistics fade
+// within some tens of seconds, so it has forgotten an endpoint that gets one call a minute before the next
+// one. A policy decorator between the engine and the module, like SubsetPolicy; it does no I/O.
 #pragma once
 
 #include <cstdint>
@@ -17,16 +17,16 @@
 namespace martenford::outlier {
 
 struct Options {
-    std::uint32_t failure_threshold = 3;      ///< that eject an endpoint; a served call takes one off
-    decision::Duration min_failure_gap{};     ///< failures closer than this count once; 0: 10 s
-    decision::Duration base_ejection_time{};  ///< the first time, then twice as long each time; 0: 60 s
-    decision::Duration max_ejection_time{};   ///< 0: 10 min
-    double max_ejected_share = 1.0 / 3.0;     ///< of the ready endpoints that may be out at once
+    std::uint32_t failure_threshold = 3;      ///< failures that eject an endpoint; a success takes one off
+    decision::Duration min_failure_gap{};     ///< failures closer together than this count once; 0: 10 s
+    decision::Duration base_ejection_time{};  ///< first ejection; doubles with each further one; 0: 60 s
+    decision::Duration max_ejection_time{};   ///< upper limit of an ejection; 0: 10 min
+    double max_ejected_share = 1.0 / 3.0;     ///< share of the ready endpoints that may be ejected at once
 };
 
-/// The module is told an ejected endpoint as draining, so that what is out there goes on and nothing new
-/// follows; then as it is listed. The first failure after that ejects again. A new start of the endpoint
-/// clears it.
+/// An ejected endpoint is shown to the module as draining, so that attempts in flight continue and no new
+/// ones are sent, and then as listed again. The first failure after its readmission ejects it again. A
+/// restart of the endpoint clears its record.
 class OutlierPolicy : public Policy {
   public:
     OutlierPolicy(std::unique_ptr<Policy> next, const Options& options, Counters& counters);
@@ -35,10 +35,10 @@
     void handle(decision::Time now, const decision::Event& event,
                 std::vector<decision::Action>& out) override;
 
-    /// Others have ejected it: it is on its last failure here, and each call that it serves takes one off.
-    /// What they say alone ejects nothing.
+    /// Other sidecars have ejected the endpoint: one more failure here ejects it, and each success takes one
+    /// failure off. Reports of others alone eject nothing.
     void note_peer_ejection(decision::EndpointId id);
-    /// Called with an endpoint that was ejected here, and its failures.
+    /// Sets a callback for ejections by this sidecar. It gets the endpoint and its failure count.
     void on_ejected(std::function<void(decision::EndpointId, std::uint32_t)> call) {
         on_ejected_ = std::move(call);
     }
@@ -48,8 +48,8 @@
   private:
     struct Record {
         decision::Endpoint listed;
-        std::uint32_t failure_count = 0;  // failures, less what was served
-        std::uint32_t ejections = 0;      // ejected, less what was served since
+        std::uint32_t failure_count = 0;  // failures minus successes
+        std::uint32_t ejections = 0;  // ejections in a row; reset once successes have cleared the failures
         decision::Time last_counted{};
         bool is_listed = false;
         bool ejected = false;
@@ -69,7 +69,7 @@
     std::size_t ready_ = 0, ejected_ = 0;
     using ReadmissionDue = std::pair<decision::Time, decision::EndpointId>;
     std::priority_queue<ReadmissionDue, std::vector<ReadmissionDue>, std::greater<>>
-        readmissions_due_;  // what is no longer out is passed over
+        readmissions_due_;  // stale entries are skipped
     std::function<void(decision::EndpointId, std::uint32_t)> on_ejected_;
     Counter &ejections_, &readmissions_, &suppressed_, &peer_ejections_;
 };
--- a/src/policy/budget.h
+++ b/src/policy/budget.h
@@ -1,5 +1,5 @@
-// What retries may cost: tokens that served calls earn, and a ration by what was taken. Where one bucket
-// stands for many sidecars, its capacity is a share.
+// Limits on retries: a token bucket that successful calls refill, and a limit relative to the requests
+// accepted. Where many sidecars share one budget, each bucket gets a share of the capacity.
 #pragma once
 
 #include <algorithm>
@@ -10,13 +10,13 @@
 
 namespace martenford::decision {
 
-constexpr double kBucketCapacity = 100.0;  // tokens; the source's figure
-constexpr double kRetryCost = 10.0;        // tokens a retry; retries add at most a tenth (the source's)
+constexpr double kBucketCapacity = 100.0;  // tokens; from "Retries Done Right"
+constexpr double kRetryCost = 10.0;  // tokens per retry: retries add at most a tenth to the load; same source
 
-/// Served calls earn, retries spend.
+/// Token bucket: successful calls earn tokens, retries spend them.
 class RetryBudget {
   public:
-    /// Starts full, with `capacity` tokens.
+    /// Starts full.
     explicit RetryBudget(double capacity = kBucketCapacity) : capacity_(capacity), tokens_(capacity) {}
     void earn() { tokens_ = std::min(capacity_, tokens_ + 1.0); }
     bool spend() {
@@ -30,16 +30,16 @@
     double capacity_, tokens_;
 };
 
-/// The ration of attempts after a request's first, where the settings tell one. It stands beside the retry
-/// budget, which goes by what was served: this one goes by what was taken, in a sliding window whose edge is
-/// read against us both ways.
+/// Enforces the AttemptBudget of the settings, if there is one, on attempts after a request's first. Unlike
+/// the RetryBudget, which depends on successful calls, it depends on accepted requests in a sliding window.
+/// At the window's edge it counts to its own disadvantage: retries are included, requests are not.
 class AttemptBudgetLimiter {
   public:
     explicit AttemptBudgetLimiter(const std::optional<AttemptBudget>& budget)
         : budget_(budget), requests_(budget ? budget->look_back : Duration{}), retries_(requests_) {}
     void record_request(Time now) { requests_.add(now); }
     void record_retry(Time now) { retries_.add(now); }
-    void forget_retry(Time sent_at) { retries_.remove(sent_at); }  // it turned out never to have been sent
+    void forget_retry(Time sent_at) { retries_.remove(sent_at); }  // the retry was never sent
     bool allows_retry(Time now) {
         if (!budget_) return true;
         return retries_.count(now, true) + 1.0 <=
--- a/src/policy/mechanics.h
+++ b/src/policy/mechanics.h
@@ -1,4 +1,4 @@
-// Arithmetic and counters that the decision module leans on. No decisions.
+// Arithmetic, random numbers and counters for the decision module.
 #pragma once
 
 #include <algorithm>
@@ -8,7 +8,7 @@
 
 namespace martenford::decision {
 
-/// splitmix64: small, fast, and the same on every machine.
+/// splitmix64: small, fast, and portable, so that a seed gives the same numbers on every machine.
 class Random {
   public:
     explicit Random(std::uint64_t seed) : state_(seed) {}
@@ -33,7 +33,7 @@
     return static_cast<double>(a.count()) / static_cast<double>(b.count());
 }
 
-/// Points in time, counted over a window that slides. Add and count with times that don't go back.
+/// Counts timestamps within a sliding window. Times passed to add() and count() must not decrease.
 class SlidingWindow {
   public:
     explicit SlidingWindow(Duration length) : length_(length) {}
@@ -45,7 +45,7 @@
         const auto it = std::find(times_.begin(), times_.end(), at);
         if (it != times_.end()) times_.erase(it);
     }
-    /// How many lie inside the window that ends now; one at its very start is counted where asked.
+    /// Number of timestamps in the window that ends now. `include_start`: also those at its very start.
     double count(Time now, bool include_start) {
         drop_before(now - length_);
         const auto at_start = include_start ? 0 : std::count(times_.begin(), times_.end(), now - length_);
--- a/src/policy/ring.h
+++ b/src/policy/ring.h
@@ -1,5 +1,5 @@
-// Endpoints in a fixed order, found by rank in constant time and put in or taken out by moving what lies
-// behind. No decisions.
+// Endpoints in a fixed order: constant-time access by rank; insertion and removal move the entries behind.
+// Contains no decisions.
 #pragma once
 
 #include <algorithm>
@@ -11,8 +11,8 @@
 
 namespace martenford::decision {
 
-/// In the order of a key and, where keys are alike, of the id. A change costs one move of memory: some
-/// microseconds at 10,000 places; a rank costs a search by halves.
+/// Sorted by key and then by id. An insertion or removal costs one memmove, which takes some microseconds at
+/// 10,000 entries; rank() is a binary search.
 template <typename T>
 class Ring {
   public:
@@ -24,18 +24,18 @@
 
     std::size_t size() const { return entries_.size(); }
     bool empty() const { return entries_.empty(); }
-    /// At this rank, from 0 below size().
+    /// The value at this rank, which must be below size().
     T& operator[](std::size_t rank) const { return *entries_[rank].value; }
-    /// Of a place that is there.
+    /// The entry must exist.
     std::size_t rank(std::uint64_t key, EndpointId id) const {
         return static_cast<std::size_t>(find(key, id) - entries_.begin());
     }
     void insert(std::uint64_t key, EndpointId id, T& value) {
         entries_.insert(find(key, id), {key, id, &value});
     }
-    /// Of a place that is there.
+    /// The entry must exist.
     void erase(std::uint64_t key, EndpointId id) { entries_.erase(find(key, id)); }
-    /// All places anew, given in any order.
+    /// Replaces all entries. They may be in any order.
     void assign(std::vector<Entry>&& entries) {
         entries_ = std::move(entries);
         std::sort(entries_.begin(), entries_.end(), less);
--- a/src/policy/waits.h
+++ b/src/policy/waits.h
@@ -1,4 +1,4 @@
-// How long a retry waits, and until when it is worth beginning.
+// Retry backoff, and the latest time at which a retry is still useful.
 #pragma once
 
 #include <algorithm>
@@ -10,9 +10,10 @@
 
 using namespace std::chrono_literals;
 
-constexpr Duration kBackoffBase = 100ms;    // the source's base wait
-constexpr Duration kBackoffCap = 30s;       // the source's longest wait
-constexpr Duration kDeadlineBuffer = 50ms;  // an attempt started later than this before the end is lost
+constexpr Duration kBackoffBase = 100ms;  // from "Retries Done Right"
+constexpr Duration kBackoffCap = 30s;     // from the same source
+constexpr Duration kDeadlineBuffer =
+    50ms;  // an attempt that starts later than this before the deadline is lost
 
 /// Decorrelated jitter: min(cap, base + random x (prev x 3 - base)).
 class Backoff {
@@ -28,7 +29,7 @@
     Duration base_, cap_, prev_;
 };
 
-/// What is left of a request's time for a retry: none where it is 0 or less.
+/// Time left in which a retry may start; 0 or less: too late for one.
 inline Duration retry_time_left(Time deadline, Time now) {
     return deadline - now - kDeadlineBuffer;
 }
--- a/src/subset/subset_policy.h
+++ b/src/subset/subset_policy.h
@@ -1,5 +1,5 @@
-// Shows the decision module only those endpoints of a large tier that this sidecar is to use. Stands between
-// the engine and the module, sees the events of both ways, and does no I/O.
+// Restricts the decision module to this sidecar's subset of a large tier. A policy decorator between the
+// engine and the module: it filters the events and actions of both directions and does no I/O.
 #pragma once
 
 #include <cstdint>
@@ -14,24 +14,24 @@
 namespace martenford::subset {
 
 struct Options {
-    std::size_t width = 20;       ///< endpoints used while all is well
-    std::size_t max_width = 160;  ///< and at most; bounds the connections of a fleet that fails as a whole
+    std::size_t width = 20;       ///< endpoints used in normal operation
+    std::size_t max_width = 160;  ///< upper limit; bounds the connections when a whole fleet fails
 };
 
-/// The window of `Method::Window`, kept up at a cost that grows with what changes and with the width. Own
-/// zone first: it gets the whole width where its share of the endpoints is at least its share of the zones,
-/// and otherwise as much of it as those two shares' ratio; the rest comes from the other zones together.
+/// Maintains the subset of `Method::Window` incrementally, at a cost that depends on the size of a change and
+/// on the width. The sidecar's own zone comes first: it gets the whole width if its share of the endpoints is
+/// at least 1/zones, and otherwise a proportional part of it; the rest comes from all other zones together.
 ///
-/// The width doubles at the end of a second in which over 30% of the outcomes were failures or turned away,
-/// or in which more attempts were out than endpoints are used; after ten calm seconds a quarter of what was
-/// added goes each second. The module is told an endpoint that is given up as gone, and its idle connections
-/// are closed; what is out there goes on.
+/// The width doubles at the end of a second in which over 30% of the attempts failed or were rejected, or in
+/// which more attempts were in flight than endpoints are used. After ten calm seconds it shrinks by a quarter
+/// of what was added each second. An endpoint that leaves the subset is reported to the module as gone and
+/// its idle connections are closed; attempts in flight continue.
 class SubsetPolicy : public Policy {
   public:
-    /// `settings` are the sidecar's own; the module behind must have been given those of alone().
+    /// `settings` are the sidecar's own; `next` must have been built with single_replica_settings().
     SubsetPolicy(std::unique_ptr<Policy> next, const decision::Settings& settings, const Options& options,
                  Counters& counters);
-    /// The same settings for a module that is to use all that it is shown.
+    /// The same settings for a module that uses every endpoint it is given.
     static decision::Settings single_replica_settings(decision::Settings settings);
 
     void start(decision::Time now, std::vector<decision::Action>& out) override;
@@ -39,12 +39,12 @@
                 std::vector<decision::Action>& out) override;
 
     std::size_t width() const { return width_; }
-    /// Those that the module may send to, in rising order.
+    /// Endpoints that the module may use, in ascending order.
     std::vector<decision::EndpointId> selected() const;
 
   private:
     using Id = decision::EndpointId;
-    /// Ready endpoints of a zone, or of all others, in the order of a hash: the same at every sidecar.
+    /// Ready endpoints of the own zone or of all others, sorted by hash: the same order at every sidecar.
     class Order {
       public:
         void insert(Id id);
@@ -55,8 +55,8 @@
         Id operator[](std::size_t i) const { return ids_[i]; }
 
       private:
-        // Ids alone: where one stands is computed from it. A change moves what lies behind, and 10,000 of
-        // them fit into the nearest cache.
+        // Only ids, since the hash is computed from the id. A change moves all entries behind it, and 10,000
+        // ids fit into the L1 cache.
         std::vector<Id> ids_;
     };
     Order& zone_order(const decision::Endpoint& e) { return e.zone == zone_ ? near_ : far_; }
@@ -70,10 +70,10 @@
     std::uint32_t position_, replicas_, zone_, zones_;
     Options options_;
     std::size_t width_;
-    std::unordered_map<Id, decision::Endpoint> members_;  // all that are listed
+    std::unordered_map<Id, decision::Endpoint> members_;  // all listed endpoints
     Order near_, far_;
-    std::vector<Id> selected_;                              // rising
-    std::unordered_map<Id, decision::Endpoint> forwarded_;  // as the module knows them
+    std::vector<Id> selected_;                              // ascending
+    std::unordered_map<Id, decision::Endpoint> forwarded_;  // as last sent to the module
     decision::Time period_end_{}, calm_since_{};
     std::size_t successes_ = 0, failures_ = 0, in_flight_ = 0, max_in_flight_ = 0;
     Counter &grown_, &shrunk_, &added_;
--- a/tests/standins/recording_policy.h
+++ b/tests/standins/recording_policy.h
@@ -1,4 +1,4 @@
-// Stands in for the decision module behind another policy: records what it is told.
+// Test double for the decision module behind another policy. Records the events it gets.
 #pragma once
 
 #include <map>
@@ -12,12 +12,12 @@
 
 class RecordingPolicy : public Policy {
   public:
-    /// What it was told, kept after it has gone.
+    /// What it received. Outlives the policy.
     struct Record {
         std::map<decision::EndpointId, decision::Endpoint> listed;
         std::size_t lists = 0, changes = 0, outcomes = 0;
-        std::size_t endpoints_in_changes = 0;        ///< entries over all changes
-        std::vector<decision::Action> next_actions;  ///< given back at the next event
+        std::size_t endpoints_in_changes = 0;        ///< total number of entries in deltas
+        std::vector<decision::Action> next_actions;  ///< returned at the next event
     };
     explicit RecordingPolicy(std::shared_ptr<Record> record) : record_(std::move(record)) {}
     void start(decision::Time, std::vector<decision::Action>&) override {}
--- a/tests/standins/usual_rules.h
+++ b/tests/standins/usual_rules.h
@@ -1,4 +1,4 @@
-// The rules that tests and benchmarks of the module go by where their own figures don't matter.
+// Rules for tests and benchmarks of the decision module that need no particular values.
 #pragma once
 
 #include "martenford/decision/balancer.h"
