--- a/adapter/host.cpp
+++ b/adapter/host.cpp
@@ -8,7 +8,7 @@
 namespace martenford::decision::wire {
 
 std::string Host::reply(const std::string& line) {
-    // The whole batch is read before anything acts on it: a fault in it gives no partial reply.
+    // The whole batch is parsed before any of it is executed: malformed input gives no partial reply.
     const Batch batch = reader_.read(line);
     Writer writer(batch.round);
     std::vector<Action> actions;
--- a/adapter/wire.cpp
+++ b/adapter/wire.cpp
@@ -76,7 +76,7 @@
 Batch Reader::read(const std::string& line) {
     Batch batch;
     std::string location = "line";
-    std::optional<State> saved;  // so that a batch that fails changes nothing
+    std::optional<State> saved;  // restored if the batch is malformed
     try {
         element root;
         if (parser_.parse(line).get(root) != simdjson::SUCCESS) bad("not valid JSON");
@@ -132,7 +132,7 @@
     if (tag == "ingress") {
         Request request = read_request(event);
         if (request.class_index >= ranges.classes) bad("field 'priority' is out of range");
-        if (ranges.tenants == 0) request.tenant.reset();  // without tenants the field means nothing
+        if (ranges.tenants == 0) request.tenant.reset();  // without tenants the field has no meaning
         if (request.tenant && *request.tenant >= ranges.tenants) bad("field 'party' is out of range");
         message.body = Event{std::move(request)};
     } else if (tag == "completed") {
--- a/examples/quickstart.cpp
+++ b/examples/quickstart.cpp
@@ -1,4 +1,5 @@
-// A host's loop at its smallest: events in, actions out, timers. One endpoint fails, the retry is served.
+// A minimal host: passes events to the balancer, performs its actions and fires its timers. Endpoint 1 fails,
+// and the retries succeed at endpoint 2.
 #include <iostream>
 #include <map>
 #include <string>
@@ -21,7 +22,7 @@
         balancer_.handle(now_, event, actions_);
         perform();
     }
-    /// A real host sleeps until the next timer or answer; this one jumps there.
+    /// A real host sleeps until the next timer or response. This one jumps ahead in time.
     void run() {
         while (!due_.empty()) {
             auto next = due_.extract(due_.begin());
@@ -38,12 +39,12 @@
         actions_.clear();
         for (const Action& action : actions) {
             if (const auto* send = std::get_if<Send>(&action)) {
-                // Endpoint 1 answers with an error, the others serve, each after 20 ms.
+                // Endpoint 1 returns errors and the others succeed, each after 20 ms.
                 const AttemptNumber attempt = attempts_[send->id]++;
                 const bool serves = send->endpoint != EndpointId{1};
                 served_ += serves ? 1 : 0;
                 std::cout << "send request " << send->id << " attempt " << attempt << " to endpoint "
-                          << static_cast<unsigned>(send->endpoint) << (serves ? ": served\n" : ": error\n");
+                          << static_cast<unsigned>(send->endpoint) << (serves ? ": ok\n" : ": error\n");
                 due_.emplace(now_ + 20ms, Outcome{send->id,
                                                   attempt,
                                                   send->endpoint,
@@ -55,10 +56,10 @@
                 due_.emplace(timer->at, TimerFired{timer->token});
             } else if (const auto* refuse = std::get_if<Refuse>(&action)) {
                 std::cout << "tell the client that request " << refuse->id
-                          << " was declined and may come again\n";
+                          << " was refused and may be retried\n";
             } else if (const auto* fail = std::get_if<Fail>(&action)) {
                 std::cout << "tell the client that request " << fail->id << " failed\n";
-            }  // Cancel, Probe and Subscribe come only where the settings allow them
+            }  // Cancel, Probe and Subscribe occur only if the settings allow them
         }
     }
 
--- a/src/assembly/features.cpp
+++ b/src/assembly/features.cpp
@@ -9,8 +9,8 @@
 
 namespace {
 
-constexpr std::int64_t kMaxWidth = 100'000;        // as many endpoints as a list may hold
-constexpr std::int64_t kMaxConnections = 1 << 20;  // more than a process has descriptors
+constexpr std::int64_t kMaxWidth = 100'000;        // endpoints in a list at most
+constexpr std::int64_t kMaxConnections = 1 << 20;  // more than the file descriptors of a process
 constexpr double kCautionDrainShare = 0.4;         // of the drain grace
 
 using Table = TomlReader::Table;
@@ -56,14 +56,14 @@
     from.text("helper", result.helper);
     from.text("digest_key", result.key_file);
     from.span("hold", result.hold, true);
-    if (result.hold > kMaxHold) from.fail("'hold' is over 10s: no request waits for so long");
+    if (result.hold > kMaxHold) from.fail("'hold' must be at most 10s: no request waits longer");
     result.unsafe = read_class_options(from, result.unsafe);
     std::uint64_t megabytes = 0;
     from.whole("most_mb", megabytes, 1, kMaxMegabytes);
     result.most_bytes = megabytes << 20;
     from.whole("batch_records", result.batch.most_records, 1, 100'000);
     from.span("batch_delay", result.batch.delay);
-    if (result.batch.delay >= result.hold) from.fail("'batch_delay' is not below 'hold'");
+    if (result.batch.delay >= result.hold) from.fail("'batch_delay' must be less than 'hold'");
     from.whole("queue_records", result.queue.most_records, 100, 10'000'000);
     from.span("ack_within", result.queue.ack_within, true);
     std::int64_t days = 30, archive_days = 400;
@@ -76,8 +76,7 @@
         std::string name;
         each.text("name", name, true);
         const auto class_options = read_class_options(each, result.unsafe);
-        if (!result.classes.emplace(name, class_options).second)
-            each.fail("class '" + name + "' stands twice");
+        if (!result.classes.emplace(name, class_options).second) each.fail("duplicate class '" + name + "'");
         each.end();
     }
     from.end();
@@ -88,7 +87,7 @@
 constexpr Duration kMaxStall = 60s;
 constexpr Duration kMinTombstones = 10s;
 
-/// Addresses with their ports, or (`hosts`) without.
+/// Reads addresses with their ports, or without (`without_port`).
 std::vector<std::string> read_addresses(Table& from, std::string_view key, bool without_port) {
     std::vector<std::string> result;
     for (const toml::node* node : from.items(key)) {
@@ -113,8 +112,8 @@
     from.text("name", result.name, true);
     if (result.name.empty() || result.name.size() > kMaxFleetNameBytes ||
         result.name.find_first_of(" \t\r\n") != std::string::npos)
-        from.reader().fail(from.need("name"),
-                           fmt::format("'name' must have 1 to {} bytes and no blanks", kMaxFleetNameBytes));
+        from.reader().fail(from.need("name"), fmt::format("'name' must have 1 to {} bytes and no whitespace",
+                                                          kMaxFleetNameBytes));
     read_address(from, "listen", result.listen, true);
     read_address(from, "advertise", result.advertise, false);
     result.seeds = read_addresses(from, "seeds", false);
@@ -134,16 +133,17 @@
     from.span("exchange_every", pace.exchange_every, true);
     from.span("reconnect_every", pace.reconnect_every, true);
     from.span("forget_after", pace.forget_after, true);
-    if (pace.probe_patience >= pace.probe_every) from.fail("'probe_patience' is not below 'probe_every'");
-    if (pace.stall > kMaxStall) from.fail("'stall' is over 60s: nobody would be missed");
-    if (pace.gone > pace.stall) from.fail("'gone' is over 'stall'");
+    if (pace.probe_patience >= pace.probe_every)
+        from.fail("'probe_patience' must be less than 'probe_every'");
+    if (pace.stall > kMaxStall) from.fail("'stall' must be at most 60s: no failed member would be noticed");
+    if (pace.gone > pace.stall) from.fail("'gone' must be at most 'stall'");
     from.end();
     return result;
 }
 
 replica::Options read_state(Table& from, bool fleet) {
     replica::Options result;
-    if (!fleet) from.fail("needs [fleet]: there is nobody to share state with");
+    if (!fleet) from.fail("requires [fleet]: its members share the state");
     replica::Pace& pace = result.pace;
     from.span("push_every", pace.push_every, true);
     from.whole("push_to", pace.push_to, 1, 16);
@@ -157,7 +157,7 @@
     from.text("directory", result.directory);
     from.text("helper", result.helper);
     if (pace.tombstones < kMinTombstones)
-        from.fail("'tombstones' is under 10s: a pause would bring deleted entries back");
+        from.fail("'tombstones' must be at least 10s: a paused member would bring deleted entries back");
     from.end();
     return result;
 }
@@ -215,8 +215,8 @@
     const auto balancer_settings =
         features.subset ? subset::SubsetPolicy::single_replica_settings(settings) : settings;
     std::unique_ptr<Policy> policy = std::make_unique<BalancerPolicy>(balancer_settings, seed);
-    // Nearest to the module: it remembers those that are used only, and a subset sees what it ejects as
-    // failures.
+    // Innermost: it then keeps records of endpoints of the subset only, and the subset counts the failures
+    // that lead to an ejection.
     if (features.outliers) {
         auto outlier_policy =
             std::make_unique<outlier::OutlierPolicy>(std::move(policy), *features.outliers, counters);
--- a/src/outlier/outlier_policy.cpp
+++ b/src/outlier/outlier_policy.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 constexpr Duration kDefaultMinFailureGap =
-    10s;  // the half-life of the module's own view: what is closer together it sees itself
+    10s;  // half-life of the module's own statistics, which cover failures closer together
 constexpr Duration kDefaultBaseEjectionTime = 60s, kDefaultMaxEjectionTime = 600s;
 
 Duration value_or_default(Duration value, Duration fallback) {
@@ -23,18 +23,19 @@
 OutlierPolicy::OutlierPolicy(std::unique_ptr<Policy> next, const Options& options, Counters& counters)
     : next_(std::move(next)),
       options_(options),
-      ejections_(counters.counter("outlier.ejections", "endpoints that were ejected")),
-      readmissions_(counters.counter("outlier.readmissions", "and let in again when their time was up")),
-      suppressed_(counters.counter("outlier.spared", "that would have been, had not too many been out")),
+      ejections_(counters.counter("outlier.ejections", "endpoints ejected")),
+      readmissions_(counters.counter("outlier.readmissions", "ejected endpoints readmitted")),
+      suppressed_(
+          counters.counter("outlier.spared", "ejections suppressed by the limit on ejected endpoints")),
       peer_ejections_(
-          counters.counter("outlier.warnings", "times that others had ejected what was in use here")) {
+          counters.counter("outlier.warnings", "endpoints in use here that other sidecars ejected")) {
     options_.min_failure_gap = value_or_default(options.min_failure_gap, kDefaultMinFailureGap);
     options_.base_ejection_time = value_or_default(options.base_ejection_time, kDefaultBaseEjectionTime);
     options_.max_ejection_time = std::max(
         value_or_default(options.max_ejection_time, kDefaultMaxEjectionTime), options_.base_ejection_time);
     if (options.failure_threshold == 0 ||
         !(options.max_ejected_share >= 0.0 && options.max_ejected_share <= 1.0)) {
-        throw std::invalid_argument("outliers: failures must be 1 or more and the share from 0 to 1");
+        throw std::invalid_argument("outliers: failures must be at least 1 and the share from 0 to 1");
     }
 }
 
@@ -44,7 +45,7 @@
         it->second.failure_count + 1 >= options_.failure_threshold)
         return;
     it->second.failure_count = options_.failure_threshold - 1;
-    it->second.last_counted = {};  // what it does next counts
+    it->second.last_counted = {};  // the next failure counts at once
     peer_ejections_.add();
 }
 
@@ -68,7 +69,7 @@
     next_->handle(now, DiscoveryUpdate{DiscoveryUpdate::Kind::Delta, std::move(list)}, out);
 }
 
-/// As the module is to see it.
+/// Records the listed endpoint and returns it as the module is to see it.
 Endpoint OutlierPolicy::as_presented(Record& record, const Endpoint& listed) {
     const auto ready = [](const Endpoint& e) { return e.availability == Availability::Ready; };
     if (ready(record.listed) && record.is_listed) --ready_;
@@ -131,7 +132,7 @@
         case Status::Timeout:
             break;
         default:
-            return;  // turned away, given up or never sent: nothing has failed
+            return;  // rejected, cancelled or never sent: not a failure
     }
     if (record.failure_count > 0 && now < record.last_counted + options_.min_failure_gap) return;
     record.last_counted = now;
@@ -165,7 +166,7 @@
     const auto it = records_.find(id);
     if (it == records_.end() || !it->second.ejected || it->second.until != until) return;
     it->second.ejected = false;
-    it->second.failure_count = options_.failure_threshold - 1;  // one more, and it is out for longer
+    it->second.failure_count = options_.failure_threshold - 1;  // the next failure ejects it for longer
     --ejected_;
     readmissions_.add();
     update_next(now, it->second.listed, out);
--- a/src/policy/logic.cpp
+++ b/src/policy/logic.cpp
@@ -1,8 +1,8 @@
 // Every decision of the library. The interface is include/martenford/decision/balancer.h.
 //
-// The ordinary path follows "Retries Done Right": served calls earn tokens that retries spend, retries wait
-// by decorrelated jitter and end at the deadline; a pick takes the less loaded of two random ready servers
-// by own calls in flight. docs/design.md tells where and when the module departs from it, and why.
+// The normal path follows "Retries Done Right": successful calls earn the tokens that retries spend, retries
+// back off with decorrelated jitter and stop at the deadline, and of two random ready servers the one with
+// less load by own calls in flight is picked. docs/design.md says where and why the module departs from it.
 #include <algorithm>
 #include <cmath>
 #include <deque>
@@ -26,66 +26,75 @@
 
 // ---- tunables -------------------------------------------------------------------------------------
 
-constexpr std::size_t kMinSubsetSize =
-    4;  // servers used at least: two pairs of a cell; fewer are heard of more
-constexpr std::size_t kCallersPerServer =
-    2;  // and as many more as give each server this many callers, for evenness
-constexpr double kColdLoadMargin =
-    0.9;  // of the told fall multiple goes to a cold server; the rest is for chance
-constexpr int kColdPrunesPerWarmUp = 32;   // in the time that it takes to get warm
-constexpr double kHealthGain = 0.3;        // weight of the newest answer: three in a row decide
-constexpr Duration kHealthHalfLife = 10s;  // a view fades by half in this: many troubles last some tens of s
-constexpr double kTieRatio = 0.9;          // loads closer than this are alike
-constexpr double kFailureWeight = 10.0;  // a server that fails always looks as loaded as with ten calls more
-constexpr double kFastErrorWeight = 100.0;  // and its quick errors more yet to a call that may not go again
-constexpr double kMaxAvoidancePressure =
-    0.3;  // pressure from which a place is worth more than a server's good name
-constexpr double kMaxPressureSample =
-    1.5;                               // a call that waited this many times its room counts no more than that
-constexpr double kPressureGain = 0.1;  // weight of the newest call: a single slow one does not shed
-constexpr Duration kPressureHalfLife = 1s;    // pressure halves in this time where nothing comes back
-constexpr std::int64_t kGapSamples = 8;       // calls that a rate is averaged over: few, to follow a burst
-constexpr std::int64_t kLatencySamples = 32;  // and their latency: it must not follow a queue as it builds up
-constexpr std::size_t kMaxSentTimes = 4096;   // calls whose sending is remembered
-constexpr double kMaxReplicasForStep =
-    8.0;  // replicas that one's leaving shows at: a rate is within 1/sqrt(8) of true
-constexpr double kSilentGapMultiple = 3.0;  // a silence this many times the usual gap is no longer chance
-constexpr double kInFlightDeviations =
-    1.0;  // deviations of calls out that are put down to chance on a calm day
-constexpr double kShedThreshold =
-    0.1;  // pressure from which the least worth is shed; the scan is in the results
-constexpr double kShedValueSpread = 0.4;  // how much more pressure the class of most worth stands
-constexpr double kShedTransition =
-    0.15;  // over which shedding grows from none to all: a jam must not build up
-constexpr double kSilentShareThreshold =
-    0.15;  // share of calls met with silence from which connections are suspected
-constexpr double kSilentShareRatio =
-    2.0;  // idle connections are closed where they meet this much more silence
-constexpr double kOverdueMultiple =
-    5.0;  // times what a class usually takes: an attempt out for longer is overdue
-constexpr double kMaxCalmPressure = 0.1;  // pressure up to which an overdue attempt is no sign of a queue
-constexpr std::size_t kMaxRingMoves =
-    64;  // places moved one by one at a change; more, and the ring is laid anew
-constexpr std::size_t kMaxScannedServers = 256;  // at servers, for one that is warm
-constexpr std::size_t kMaxPairedCellSize = 128;  // servers of a cell up to which they stand by pairs
+// Fewest servers that an instance uses: two pairs of a cell. Fewer servers are heard of more often.
+constexpr std::size_t kMinSubsetSize = 4;
+// A subset is large enough for each server to have this many calling instances, for an even load.
+constexpr std::size_t kCallersPerServer = 2;
+// Share of overload_multiple that is sent to a cold server; the rest is a margin for chance.
+constexpr double kColdLoadMargin = 0.9;
+constexpr int kColdPrunesPerWarmUp = 32;   // prunings of the list of cold servers per warm_up_time
+constexpr double kHealthGain = 0.3;        // weight of the newest outcome: three in a row dominate
+constexpr Duration kHealthHalfLife = 10s;  // of server statistics: many faults last some tens of seconds
+constexpr double kTieRatio = 0.9;          // servers whose loads are closer than this count as equal
+// A server whose calls all fail looks as loaded as one with ten calls more.
+constexpr double kFailureWeight = 10.0;
+// Added to that for fast errors, when the call is not idempotent and so cannot be retried.
+constexpr double kFastErrorWeight = 100.0;
+// Pressure from which on a free place matters more than the error history of a server.
+constexpr double kMaxAvoidancePressure = 0.3;
+// A call that waited longer than this multiple of its headroom counts as this much.
+constexpr double kMaxPressureSample = 1.5;
+// Weight of the newest call: a single slow one does not cause shedding.
+constexpr double kPressureGain = 0.1;
+constexpr Duration kPressureHalfLife = 1s;  // while no calls complete
+// Completions over which the rate is averaged: few, to follow a burst.
+constexpr std::int64_t kGapSamples = 8;
+// Completions over which the latency is averaged: more, since it must not follow a queue that builds up.
+constexpr std::int64_t kLatencySamples = 32;
+constexpr std::size_t kMaxSentTimes = 4096;  // sends that are remembered
+// Other replicas up to which the loss of one shows in the rate, which is accurate to 1/sqrt(8).
+constexpr double kMaxReplicasForStep = 8.0;
+// A pause of this many mean gaps between completions is no longer chance.
+constexpr double kSilentGapMultiple = 3.0;
+// Standard deviations of the calls in flight that are attributed to chance while there is no queueing.
+constexpr double kInFlightDeviations = 1.0;
+// Pressure from which on the lowest-value class is shed; the scan is in the results.
+constexpr double kShedThreshold = 0.1;
+// How much more pressure the highest-value class tolerates.
+constexpr double kShedValueSpread = 0.4;
+// Pressure range in which shedding grows from none to all: narrow, so that no jam builds up.
+constexpr double kShedTransition = 0.15;
+// Share of unanswered calls from which on idle connections are suspected to be dead.
+constexpr double kSilentShareThreshold = 0.15;
+// Idle connections are closed if calls on them go unanswered this many times as often as on new ones.
+constexpr double kSilentShareRatio = 2.0;
+// An attempt that is in flight for longer than this many mean latencies of its class is overdue.
+constexpr double kOverdueMultiple = 5.0;
+// Pressure up to which an overdue attempt is no sign of a queue.
+constexpr double kMaxCalmPressure = 0.1;
+// Ring entries that a change moves one by one; with more the ring is rebuilt.
+constexpr std::size_t kMaxRingMoves = 64;
+constexpr std::size_t kMaxScannedServers = 256;  // when looking for a warm one
+constexpr std::size_t kMaxPairedCellSize = 128;  // servers up to which a cell is placed on the ring in pairs
 constexpr int kFirstSubscribeDivisor = 2;        // first subscriptions spread over subscribe_interval / this
-constexpr int kSubscribeBackoffDivisor = 10;     // and failed ones wait from subscribe_interval / this on
+constexpr int kSubscribeBackoffDivisor = 10;  // failed subscriptions wait at least subscribe_interval / this
 
-/// What this instance has seen of a class.
+/// What this instance has observed of a request class.
 struct ClassStats {
-    Duration mean_latency{};   // latency of served calls, averaged
-    Duration low_latency{};    // and a low one, which has hardly waited
-    Duration max_time_left{};  // the longest that a client still waited when its call arrived
+    Duration mean_latency{};   // of successful calls, averaged
+    Duration low_latency{};    // low estimate: the latency of a call that hardly waits in a queue
+    Duration max_time_left{};  // longest remaining time that a call had on arrival
 };
 
-/// How much of the time between a call that hardly waits and its aim goes on waiting, over recent calls.
+/// Queueing pressure: moving average of the queueing time of recent calls, as a share of their headroom
+/// (latency target minus latency of a call that hardly waits).
 class Pressure {
   public:
     void add(double waited, Time now) {
         value_ = value(now) + (std::clamp(waited, 0.0, kMaxPressureSample) - value(now)) * kPressureGain;
         at_ = now;
     }
-    /// It fades where nothing is heard: all may have been shed.
+    /// Decays while no calls complete, since all may have been shed.
     double value(Time now) const {
         const double age = ratio(now - at_, kPressureHalfLife);
         return age > 0.5 ? value_ * std::exp2(0.5 - age) : value_;
@@ -96,14 +105,14 @@
     Time at_{};
 };
 
-/// How fast calls go out and come back served.
+/// Rates at which calls are sent and complete successfully.
 class CallRates {
   public:
-    /// `first`: nothing else is out. That time says nothing of how fast calls come back.
+    /// `first`: nothing else is in flight. The idle time before says nothing about the completion rate.
     void record_sent(Time now, bool first) {
         if (first) gap_start_ = now;
         sent_times_.push_back(now);
-        // Until one has come back all are kept: they will then be told by how long that took.
+        // Until the first call completes all are kept: its latency then decides which ones matter.
         while (sent_times_.size() > kMaxSentTimes ||
                (mean_latency_ > Duration{} && now - sent_times_.front() > mean_latency_)) {
             sent_times_.pop_front();
@@ -116,14 +125,14 @@
         mean_gap_ += (gap - mean_gap_) / static_cast<double>(samples_);
         gap_start_ = now;
     }
-    /// How long as many calls as this would take to come back; those that chance may account for don't count.
-    /// `step`: how many times its calls an instance may get at once without more for the servers, as when a
-    /// neighbour drains. Calls that went out faster than others come back then show in what comes back only
-    /// after as long as one usually takes: until then they are due at their own pace, up to that step, or at
-    /// any while too few have come back to tell their pace. Guards against taking a step, or an instance's
-    /// first calls, for servers that have become slow (where it is 1 both are taken for that: a fleet that
-    /// starts under overload tips over). `patience`: a silence that says nothing before any call has come
-    /// back.
+    /// Estimates how long this many calls take to complete, without those that chance accounts for.
+    /// `max_step`: the factor by which the traffic of an instance can rise at once without more load on the
+    /// servers, as when a neighbour drains. After such a step completions lag behind sends by one mean
+    /// latency; until then calls are expected at the rate at which they were sent, but at most max_step times
+    /// the completion rate, or at any rate while too few have completed to know it. Guards against mistaking
+    /// a step, or the first calls of an instance, for servers that became slow. If max_step is 1 both count
+    /// as slow servers, since a fleet that starts under overload would tip over. `grace`: a pause that is
+    /// ignored before the first completion.
     Duration completion_time_of(int calls, double deviations, double max_step, Duration grace,
                                 Time now) const {
         if (samples_ == 0 && max_step > 1.0 && now - gap_start_ <= grace) return Duration{};
@@ -146,53 +155,53 @@
 
     std::int64_t samples_ = 0;
     Time gap_start_{};
-    double mean_gap_ = 0.0;        // between served calls, averaged
-    Duration mean_latency_{};      // latency of served calls of all classes, averaged
-    std::deque<Time> sent_times_;  // in that time
+    double mean_gap_ = 0.0;        // between completions, averaged
+    Duration mean_latency_{};      // of successful calls of all classes, averaged
+    std::deque<Time> sent_times_;  // within the last mean latency
 };
 
-/// An attempt on its way.
+/// An attempt in flight.
 struct InFlightAttempt {
     Time sent_at{};
     std::size_t class_index = 0;
-    Duration mean_latency{};    // how long the class took by then
-    bool body_pending = false;  // its request's last byte has not come: it is no work yet
+    Duration mean_latency{};    // of its class when it was sent
+    bool body_pending = false;  // the request is not complete yet, so that it is no load
 };
 
 struct Server {
     Endpoint listed;
-    std::vector<InFlightAttempt> in_flight;  // own attempts
-    std::vector<Time> idle_since;            // connections that carry nothing, by when that began
-    double latency_ratio = 1.0;              // its latency against what is usual
-    double failure_share = 0.0;              // share of its answers that failed, lately
-    double fast_error_share = 0.0;           // and of errors before the work can have been done
+    std::vector<InFlightAttempt> in_flight;  // attempts of this instance
+    std::vector<Time> idle_since;            // one entry per idle connection, oldest first
+    double latency_ratio = 1.0;              // relative to the mean latency of the class
+    double failure_share = 0.0;              // share of recent calls that failed
+    double fast_error_share = 0.0;           // share that failed too fast to have done the work
     Time updated_at{};
-    Time newest_timely_sent_at{};  // the newest call that it has served without being overdue
-    double warm_up_tokens = 0.0;   // earned by served calls while it is cold
-    std::size_t busy_index = 0;    // its place among the busy, while any of `out` are
-    std::uint64_t ring_key = 0;    // its key in the ring, while it is ready
-    bool in_cold_list = false;     // is among `cold`
+    Time newest_timely_sent_at{};  // send time of the newest call that it served before it was overdue
+    double warm_up_tokens = 0.0;   // earned by successful calls while it is cold
+    std::size_t busy_index = 0;    // index in `busy`, if it has attempts in flight
+    std::uint64_t ring_key = 0;    // key in the ring, if it is ready
+    bool in_cold_list = false;     // is in `cold`
 };
 
 struct Attempt {
-    Endpoint target;  // as listed when it was sent: the list may drop it before its repeat
+    Endpoint target;  // as listed when it was sent: the list may drop it before a retry
     Time sent_at{};
-    Duration idle_time{};  // how long its connection had carried nothing; 0: a new one
+    Duration idle_time{};  // how long its connection was idle before; 0: a new connection
     bool in_flight = true;
-    bool may_have_run = true;  // until its outcome proves that it never ran
+    bool may_have_run = true;  // until its outcome proves that it did not
 };
 
-/// A request this balancer owes an answer, or one answered that still has attempts out.
+/// A request that is owed an answer, or an answered one that still has attempts in flight.
 struct Call {
     Request request;
     std::vector<Attempt> attempts;
     Backoff backoff;
-    bool awaiting_answer = true;  // an answer is owed
-    bool held = false;            // waits for its timer, for a server or for its turn
-    bool retry_paid = false;      // a retry's tokens were taken and it has not been sent yet
-    Time overdue_at{};            // from when on the newest attempt is overdue
-    Time held_until{};  // an earlier timer of this call has outlived its purpose; hosts round within a tick
-    Time key_blocked_until{};  // its key rests: an attempt may have gone on after its outcome
+    bool awaiting_answer = true;
+    bool held = false;         // waits for its timer, for a server or for its turn
+    bool retry_paid = false;   // retry tokens were taken and the retry has not been sent yet
+    Time overdue_at{};         // when the newest attempt becomes overdue
+    Time held_until{};         // tells the current timer from earlier ones; hosts round to a tick
+    Time key_blocked_until{};  // an attempt may have gone on running after its outcome
 };
 
 bool proves_never_ran(Status s) {
@@ -203,7 +212,7 @@
     return s == Status::Timeout || s == Status::Reset || s == Status::Cancelled;
 }
 
-constexpr std::uint64_t kDiscoveryToken = 0;  // every other token is a call's number
+constexpr std::uint64_t kDiscoveryToken = 0;  // all other timer tokens are call numbers
 
 }  // namespace
 
@@ -214,32 +223,33 @@
     AttemptBudgetLimiter attempt_limiter;
     Backoff subscribe_backoff;
     std::map<EndpointId, Server> servers;
-    Ring<Server> ring;                                    // the ready ones, by ring_key_of()
-    std::map<std::uint32_t, std::vector<Server*>> cells;  // the ready ones of each cell, by id
-    std::map<std::uint32_t, std::size_t> zones;           // and how many of each zone
-    bool needs_ring_rebuild = false;  // the ring is to be laid out whole at the end of an update
-    std::vector<Server*> cold;        // those that may still be warming up, in no order
+    Ring<Server> ring;                                    // ready servers, by ring_key_of()
+    std::map<std::uint32_t, std::vector<Server*>> cells;  // ready servers of each cell, by id
+    std::map<std::uint32_t, std::size_t> zones;           // number of ready servers per zone
+    bool needs_ring_rebuild = false;                      // at the end of the current update
+    std::vector<Server*> cold;                            // servers that may still be warming up, unordered
     Time next_cold_prune{};
-    std::vector<EndpointId> removed_ids;  // gone, with attempts out at the last look
-    std::vector<Server*> busy;            // those with attempts out, in no order: a few of a large fleet
-    int total_in_flight = 0;              // of the attempts out, those whose request is here whole
-    std::map<std::uint64_t, Call> calls;  // by number, in order of arrival
-    std::unordered_map<RequestId, std::uint64_t> call_numbers;  // looked up only, never walked
+    std::vector<EndpointId> removed_ids;  // removed from the list, may still have attempts in flight
+    std::vector<Server*> busy;            // servers with attempts in flight, unordered: few in a large fleet
+    int total_in_flight = 0;              // attempts whose request is complete
+    std::map<std::uint64_t, Call> calls;  // by number, which is the order of arrival
+    std::unordered_map<RequestId, std::uint64_t>
+        call_numbers;  // only for lookups: the iteration order is unspecified
     std::uint64_t last_number = kDiscoveryToken;
     std::unordered_map<std::uint64_t, std::deque<std::uint64_t>>
-        key_queues;                      // by key: its calls; the first may go
+        key_queues;                      // call numbers by key; the first one may be sent
     std::set<std::uint64_t> waiting;     // calls that are held and were never sent
-    std::deque<std::uint64_t> sendable;  // calls for which a server or their turn has come in this event
+    std::deque<std::uint64_t> sendable;  // held calls that got a server or their turn in this event
     Time now{};
     std::vector<Action>* actions = nullptr;
 
     std::vector<ClassStats> class_stats;
     Pressure pressure;
     CallRates call_rates;
-    Duration stale_idle_time{};  // connections idle for longer are closed before use; 0: none are
+    Duration stale_idle_time{};  // connections idle for longer are closed before use; 0: off
     Time stale_seen_at{};
     double silent_share_reused = 0.0,
-           silent_share_new = 0.0;  // share met with silence, by the connection's kind
+           silent_share_new = 0.0;  // share of unanswered calls on reused and on new connections
 
     Impl(Settings s, std::uint64_t seed)
         : settings((validate(s), std::move(s))),
@@ -253,7 +263,8 @@
     // ---- discovery --------------------------------------------------------------------------------
 
     void start() {
-        // All instances of a fleet may start at once: a herd of subscriptions would fail them all.
+        // All instances of a fleet may start at once, and discovery could not serve all subscriptions
+        // together.
         if (settings.subscribe)
             subscribe_after(
                 scaled(settings.rules.subscribe_interval, random.unit() / kFirstSubscribeDivisor));
@@ -266,7 +277,7 @@
             if (settings.subscribe) subscribe_after(subscribe_backoff.next(random));
             return;
         }
-        // A whole list is taken in whole; a change costs what it changes.
+        // A full list replaces everything; the cost of a delta depends on its size alone.
         if (update.kind != DiscoveryUpdate::Kind::Delta) {
             for (auto& [id, server] : servers) {
                 if (server.listed.availability == Availability::Gone) continue;
@@ -304,7 +315,7 @@
 
     void apply_endpoint(const Endpoint& listed) {
         Server& server = servers.try_emplace(listed.id, unlisted_server(listed.id)).first->second;
-        // A start that is new: the replicas' first calls to it must not all come at once.
+        // Restarted: random, so that the first calls of all replicas do not arrive at the same time.
         if (server.listed.started != listed.started) server.warm_up_tokens = random.unit();
         const bool was_ready = server.listed.availability == Availability::Ready;
         const bool is_ready = listed.availability == Availability::Ready;
@@ -328,10 +339,10 @@
         return server;
     }
 
-    /// Pairs of one cell stay together, so that a keyed repeat finds a second server of its cell within
-    /// reach; the pairs are shuffled, so that an outage of a zone or cell takes only a part of any reach.
-    /// In a cell of many servers each stands by itself: wherever a call goes a second one of it is near, and
-    /// a change must not move all that were counted behind it.
+    /// Keeps pairs of a cell adjacent, so that the retry of a deduplicated call finds a second server of the
+    /// same cell in the subset, and shuffles the pairs, so that the outage of a zone or cell hits only a part
+    /// of each subset. In a large cell servers are placed one by one: a second server of the cell is always
+    /// near, and a change must not move all servers counted after it.
     static std::uint64_t ring_key_of(const std::vector<Server*>& cell, std::size_t index) {
         const Endpoint& listed = cell[index]->listed;
         if (cell.size() > kMaxPairedCellSize) return Random(~static_cast<std::uint64_t>(listed.id)).next();
@@ -375,12 +386,11 @@
         }
     }
 
-    /// Those of a cell from this index on have been counted on: their pairs, and so their places, may be
-    /// others.
+    /// Updates the ring keys of the members from this index on: the change shifted them to other pairs.
     void update_ring_keys(const std::vector<Server*>& members, std::size_t from, const Server* added) {
-        const bool large = members.size() > kMaxPairedCellSize;  // then only the fresh one is to be placed
+        const bool large = members.size() > kMaxPairedCellSize;  // then only the added one needs a key
         const std::size_t end = !large ? members.size() : added ? from + 1 : from;
-        if (end - from > kMaxRingMoves) needs_ring_rebuild = true;  // cheaper whole
+        if (end - from > kMaxRingMoves) needs_ring_rebuild = true;  // a rebuild is cheaper
         for (std::size_t i = from; i < end && !needs_ring_rebuild; ++i) {
             Server& server = *members[i];
             const std::uint64_t ring_key = ring_key_of(members, i);
@@ -393,7 +403,7 @@
 
     // ---- picking ----------------------------------------------------------------------------------
 
-    /// The share of its capacity that a server has by now, by the slowest growth the rules allow.
+    /// Share of its full capacity that a server has now, assuming the slowest warm-up that the rules allow.
     double warm_up_share(const Server& server) const {
         if (!server.listed.started || settings.rules.warm_up_time <= Duration{}) return 1.0;
         const double age = ratio(now - *server.listed.started, settings.rules.warm_up_time);
@@ -401,7 +411,7 @@
         return from + (1.0 - from) * std::clamp(age, 0.0, 1.0);
     }
 
-    /// Whether the class lets this call go to this server: an effect must not happen twice.
+    /// Whether this call may be sent to this server without the risk of a second execution.
     bool may_send_to(const Call& call, const Server& server) const {
         const RequestClass& rules = settings.classes[call.request.class_index];
         if (rules.idempotency == Idempotency::Idempotent) return true;
@@ -417,28 +427,28 @@
         return true;
     }
 
-    /// Whether an earlier attempt, which may have run, leaves the call to some servers only, or to none.
+    /// Whether an earlier attempt that may have run limits the servers that may get this call.
     bool is_restricted(const Call& call) const {
         return settings.classes[call.request.class_index].idempotency != Idempotency::Idempotent &&
                std::any_of(call.attempts.begin(), call.attempts.end(),
                            [](auto& a) { return a.may_have_run; });
     }
 
-    /// How many servers this instance spreads its calls over. Guards against a fleet whose replicas together
-    /// hold more connections than the servers accept; a busy instance reaches further, so that a hot one
-    /// does not crowd a few servers.
+    /// Number of servers that this instance spreads its calls over. Guards against replicas that together
+    /// open more connections than the servers accept. It grows with the calls in flight, so that a busy
+    /// instance does not overload a few servers.
     std::size_t subset_size() const {
         const std::size_t even = kCallersPerServer * ring.size() / settings.replicas;
         return std::max(
             {kMinSubsetSize, even, static_cast<std::size_t>(total_in_flight - presumed_lost_count())});
     }
 
-    /// The ready servers in this instance's own order: replicas start evenly spread around the ring.
+    /// Start of this instance's subset on the ring: the replicas are evenly spread.
     std::size_t ring_start() const {
         return settings.position % settings.replicas * ring.size() / settings.replicas;
     }
     Server& server_at(std::size_t i) { return ring[(ring_start() + i) % ring.size()]; }
-    /// Where a ready server stands in that order.
+    /// Offset of a ready server from there.
     std::size_t ring_offset(const Server& server) const {
         return (ring.rank(server.ring_key, server.listed.id) + ring.size() - ring_start()) % ring.size();
     }
@@ -452,8 +462,8 @@
                            [&](const Attempt& a) { return a.target.id == server.listed.id; });
     }
 
-    /// Drops those that are warm, or have gone, from the list of the cold. Whoever walks it passes them over,
-    /// so that now and then is enough: with thousands warming up it must not be walked at each pick.
+    /// Removes warm and gone servers from the list of cold ones. Readers skip such servers, so this is only
+    /// done now and then: with thousands of servers warming up the list must not be walked for each pick.
     void prune_cold() {
         if (now < next_cold_prune) return;
         next_cold_prune = now + settings.rules.warm_up_time / kColdPrunesPerWarmUp;
@@ -464,8 +474,8 @@
         });
     }
 
-    /// Calls `what` with each ready server that may be cold and stands among the first `wanted`, and with
-    /// where it stands; walks those or the cold ones, whichever are fewer.
+    /// Calls `visit` with each ready server among the first `candidates` that may be cold, and with its
+    /// offset. Walks either those servers or the cold ones, whichever are fewer.
     template <typename Visit>
     void for_each_cold(std::size_t candidates, Visit visit) {
         if (cold.size() > candidates) {
@@ -480,13 +490,12 @@
         }
     }
 
-    /// The less loaded of two random ready servers within reach; a retry goes elsewhere where it can.
+    /// Picks the less loaded of two random ready servers of the subset; retries prefer servers not tried yet.
     Server* pick_server(const Call& call) {
         if (ring.empty()) return nullptr;
         const std::size_t candidates = std::min(subset_size(), ring.size());
         if (is_restricted(call)) return pick_by_scan(call, candidates);
-        // All within reach but those that are cold or were tried: counted out by where they stand, not by a
-        // look at each of the others.
+        // Excludes throttled and tried servers by their offsets, so as not to look at every other server.
         std::vector<std::size_t> excluded;
         prune_cold();
         for_each_cold(candidates, [&](const Server& server, std::size_t i) {
@@ -506,12 +515,10 @@
         });
     }
 
-    /// The same by a look at each: for calls that not every server may get, and where none within reach will
-    /// do.
+    /// Same by looking at each server: for restricted calls, and if all servers of the subset are excluded.
     Server* pick_by_scan(const Call& call, std::size_t candidates) {
         std::vector<Server*> untried, tried, throttled;
-        // In a large fleet that is cold as a whole there is none to be found. A bound call's few may be
-        // anywhere.
+        // A large fleet may be cold as a whole. The few servers of a restricted call may be anywhere.
         const std::size_t max_scanned = is_restricted(call)
                                             ? ring.size()
                                             : std::min(ring.size(), std::max(candidates, kMaxScannedServers));
@@ -524,7 +531,8 @@
             }
             (tried_by(call, server) ? tried : untried).push_back(&server);
         }
-        // Where only cold servers are left they must serve: a call held back until its end is lost for sure.
+        // If only cold servers are left they must serve: a call that is held until its deadline is lost for
+        // sure.
         std::vector<Server*>& from = !untried.empty() ? untried : tried.empty() ? throttled : tried;
         return less_loaded(call, from.size(), [&](std::size_t i) { return from[i]; });
     }
@@ -536,10 +544,10 @@
         if (count == 1) return nth(first);
         std::size_t second = random.below(count - 1);
         if (second >= first) ++second;
-        // Near enough is a tie, left to the draw: a server out of favour is heard of again once its view has
-        // faded.
+        // Nearly equal loads are left to the random draw, so that a server gets calls again once its bad
+        // record fades.
         Server *a = nth(first), *b = nth(second);
-        // Guards against failing a call for good for the sake of a shorter wait.
+        // Guards against a final failure of a call that cannot be retried, for the sake of a shorter queue.
         double fast_error_weight = 0.0;
         const Idempotency idempotency = settings.classes[call.request.class_index].idempotency;
         if (idempotency == Idempotency::NonIdempotent) {
@@ -559,7 +567,8 @@
         if (request.tenant && *request.tenant >= settings.tenants.size()) {
             throw std::invalid_argument("tenant out of range");
         }
-        if (call_numbers.contains(request.id)) return;  // still held: it is owed one answer, not two
+        if (call_numbers.contains(request.id))
+            return;  // duplicate of a pending request: it gets one answer, not two
         const std::uint64_t number = ++last_number;
         call_numbers[request.id] = number;
         calls[number].request = request;
@@ -578,16 +587,17 @@
         return request.key && settings.classes[request.class_index].sequential;
     }
 
-    /// Whether the calls before it with its key are over and done. One that waits for a retry keeps the turn:
-    /// its worth is no less than that of those behind it, and they may not overtake it.
+    /// Whether all earlier calls with the same key are over. A call that waits for its retry keeps its turn:
+    /// it is worth no less than those behind it, and they may not overtake it.
     bool is_next_for_key(std::uint64_t number, const Call& call) const {
         if (!is_ordered(call.request)) return true;
-        const auto queue = key_queues.find(*call.request.key);  // a call declined on arrival is in none
+        const auto queue = key_queues.find(*call.request.key);  // empty for a call that was shed on arrival
         return queue != key_queues.end() && queue->second.front() == number;
     }
 
-    /// Until when a call that was never sent may wait: for its turn, while its answer would still be worth
-    /// something, so that a stuck key does not send what nobody wants any more; else for a server.
+    /// Latest time to send a call that is held. One that waits for its turn is dropped once its response
+    /// would be worthless, so that a stuck key sends no useless calls; one that waits for a server is held to
+    /// the end.
     Time latest_send_time(std::uint64_t number, const Call& call) const {
         const Time end = call.request.deadline - kDeadlineBuffer;
         if (is_next_for_key(number, call)) return end;
@@ -595,7 +605,8 @@
             end, now + useful_time_left(call.request) - class_stats[call.request.class_index].mean_latency);
     }
 
-    /// A call that is over, with every attempt's outcome in, makes way; the next may go in this very event.
+    /// Called once a call is over and all its attempts have ended. The next one may be sent in the same
+    /// event.
     void leave_key_queue(std::uint64_t number, const Request& request) {
         const auto it = is_ordered(request) ? key_queues.find(*request.key) : key_queues.end();
         if (it == key_queues.end()) return;
@@ -607,7 +618,7 @@
         }
     }
 
-    /// Sends those for which a server or their turn has come.
+    /// Sends the held calls for which a server or their turn has come.
     void send_waiting_calls() {
         for (; !sendable.empty(); sendable.pop_front()) {
             const auto it = calls.find(sendable.front());
@@ -617,13 +628,13 @@
 
     // ---- the life of a request --------------------------------------------------------------------
 
-    /// Whether even a call that hardly waits would come too late to be worth anything. Guards against jams in
-    /// which servers work on what nobody wants any more. Above the last tier a slot is held meanwhile.
+    /// Whether even a fast call would be too late to be worth anything. Guards against jams in which servers
+    /// work on responses that nobody needs any more, while slots of the tiers above are held.
     bool is_too_late(const Request& request) const {
         return useful_time_left(request) < class_stats[request.class_index].mean_latency;
     }
 
-    /// How long an answer is still worth something.
+    /// How long a response is still worth something.
     Duration useful_time_left(const Request& request) const {
         const RequestClass& rules = settings.classes[request.class_index];
         const Duration past = rules.late_worth > 0.0
@@ -646,8 +657,9 @@
         const double from = kShedThreshold + kShedValueSpread * value;
         const ClassStats& stats = class_stats[request.class_index];
         const Duration headroom = settings.classes[request.class_index].latency_target - stats.low_latency;
-        // A few calls out tell nothing while work is merely uneven; once calls are seen to wait, the count is
-        // the earlier sign. Guards against jams that show too late in a few answers a second.
+        // A few calls in flight mean nothing while calls are merely uneven. Once calls are seen to queue, the
+        // number in flight is the earlier sign. Guards against jams that show too late at a few responses per
+        // second.
         const double current_pressure = pressure.value(now),
                      calm = 1.0 - current_pressure / (kShedThreshold + kShedValueSpread);
         const Duration completion_time = call_rates.completion_time_of(
@@ -658,31 +670,31 @@
         return random.unit() * kShedTransition < std::max(current_pressure, expected_wait) - from;
     }
 
-    /// How many times its calls an instance gets when one of its replicas leaves. Among many that is less
-    /// than what the estimate moves by itself.
+    /// Factor by which the traffic of this instance rises when one replica leaves. Among many replicas it is
+    /// below the noise of the estimate.
     double replica_loss_step() const {
         const double others = settings.replicas - 1.0;
         return others < 1.0 || others > kMaxReplicasForStep ? 1.0 : (others + 1.0) / others;
     }
 
-    /// How long an attempt is out before it is overdue.
+    /// Time after which an attempt is overdue.
     Duration overdue_after(std::size_t class_index) const {
         const Duration mean_latency = class_stats[class_index].mean_latency;
         if (mean_latency == Duration{})
-            return settings.classes[class_index].latency_target / 2;  // the rest is for the second
+            return settings.classes[class_index].latency_target / 2;  // the rest is left for a second attempt
         return std::max(scaled(mean_latency, kOverdueMultiple),
-                        kBackoffBase);  // sooner than a retry would come saves nothing
+                        kBackoffBase);  // the minimum time to a retry: less would save nothing
     }
 
-    /// Whether an attempt waits alone: it is overdue, and its server has served a later one quickly. Guards
-    /// against taking what will never be answered (a connection that fell silent, an answer that stops short,
-    /// a call that the server lost) for a queue, and refusing good work for it: in a queue all wait, and what
-    /// is usual grows with it. It does harm where a server serves the newest first, or most of its calls
-    /// quickly and hardly ever some: their queue is overlooked.
+    /// Whether an attempt is presumed lost: it is overdue, and its server has served a later one in time.
+    /// Guards against mistaking calls that will never be answered (a dead connection, a truncated response, a
+    /// call that the server lost) for a queue and shedding good work: in a queue all calls wait, and the mean
+    /// latency grows. Fails with servers that serve the newest call first, or that serve most calls fast and
+    /// some hardly ever: their queue is overlooked.
     bool presumed_lost(const Server& server, Time sent_at, std::size_t class_index) const {
         return server.newest_timely_sent_at > sent_at && now - sent_at > overdue_after(class_index);
     }
-    /// How many wait alone. Where calls are seen to wait they count like any other.
+    /// Number of attempts presumed lost. Under queueing pressure they count like any others, so it is 0.
     int presumed_lost_count() const {
         if (pressure.value(now) > kMaxCalmPressure) return 0;
         std::ptrdiff_t count = 0;
@@ -711,16 +723,16 @@
         server.latency_ratio = 1.0 + (server.latency_ratio - 1.0) * decay;
         server.failure_share *= decay;
         server.fast_error_share *= decay;
-        // One that waited alone was lost, for which its server is not slow.
+        // An attempt that was lost says nothing about the speed of its server.
         if (!lost && (answered || ended || outcome.status == Status::Timeout) &&
             stats.mean_latency > Duration{}) {
             server.latency_ratio +=
                 (ratio(outcome.latency, stats.mean_latency) - server.latency_ratio) * kHealthGain;
         }
-        // One that was ended here for being overdue has been slow until then; nothing has failed.
+        // A call cancelled here for being overdue was slow up to then, but it did not fail.
         if (!ended) {
             server.failure_share += ((answered ? 0.0 : 1.0) - server.failure_share) * kHealthGain;
-            // Sooner than the work can have been done: its own failure, and not that of a tier below it.
+            // Too fast for the work to have been done: the server's own failure, not that of a tier below.
             const bool own = outcome.status == Status::Error && outcome.latency < stats.low_latency / 2;
             server.fast_error_share += ((own ? 1.0 : 0.0) - server.fast_error_share) * kHealthGain;
         }
@@ -731,15 +743,15 @@
         return std::exp2(-ratio(now - server.updated_at, kHealthHalfLife));
     }
 
-    /// What the comparison goes by: own calls in flight, weighed by the told size and what was seen lately.
-    /// `once`: what errors weigh besides, to a call that may not go again. `asks`: the call can go again
-    /// without harm, and may find out whether a server stands still or a single call to it was lost: nothing
-    /// else would, since a server that is avoided serves nothing that could show it.
+    /// Load of a server: own calls in flight over its configured weight, scaled by its recent latency and
+    /// failures. `fast_error_weight`: extra weight of errors for calls that cannot be retried. `may_probe`:
+    /// the call can be retried, so it may find out whether a server hangs or only lost one call. Nothing else
+    /// would tell, since a server that is avoided serves no calls.
     double load(const Server& server, double fast_error_weight, bool may_probe) const {
         const double decay = health_decay(server);
         double latency_ratio = 1.0 + (server.latency_ratio - 1.0) * decay;
-        // A call that is overdue tells as much as one that came back late. Guards against a server that
-        // stands still, vanished or lost its connections unseen: it gives no answers to go by.
+        // An overdue call counts like a late response. Guards against servers that hang, vanished or lost
+        // their connections unnoticed: they send no responses to judge by.
         const bool doubtful = may_probe && server.in_flight.size() == 1;
         for (const InFlightAttempt& sent : server.in_flight) {
             if (sent.mean_latency == Duration{} || presumed_lost(server, sent.sent_at, sent.class_index))
@@ -760,9 +772,9 @@
         const std::size_t index = call.request.class_index;
         const RequestClass& rules = settings.classes[index];
         ClassStats& stats = class_stats[index];
-        // Nothing went out, or it was turned away: by a moment's crowd of few places, a full table of
-        // connections or a drain that is not listed yet. Guards against a fleet that takes chance meetings
-        // at servers with one place for bad servers and for a queue, and refuses good work for it.
+        // Nothing was sent, or the server rejected it: because of a short peak at a small server, a full
+        // connection table, or a drain that is not listed yet. Guards against taking chance collisions at
+        // servers with a concurrency of one for bad servers or a queue, and shedding good work.
         if (outcome.status == Status::NotSent || outcome.status == Status::Rejected) return;
         bool counts_for_pressure = true;
         if (const auto server = servers.find(outcome.endpoint); server != servers.end()) {
@@ -807,8 +819,8 @@
                 {now, index, body_pending ? Duration{} : class_stats[index].mean_latency, body_pending});
             if (!body_pending) count_in_flight();
             call.attempts.push_back({server->listed, now, take_connection(*server)});
-            // Between tiers given up once the answer is worth nothing: a silent server must not hold the slot
-            // of the tier above. At the first tier that would only bring the client back sooner.
+            // Inner tiers time out once the response is worth nothing: a silent server must not hold the slot
+            // of the tier above. At the first tier this would only make the client come back sooner.
             Duration limit{};
             if (settings.tier > 0) limit = std::max(useful_time_left(call.request), settings.tick);
             actions->push_back(Send{call.request.id, server->listed.id, limit});
@@ -827,8 +839,8 @@
         actions->push_back(SetTimer{call.overdue_at, number});
     }
 
-    /// From here on its attempt counts like one sent now. Guards against taking the time that a client needs
-    /// to send its body for an endpoint's.
+    /// From here on the attempt counts as sent now. Guards against taking the time that a client needs to
+    /// upload its body for latency of the endpoint.
     void on(const BodyReceived& received) {
         const auto known = call_numbers.find(received.id);
         if (known == call_numbers.end()) return;
@@ -855,9 +867,10 @@
 
     // ---- connections and silence ------------------------------------------------------------------
 
-    /// How long the connection taken has been idle. The host takes the one used last, as is the custom.
-    /// Guards against connections that something on the way dropped unseen: one idle for longer than what was
-    /// met with silence lately is given up before it is used. The memory fades by doubling.
+    /// Returns how long the chosen connection was idle, 0 for a new one. Hosts usually take the most recently
+    /// used one. Guards against connections that were dropped unnoticed on the way: a connection that was
+    /// idle for longer than one that recently went unanswered is closed before use. That limit doubles with
+    /// each half-life.
     Duration take_connection(Server& server) {
         if (stale_idle_time > Duration{}) {
             const Duration stale =
@@ -874,8 +887,8 @@
         return idle;
     }
 
-    /// A call met with silence may never have arrived. Where calls on fresh connections meet as much, it is
-    /// not the connections: closing them would only cost handshakes.
+    /// An unanswered call may never have arrived. If calls on new connections go unanswered as often, the
+    /// connections are not the cause, and closing them would only cost handshakes.
     void record_silence(const Attempt& attempt, bool silent) {
         double& share = attempt.idle_time > Duration{} ? silent_share_reused : silent_share_new;
         share += ((silent ? 1.0 : 0.0) - share) * kPressureGain;
@@ -907,17 +920,16 @@
         }
     }
 
-    /// Ends an attempt that is out for too long, where another may still come back in time; its outcome
-    /// brings the retry. Guards against waiting until the deadline for whatever never answers. Two bounds
-    /// keep it from adding work where all is slow: it acts only while calls hardly wait, and the retry's
-    /// tokens are taken first. It does harm where the answer was about to come: a class of very uneven calls
-    /// pays twice.
+    /// Cancels an attempt that is overdue if another one can still be in time; its outcome then triggers the
+    /// retry. Guards against waiting until the deadline for a response that never comes. Adds no load where
+    /// everything is slow: it acts only without queueing pressure, and takes the retry tokens first. Costs
+    /// twice for classes with very uneven calls, if the response was about to come.
     void cancel_overdue(Call& call) {
         const auto newest = call.attempts.size() - 1;
         if (!call.attempts[newest].in_flight || call.request.body_pending ||
             pressure.value(now) > kMaxCalmPressure)
             return;
-        // Nobody waits for the others any more: they may end, whether or not they could go again.
+        // Nobody waits for attempts of a closed call: they may be cancelled, idempotent or not.
         if (call.awaiting_answer) {
             const Duration mean_latency = class_stats[call.request.class_index].mean_latency;
             const bool in_time = useful_time_left(call.request) > mean_latency + kDeadlineBuffer;
@@ -964,8 +976,9 @@
         }
     }
 
-    /// Served calls earn what a cold server may be sent: the share that it can do of what each server within
-    /// reach serves. Guards against pushing it over: it always looks idle, above all while the rest are full.
+    /// Successful calls earn the calls that a cold server may get: the share of its capacity that it has, of
+    /// what each server of the subset serves. Guards against overloading it: it always looks idle, above all
+    /// when others are full.
     void grant_warm_up_tokens() {
         if (cold.empty()) return;
         const std::size_t candidates = std::min(subset_size(), ring.size());
@@ -987,11 +1000,11 @@
         hold(number, call, now + std::min(call.backoff.next(random), left));
     }
 
-    /// Whether any server at all could still get this call.
+    /// Whether there is any server at all that may still get this call.
     bool may_retry(const Call& call) const {
         if (!is_restricted(call)) return !ring.empty();
         const RequestClass& rules = settings.classes[call.request.class_index];
-        const Endpoint* where = nullptr;  // of an attempt that may have run: the others must agree with it
+        const Endpoint* where = nullptr;  // target of an attempt that may have run; all others must match it
         for (const Attempt& attempt : call.attempts) {
             if (!attempt.may_have_run) continue;
             if (rules.idempotency == Idempotency::NonIdempotent ||
@@ -1033,7 +1046,7 @@
         return std::any_of(call.attempts.begin(), call.attempts.end(), [](auto& a) { return a.in_flight; });
     }
 
-    /// Attempts may be out after the answer; the call is kept until the last of them ends.
+    /// Attempts may be in flight after the answer; the call is kept until the last of them has ended.
     void erase_if_over(std::uint64_t number) {
         const auto it = calls.find(number);
         Call& call = it->second;
--- a/src/policy/settings.cpp
+++ b/src/policy/settings.cpp
@@ -1,4 +1,4 @@
-// Rejects settings that make no sense, before a balancer is built on them. No decisions.
+// Validation of the settings. Contains no decisions.
 #include <cmath>
 #include <stdexcept>
 
@@ -11,18 +11,19 @@
     if (!holds) throw std::invalid_argument("decision library: settings field '" + field + "' " + rule);
 }
 void check_duration(Duration value, const std::string& field) {
-    require(value >= Duration{}, field, "is a negative span");
+    require(value >= Duration{}, field, "is negative");
 }
 void check_share(double value, const std::string& field) {
-    require(value >= 0.0 && value <= 1.0, field, "is not a share from 0 to 1");
+    require(value >= 0.0 && value <= 1.0, field, "is not between 0 and 1");
 }
 void check_amount(double value, const std::string& field) {
-    require(std::isfinite(value) && value >= 0.0, field, "is not a number of 0 or more");
+    require(std::isfinite(value) && value >= 0.0, field, "is not a finite number of at least 0");
 }
 
 }  // namespace
 
-// A position past the replicas is let pass: an instance that replaces another may be numbered on.
+// A position beyond the number of replicas is allowed: an instance that replaces another may get the next
+// number.
 void validate(const Settings& s) {
     require(s.replicas > 0, "replicas", "is zero");
     require(s.zones > 0, "zones", "is zero");
--- a/src/subset/subset.cpp
+++ b/src/subset/subset.cpp
@@ -17,12 +17,12 @@
 
 namespace {
 
-/// A member's place on the ring of this number: the same at every sidecar.
+/// Position of a member on this ring. It is the same at every sidecar.
 std::uint64_t hash(EndpointId id, std::uint64_t ring) {
     return Random(static_cast<std::uint64_t>(id) ^ (ring << 32) ^ ring * 0x9e3779b97f4a7c15u).next();
 }
 
-/// All members in the order of one ring.
+/// Indices of all members in ring order.
 std::vector<std::size_t> ring_order(const std::vector<EndpointId>& members, std::uint64_t ring) {
     std::vector<std::pair<std::uint64_t, std::size_t>> order;
     order.reserve(members.size());
@@ -40,7 +40,7 @@
     return result;
 }
 
-/// Rank at this share of the way round.
+/// Rank at this fraction of the ring.
 std::size_t rank_at(double share, std::size_t count) {
     return std::min(count - 1, static_cast<std::size_t>(share * static_cast<double>(count)));
 }
@@ -55,7 +55,7 @@
     return window(shuffled, params.position % subsets * width, width);
 }
 
-/// Whoever its share of the ring touches; the share begins where the one before it ends.
+/// All members that the sidecar's share of the ring touches. Each share starts where the previous one ends.
 std::vector<std::size_t> aperture(const std::vector<EndpointId>& members, const SubsetParams& params,
                                   std::size_t width) {
     const auto count = static_cast<double>(members.size());
@@ -66,7 +66,7 @@
     return window(ring_order(members, 0), first, std::min(members.size(), last - first));
 }
 
-/// The sequence 0, 1/2, 1/4, 3/4, 1/8 ...: however many of its points are taken, they lie about evenly.
+/// The van der Corput sequence 0, 1/2, 1/4, 3/4, 1/8 ...: every prefix of it is about evenly spread.
 double van_der_corput(std::uint32_t n) {
     double value = 0.0;
     for (double step = 0.5; n > 0; n >>= 1, step /= 2.0) value += (n & 1u) * step;
@@ -75,8 +75,8 @@
 
 std::vector<std::size_t> lots(const std::vector<EndpointId>& members, const SubsetParams& params,
                               std::size_t width) {
-    // Rounded up, so that a lot reaches everybody. A power of two, so that the points of a whole lot are
-    // exactly even and a lot keeps its size while the tier changes little.
+    // Rounded up, so that a lot covers all members. A power of two, so that the points of a full lot are
+    // exactly even and small changes of the tier don't change the size of a lot.
     const auto size =
         static_cast<std::uint32_t>(std::bit_ceil(std::max<std::size_t>(1, members.size() / width)));
     const auto ring = ring_order(members, params.position / size + 1);
@@ -90,13 +90,14 @@
     if (name == "rounds") return Method::Rounds;
     if (name == "aperture") return Method::Aperture;
     if (name == "lots") return Method::Lots;
-    throw std::invalid_argument("'" + std::string(name) + "' is none of window, rounds, aperture, lots");
+    throw std::invalid_argument("'" + std::string(name) +
+                                "' is not a subset method: window, rounds, aperture, lots");
 }
 
 std::vector<std::size_t> choose(Method method, const std::vector<EndpointId>& members,
                                 const SubsetParams& params) {
-    if (params.replicas == 0) throw std::invalid_argument("replicas is 0");
-    if (params.width == 0) throw std::invalid_argument("width is 0");
+    if (params.replicas == 0) throw std::invalid_argument("replicas must not be 0");
+    if (params.width == 0) throw std::invalid_argument("width must not be 0");
     SubsetParams wrapped = params;
     wrapped.position %= wrapped.replicas;
     const std::size_t width = std::min(params.width, members.size());
--- a/src/subset/subset_policy.cpp
+++ b/src/subset/subset_policy.cpp
@@ -12,14 +12,14 @@
 
 namespace {
 
-constexpr Duration kEvaluationPeriod = 1s;     // of a look back
-constexpr Duration kCalmTime = 10s;            // without trouble before the width goes back
-constexpr double kMaxFailureShare = 0.3;       // of the outcomes: the subset fails
-constexpr double kMaxCalmFailureShare = 0.05;  // up to which it is calm
-constexpr std::size_t kMinOutcomes = 5;        // outcomes that say something
-
-/// splitmix64's last steps, which no two numbers share: ids are hashes already, but those of like names are
-/// near one another.
+constexpr Duration kEvaluationPeriod = 1s;     // at its end the width may change
+constexpr Duration kCalmTime = 10s;            // without failures or crowding before the width shrinks
+constexpr double kMaxFailureShare = 0.3;       // above this share of failed outcomes the subset widens
+constexpr double kMaxCalmFailureShare = 0.05;  // up to this share of failures a period is calm
+constexpr std::size_t kMinOutcomes = 5;        // with fewer outcomes it does not
+
+/// The finalizer of splitmix64, which is a bijection. Ids are hashes already, but those of similar names are
+/// close to one another.
 std::uint64_t hash_of(EndpointId id) {
     std::uint64_t z = static_cast<std::uint64_t>(id) + 0x9e3779b97f4a7c15u;
     z = (z ^ (z >> 30)) * 0xbf58476d1ce4e5b9u;
@@ -59,10 +59,10 @@
       options_(options),
       width_(options.width),
       grown_(counters.counter("subset.grown", "times the subset was widened")),
-      shrunk_(counters.counter("subset.shrunk", "times it went back")),
-      added_(counters.counter("subset.moved", "endpoints that newly came into the subset")) {
+      shrunk_(counters.counter("subset.shrunk", "times the subset was narrowed")),
+      added_(counters.counter("subset.moved", "endpoints added to the subset")) {
     if (options.width == 0 || options.max_width < options.width) {
-        throw std::invalid_argument("subset: the width must be at least 1 and no more than the most");
+        throw std::invalid_argument("subset: the width must be at least 1 and at most the maximum width");
     }
 }
 
@@ -83,7 +83,7 @@
 }
 
 void SubsetPolicy::handle(Time now, const Event& event, std::vector<Action>& out) {
-    const std::size_t first_new = out.size();  // what a wider subset lets out counts, too
+    const std::size_t first_new = out.size();  // sends that a wider subset causes count, too
     if (now >= period_end_) evaluate_period(now, out);
     if (const auto* update = std::get_if<DiscoveryUpdate>(&event);
         update && update->kind != DiscoveryUpdate::Kind::Failed) {
@@ -97,8 +97,8 @@
             case Status::Ok:
                 ++successes_;
                 break;
-            case Status::Cancelled:  // the module's own doing
-            case Status::NotSent:    // nothing went out
+            case Status::Cancelled:  // cancelled by the module
+            case Status::NotSent:    // nothing was sent
                 break;
             default:
                 ++failures_;
@@ -110,7 +110,7 @@
     max_in_flight_ = std::max(max_in_flight_, in_flight_);
 }
 
-/// The window of the width, near ones first.
+/// Selects the current window, with endpoints of the own zone first.
 void SubsetPolicy::select() {
     const std::size_t all = near_.size() + far_.size();
     const std::size_t width = std::min(width_, all);
@@ -134,7 +134,7 @@
     std::sort(selected_.begin(), selected_.end());
 }
 
-/// What the module must hear so that it knows the chosen ones, and those that it knew and that drain.
+/// Adds the changes that bring the module to the selected endpoints. Known ones that drain are kept.
 void SubsetPolicy::apply_selection(EndpointList& changes, std::vector<Action>& out) {
     std::vector<EndpointId> dropped;
     for (const auto& [id, endpoint] : forwarded_) {
@@ -173,7 +173,7 @@
                 members_.insert_or_assign(entry.id, entry);
                 if (entry.availability == Availability::Ready) zone_order(entry).insert(entry.id);
             }
-            // What the module knows changes as it is told.
+            // Changes of endpoints that the module knows are forwarded.
             if (const auto forwarded = forwarded_.find(entry.id); forwarded != forwarded_.end()) {
                 filtered->push_back(entry);
                 if (entry.availability == Availability::Gone) {
@@ -183,7 +183,7 @@
                 }
             }
         }
-        // Most changes of a large tier are of no concern here.
+        // Most changes of a large tier don't affect this subset.
         const auto previous = selected_;
         select();
         if (selected_ != previous || !filtered->empty()) apply_selection(*filtered, out);
@@ -199,7 +199,7 @@
     near_.assign(std::move(near));
     far_.assign(std::move(far));
     select();
-    // The module replaces its list by this one: the chosen, and what it knew that drains.
+    // The module replaces its list by this one: the selected endpoints and known ones that drain.
     std::vector<EndpointId> draining;
     for (const auto& [id, endpoint] : forwarded_) {
         const auto listed = members_.find(id);
--- a/tests/assembly/features_test.cpp
+++ b/tests/assembly/features_test.cpp
@@ -68,10 +68,10 @@
 };
 class WrongFeatures : public ::testing::TestWithParam<Wrong> {};
 
-TEST_P(WrongFeatures, GiveOneLineWithFileLineAndField) {
+TEST_P(WrongFeatures, GiveOneLineWithFilePositionAndField) {
     try {
         read_features(GetParam().text, "own.toml");
-        FAIL() << "was read";
+        FAIL() << "accepted invalid text";
     } catch (const TomlError& error) {
         EXPECT_EQ(std::string(error.what()), GetParam().line);
     }
@@ -86,21 +86,21 @@
         Wrong{"[outliers]\neject_for = 30\n",
               "own.toml:2:13: 'eject_for' must be a time with its unit, such as \"300ms\""},
         Wrong{"[fleet]\nname = \"a b\"\nlisten = \"127.0.0.1:1\"\n",
-              "own.toml:2:8: 'name' must have 1 to 64 bytes and no blanks"},
+              "own.toml:2:8: 'name' must have 1 to 64 bytes and no whitespace"},
         Wrong{"[fleet]\nname = \"a\"\nlisten = \"here\"\n",
               "own.toml:3:10: 'listen' must be an address such as \"10.0.0.4:7400\""},
         Wrong{"[fleet]\nname = \"a\"\nlisten = \"127.0.0.1:1\"\nseeds = [\"x\"]\n",
               "own.toml:4:10: each of 'seeds' must be an address such as \"10.0.0.4:7400\""},
         Wrong{"[fleet]\nname = \"a\"\nlisten = \"127.0.0.1:1\"\nstall = \"2m\"\n",
-              "own.toml:1:1: 'stall' is over 60s: nobody would be missed"},
+              "own.toml:1:1: 'stall' must be at most 60s: no failed member would be noticed"},
         Wrong{"[ledger]\n", "own.toml:1:1: 'directory' is missing in [ledger]"},
         Wrong{"[ledger]\ndirectory = \"/d\"\nlevel = \"safe\"\n",
               "own.toml:3:9: 'level' must be one of \"off\", \"async\", \"group\", \"sync\""},
         Wrong{"[ledger]\ndirectory = \"/d\"\nhold = \"11s\"\n",
-              "own.toml:1:1: 'hold' is over 10s: no request waits for so long"},
+              "own.toml:1:1: 'hold' must be at most 10s: no request waits longer"},
         Wrong{
             "[ledger]\ndirectory = \"/d\"\n[[ledger.class]]\nname = \"a\"\n[[ledger.class]]\nname = \"a\"\n",
-            "own.toml:5:1: class 'a' stands twice"},
+            "own.toml:5:1: duplicate class 'a'"},
         Wrong{"subset = 3\n", "own.toml:1:10: 'subset' must be a table"},
         Wrong{"[membership]\ndoubt_above = 2\n",
               "own.toml:2:15: 'doubt_above' must be a number from 0.1 to 1"}));
--- a/tests/consumer/consumer.cpp
+++ b/tests/consumer/consumer.cpp
@@ -1,4 +1,4 @@
-// Builds against the installed package alone and gets one decision out of it.
+// Builds against the installed package only, and gets one decision from the library.
 #include <martenford/decision/balancer.h>
 
 #include <iostream>
