--- a/src/assembly/features.cpp
+++ b/src/assembly/features.cpp
@@ -17,22 +17,22 @@
 
 subset::Options read_subset(Table& from) {
     subset::Options result;
-    from.whole("width", result.width, 1, kMaxWidth);
+    from.integer("width", result.width, 1, kMaxWidth);
     result.max_width = std::min<std::size_t>(result.width * 8, kMaxWidth);
-    from.whole("most_width", result.max_width, 1, kMaxWidth);
+    from.integer("most_width", result.max_width, 1, kMaxWidth);
     if (result.max_width < result.width) from.fail("'most_width' is less than 'width'");
-    from.end();
+    from.reject_unknown_fields();
     return result;
 }
 
 outlier::Options read_outliers(Table& from) {
     outlier::Options result;
-    from.whole("failures", result.failure_threshold, 1, 1000);
-    from.span("apart", result.min_failure_gap, true);
-    from.span("eject_for", result.base_ejection_time, true);
-    from.span("eject_most", result.max_ejection_time, true);
+    from.integer("failures", result.failure_threshold, 1, 1000);
+    from.duration("apart", result.min_failure_gap, true);
+    from.duration("eject_for", result.base_ejection_time, true);
+    from.duration("eject_most", result.max_ejection_time, true);
     from.number("most_share", result.max_ejected_share, 0.0, 1.0);
-    from.end();
+    from.reject_unknown_fields();
     return result;
 }
 
@@ -40,46 +40,47 @@
 constexpr Duration kMaxHold = 10s;
 
 ledger::ClassOptions read_class_options(Table& from, ledger::ClassOptions result) {
-    from.word("level", result.level,
-              {{"off", ledger::Level::Off},
-               {"async", ledger::Level::Async},
-               {"group", ledger::Level::Group},
-               {"sync", ledger::Level::Sync}});
-    from.word("outage", result.outage, {{"refuse", ledger::Outage::Refuse}, {"go-on", ledger::Outage::GoOn}});
+    from.choice("level", result.level,
+                {{"off", ledger::Durability::Off},
+                 {"async", ledger::Durability::Async},
+                 {"group", ledger::Durability::Group},
+                 {"sync", ledger::Durability::Sync}});
+    from.choice("outage", result.outage,
+                {{"refuse", ledger::OutagePolicy::Refuse}, {"go-on", ledger::OutagePolicy::SendUnjournaled}});
     return result;
 }
 
 ledger::Options read_ledger(Table& from) {
     ledger::Options result;
-    from.text("directory", result.directory, true);
+    from.string("directory", result.directory, true);
     if (result.directory.empty()) from.fail("'directory' is empty");
-    from.text("helper", result.helper);
-    from.text("digest_key", result.key_file);
-    from.span("hold", result.hold, true);
-    if (result.hold > kMaxHold) from.fail("'hold' must be at most 10s: no request waits longer");
-    result.unsafe = read_class_options(from, result.unsafe);
+    from.string("helper", result.helper);
+    from.string("digest_key", result.key_file);
+    from.duration("hold", result.hold_timeout, true);
+    if (result.hold_timeout > kMaxHold) from.fail("'hold' must be at most 10s: no request waits longer");
+    result.non_idempotent = read_class_options(from, result.non_idempotent);
     std::uint64_t megabytes = 0;
-    from.whole("most_mb", megabytes, 1, kMaxMegabytes);
-    result.most_bytes = megabytes << 20;
-    from.whole("batch_records", result.batch.most_records, 1, 100'000);
-    from.span("batch_delay", result.batch.delay);
-    if (result.batch.delay >= result.hold) from.fail("'batch_delay' must be less than 'hold'");
-    from.whole("queue_records", result.queue.most_records, 100, 10'000'000);
-    from.span("ack_within", result.queue.ack_within, true);
+    from.integer("most_mb", megabytes, 1, kMaxMegabytes);
+    result.max_bytes = megabytes << 20;
+    from.integer("batch_records", result.batch.max_records, 1, 100'000);
+    from.duration("batch_delay", result.batch.delay);
+    if (result.batch.delay >= result.hold_timeout) from.fail("'batch_delay' must be less than 'hold'");
+    from.integer("queue_records", result.queue.max_records, 100, 10'000'000);
+    from.duration("ack_within", result.queue.ack_timeout, true);
     std::int64_t days = 30, archive_days = 400;
-    from.whole("keep_days", days, 1, 36'500);
-    from.whole("keep_archive_days", archive_days, 1, 36'500);
+    from.integer("keep_days", days, 1, 36'500);
+    from.integer("keep_archive_days", archive_days, 1, 36'500);
     if (archive_days < days) from.fail("'keep_archive_days' is less than 'keep_days'");
-    result.keep = std::chrono::hours(24 * days);
-    result.keep_archives = std::chrono::hours(24 * archive_days);
+    result.journal_retention = std::chrono::hours(24 * days);
+    result.archive_retention = std::chrono::hours(24 * archive_days);
     for (Table& each : from.tables("class")) {
         std::string name;
-        each.text("name", name, true);
-        const auto class_options = read_class_options(each, result.unsafe);
+        each.string("name", name, true);
+        const auto class_options = read_class_options(each, result.non_idempotent);
         if (!result.classes.emplace(name, class_options).second) each.fail("duplicate class '" + name + "'");
-        each.end();
+        each.reject_unknown_fields();
     }
-    from.end();
+    from.reject_unknown_fields();
     return result;
 }
 
@@ -101,71 +102,74 @@
 }
 
 void read_address(Table& from, std::string_view key, std::string& into, bool required) {
-    from.text(key, into, required);
+    from.string(key, into, required);
     if (!into.empty() && !parse_address(into))
-        from.reader().fail(from.need(key),
+        from.reader().fail(from.require(key),
                            fmt::format("'{}' must be an address such as \"10.0.0.4:7400\"", key));
 }
 
 fleet::Options read_fleet(Table& from) {
     fleet::Options result;
-    from.text("name", result.name, true);
+    from.string("name", result.name, true);
     if (result.name.empty() || result.name.size() > kMaxFleetNameBytes ||
         result.name.find_first_of(" \t\r\n") != std::string::npos)
-        from.reader().fail(from.need("name"), fmt::format("'name' must have 1 to {} bytes and no whitespace",
-                                                          kMaxFleetNameBytes));
+        from.reader().fail(
+            from.require("name"),
+            fmt::format("'name' must have 1 to {} bytes and no whitespace", kMaxFleetNameBytes));
     read_address(from, "listen", result.listen, true);
     read_address(from, "advertise", result.advertise, false);
     result.seeds = read_addresses(from, "seeds", false);
     result.permitted = read_addresses(from, "permitted", true);
-    from.whole("links", result.most_links, 4, 4096);
-    std::size_t queued_kb = result.most_queued / 1024;
-    from.whole("queued_kb", queued_kb, 64, 64 * 1024);
-    result.most_queued = queued_kb * 1024;
-    fleet::Pace& pace = result.pace;
-    from.span("probe_every", pace.probe_every, true);
-    from.span("probe_patience", pace.probe_patience, true);
-    from.whole("helpers", pace.helpers, 0, 16);
-    from.span("gossip_every", pace.gossip_every, true);
-    from.whole("gossip_to", pace.gossip_to, 1, 16);
-    from.span("stall", pace.stall, true);
-    from.span("gone", pace.gone, true);
-    from.span("exchange_every", pace.exchange_every, true);
-    from.span("reconnect_every", pace.reconnect_every, true);
-    from.span("forget_after", pace.forget_after, true);
-    if (pace.probe_patience >= pace.probe_every)
+    from.integer("links", result.max_links, 4, 4096);
+    std::size_t queued_kb = result.max_queued_bytes / 1024;
+    from.integer("queued_kb", queued_kb, 64, 64 * 1024);
+    result.max_queued_bytes = queued_kb * 1024;
+    fleet::ProtocolOptions& protocol = result.protocol;
+    from.duration("probe_every", protocol.probe_interval, true);
+    from.duration("probe_patience", protocol.probe_timeout, true);
+    from.integer("helpers", protocol.indirect_probes, 0, 16);
+    from.duration("gossip_every", protocol.gossip_interval, true);
+    from.integer("gossip_to", protocol.gossip_fanout, 1, 16);
+    from.duration("stall", protocol.stall_tolerance, true);
+    from.duration("gone", protocol.not_listening_tolerance, true);
+    from.duration("exchange_every", protocol.sync_interval, true);
+    from.duration("reconnect_every", protocol.reconnect_interval, true);
+    from.duration("forget_after", protocol.forget_after, true);
+    if (protocol.probe_timeout >= protocol.probe_interval)
         from.fail("'probe_patience' must be less than 'probe_every'");
-    if (pace.stall > kMaxStall) from.fail("'stall' must be at most 60s: no failed member would be noticed");
-    if (pace.gone > pace.stall) from.fail("'gone' must be at most 'stall'");
-    from.end();
+    if (protocol.stall_tolerance > kMaxStall)
+        from.fail("'stall' must be at most 60s: no failed member would be noticed");
+    if (protocol.not_listening_tolerance > protocol.stall_tolerance)
+        from.fail("'gone' must be at most 'stall'");
+    from.reject_unknown_fields();
     return result;
 }
 
 replica::Options read_state(Table& from, bool fleet) {
     replica::Options result;
     if (!fleet) from.fail("requires [fleet]: its members share the state");
-    replica::Pace& pace = result.pace;
-    from.span("push_every", pace.push_every, true);
-    from.whole("push_to", pace.push_to, 1, 16);
-    from.whole("push_times", pace.push_times, 1, 8);
-    from.span("compare_every", pace.compare_every, true);
-    from.span("tombstones", pace.tombstones, true);
-    std::size_t kb = pace.bytes_a_second / 1024;
-    from.whole("kb_a_second", kb, 64, 64 * 1024);
-    pace.bytes_a_second = kb * 1024;
-    from.text("registry", result.registry);
-    from.text("directory", result.directory);
-    from.text("helper", result.helper);
+    replica::ReplicationSettings& pace = result.replication;
+    from.duration("push_every", pace.push_every, true);
+    from.integer("push_to", pace.push_to, 1, 16);
+    from.integer("push_times", pace.push_times, 1, 8);
+    from.duration("compare_every", pace.compare_every, true);
+    from.duration("tombstones", pace.tombstones, true);
+    std::size_t kb = pace.bytes_per_second / 1024;
+    from.integer("kb_a_second", kb, 64, 64 * 1024);
+    pace.bytes_per_second = kb * 1024;
+    from.string("registry", result.registry);
+    from.string("directory", result.directory);
+    from.string("helper", result.helper);
     if (pace.tombstones < kMinTombstones)
         from.fail("'tombstones' must be at least 10s: a paused member would bring deleted entries back");
-    from.end();
+    from.reject_unknown_fields();
     return result;
 }
 
 }  // namespace
 
 Features read_features(std::string_view text, const std::string& file) {
-    return with_toml(text, file, [](const TomlReader& reader, const toml::table& root) {
+    return parse_toml(text, file, [](const TomlReader& reader, const toml::table& root) {
         Features result;
         Table top(reader, root, "the configuration");
         if (auto table = top.table("subset")) result.subset = read_subset(*table);
@@ -174,24 +178,24 @@
             double share = 0.5;
             table->number("doubt_above", share, 0.1, 1.0);
             result.caution_share = share;
-            table->end();
+            table->reject_unknown_fields();
         }
         if (auto table = top.table("connections")) {
-            table->whole("most", result.connections.max_total, 1, kMaxConnections);
-            table->whole("per_endpoint", result.connections.per_endpoint, 1, kMaxConnections);
-            table->end();
+            table->integer("most", result.connections.max_total, 1, kMaxConnections);
+            table->integer("per_endpoint", result.connections.per_endpoint, 1, kMaxConnections);
+            table->reject_unknown_fields();
         }
         if (auto table = top.table("fleet")) result.fleet = read_fleet(*table);
         if (auto table = top.table("state")) result.state = read_state(*table, result.fleet.has_value());
         if (auto table = top.table("ledger")) result.ledger = read_ledger(*table);
         if (auto table = top.table("telemetry")) {
             telemetry::Options& into = result.telemetry.emplace();
-            table->whole("stories", into.stories.most, 10, 100'000);
-            table->span("stretch", into.stories.stretch, true);
-            table->whole("values", into.causes.most_values, 16, 100'000);
-            table->end();
+            table->integer("stories", into.sampler.max_traces, 10, 100'000);
+            table->duration("stretch", into.sampler.window, true);
+            table->integer("values", into.causes.max_values, 16, 100'000);
+            table->reject_unknown_fields();
         }
-        top.end();
+        top.reject_unknown_fields();
         return result;
     });
 }
@@ -203,8 +207,8 @@
 Membership::Options membership_options(const Features& features, const decision::Settings& settings) {
     Membership::Options result;
     if (!features.caution_share) return result;
-    result.caution_share = *features.caution_share;
-    result.caution = decision::scaled(settings.rules.drain_grace, kCautionDrainShare);
+    result.max_removal_share = *features.caution_share;
+    result.removal_delay = decision::scaled(settings.rules.drain_grace, kCautionDrainShare);
     return result;
 }
 
--- a/src/telemetry/collector.h
+++ b/src/telemetry/collector.h
@@ -10,8 +10,8 @@
 #include <vector>
 
 #include "core/counters.h"
+#include "core/endpoint_table.h"
 #include "core/observer.h"
-#include "core/placement.h"
 #include "telemetry/causes.h"
 #include "telemetry/options.h"
 #include "telemetry/sketch.h"
@@ -20,26 +20,27 @@
 namespace martenford::telemetry {
 
 /// The names behind the settings' numbers.
-struct NamesOfNumbers {
+struct AttributeNames {
     std::vector<std::string> zones, kinds;
 };
 
 class Collector : public Observer {
   public:
     /// Both references outlive it. `seed`: of the samples.
-    Collector(const Scheduler& scheduler, const decision::Settings& settings, NamesOfNumbers names,
+    Collector(const Scheduler& scheduler, const decision::Settings& settings, AttributeNames names,
               const Options& options, std::uint64_t seed, Counters& counters);
 
     /// An endpoint's uid, as the placement hears it.
     void name(EndpointId id, const std::string& uid);
     /// It is listed no more, also where a whole list left it out without a word.
-    void forget(EndpointId id) { nodes_.erase(id); }
+    void forget(EndpointId id) { endpoints_.erase(id); }
 
-    void taken(const decision::Request& request) override;
-    void sent(const decision::RequestId& id, std::size_t attempt, EndpointId endpoint) override;
-    void ended(const decision::RequestId& id, std::size_t attempt, decision::Status status) override;
-    void completed(const decision::RequestId& id, Tally::End how, Why why) override;
-    void listed(const decision::DiscoveryUpdate& news) override;
+    void request_accepted(const decision::Request& request) override;
+    void attempt_sent(const decision::RequestId& id, std::size_t attempt, EndpointId endpoint) override;
+    void attempt_ended(const decision::RequestId& id, std::size_t attempt, decision::Status status) override;
+    void request_completed(const decision::RequestId& id, RequestCounters::Outcome how,
+                           CompletionReason why) override;
+    void endpoints_listed(const decision::DiscoveryUpdate& news) override;
 
     /// A call of an operator: `why [SECONDS]`, `story ID`, `slowest N [CLASS]`, `latencies`; nothing where it
     /// is none.
@@ -49,19 +50,19 @@
     /// What explains the bad requests and the bad attempts of the last `since`.
     std::string why(Duration since) const;
     /// The story of one request; empty: it is not kept.
-    std::string story(const std::string& id) const;
+    std::string trace(const std::string& id) const;
     /// The slowest of a class that are kept, or of all; `most` of them.
-    std::string slowest(std::size_t most, const std::string& klass) const;
+    std::string slowest(std::size_t max_count, const std::string& klass) const;
     /// Quantiles of the time to an answer, by class.
     std::string latencies() const;
 
   private:
-    struct Node {
+    struct EndpointInfo {
         std::string uid;
         std::uint32_t zone = 0, kind = 0;
     };
-    struct Open {
-        Story story;
+    struct OpenRequest {
+        RequestTrace trace;
         std::uint32_t class_index = 0;
         std::string tenant;
         bool resent = false;
@@ -70,39 +71,41 @@
         std::size_t out = 0;
         bool over = false;
     };
-    void forget_if_over(const decision::RequestId& id);
-    void keep(Open& open);
-    const Node& node(EndpointId id) const;
+    void finish_if_over(const decision::RequestId& id);
+    void keep(OpenRequest& open);
+    const EndpointInfo& endpoint_info(EndpointId id) const;
     static std::string_view at(const std::vector<std::string>& names, std::uint32_t index);
-    std::string tell(const Story& story) const;
+    std::string format_trace(const RequestTrace& trace) const;
 
     const Scheduler& scheduler_;
     const decision::Settings& settings_;
-    NamesOfNumbers names_;
-    Causes requests_, attempts_;
-    TailSampler stories_;
-    std::vector<Sketch> latencies_;                       // by class, since the start
-    std::unordered_map<EndpointId, Node> nodes_;          // as many as discovery lists
-    std::unordered_map<decision::RequestId, Open> open_;  // as many as the engine has
+    AttributeNames names_;
+    CauseAnalyzer requests_, attempts_;
+    TailSampler sampler_;
+    std::vector<QuantileSketch> latencies_;                               // by class, since the start
+    std::unordered_map<EndpointId, EndpointInfo> endpoints_;              // as many as discovery lists
+    std::unordered_map<decision::RequestId, OpenRequest> open_requests_;  // as many as the engine has
     Counter &offered_, &kept_;
 };
 
 /// Hears the names of endpoints on their way to a back.
-class NamesTap : public Placement {
+class EndpointNameTap : public EndpointTable {
   public:
-    NamesTap(Placement& to, Collector& collector) : to_(to), collector_(collector) {}
-    void name(EndpointId id, const std::string& uid) override {
+    EndpointNameTap(EndpointTable& to, Collector& collector) : next_(to), collector_(collector) {}
+    void set_name(EndpointId id, const std::string& uid) override {
         collector_.name(id, uid);
-        to_.name(id, uid);
+        next_.set_name(id, uid);
+    }
+    void set_endpoint(EndpointId id, const Address& address, bool ready) override {
+        next_.set_endpoint(id, address, ready);
     }
-    void place(EndpointId id, const Address& address, bool ready) override { to_.place(id, address, ready); }
     void remove(EndpointId id) override {
         collector_.forget(id);
-        to_.remove(id);
+        next_.remove(id);
     }
 
   private:
-    Placement& to_;
+    EndpointTable& next_;
     Collector& collector_;
 };
 
