--- a/tests/adapter/adapter_test.cpp
+++ b/tests/adapter/adapter_test.cpp
@@ -24,9 +24,9 @@
            settings(discovery) + "}";
 }
 /// A provision with one piece of its settings' text replaced.
-std::string provision_with(const std::string& was, const std::string& is) {
+std::string provision_with(const std::string& old_text, const std::string& new_text) {
     std::string text = provision();
-    return text.replace(text.find(was), was.size(), is);
+    return text.replace(text.find(old_text), old_text.size(), new_text);
 }
 std::string ledger(int ref, int endpoint) {
     return R"({"t":"ledger","ref":)" + std::to_string(ref) + R"(,"members_list":[{"endpoint":)" +
@@ -51,7 +51,7 @@
     EXPECT_EQ(host.reply(R"({"clock":8412250000,"round":1,"events":[]})"), R"({"round":1,"cmds":[]})");
 }
 
-TEST(Adapter, RequestIsPlacedOnTheKnownEndpoint) {
+TEST(Adapter, RequestIsSentToTheKnownEndpoint) {
     Host host;
     const std::string reply = host.reply(
         batch(4, provision() + "," + ledger(3, 51530247) + "," + peers_known(3) + "," + ingress("c:a\\\"b")));
@@ -60,7 +60,7 @@
               R"({"t":"defer","sidecar_id":0,"when":500001000,"label":1}]})");
 }
 
-TEST(Adapter, ListNumbersReusedInOneBatchAreResolvedInOrder) {
+TEST(Adapter, ListNumbersReusedWithinABatchAreResolvedInOrder) {
     Host host;
     const std::string reply = host.reply(batch(
         1, provision(0) + "," + ledger(0, 11) + "," + peers_known(0, 1, 0) + "," + provision(1) + "," +
@@ -76,7 +76,7 @@
     EXPECT_NE(reply.find(R"("endpoint":33)"), std::string::npos) << reply;
 }
 
-TEST(Adapter, StopThenProvisionInOneBatchStartsAfresh) {
+TEST(Adapter, StopAndProvisionInOneBatchResetTheInstance) {
     Host host;
     host.reply(batch(1, provision() + "," + ledger(0, 5) + "," + peers_known(0) + "," + ingress("x")));
     // The fresh instance knows neither the request nor the endpoint of its former life.
@@ -88,7 +88,7 @@
     EXPECT_EQ(reply.find("place"), std::string::npos) << reply;
 }
 
-TEST(Adapter, LoadReportsOfAnyNamesAreRead) {
+TEST(Adapter, LoadReportsMayHaveUnknownNames) {
     Host host;
     host.reply(batch(1, provision() + "," + ledger(0, 5) + "," + peers_known(0) + "," + ingress("x")));
     EXPECT_NO_THROW(host.reply(batch(
@@ -96,56 +96,61 @@
            R"("wait_time":1000,"last":true,"report":{"load_share":0.5,"concurrent":3,"novel":"text"}})")));
 }
 
-TEST(Adapter, SubscribesOnlyWhereDiscoveryMustBeAsked) {
-    Host asks, told;
-    EXPECT_NE(asks.reply(batch(1, provision(0, "subscribe"))).find(R"("t":"defer")"), std::string::npos);
-    EXPECT_EQ(told.reply(batch(1, provision(0, "automatic"))), R"({"round":1,"cmds":[]})");
+TEST(Adapter, SubscribesOnlyIfDiscoveryRequiresIt) {
+    Host subscribing, automatic;
+    EXPECT_NE(subscribing.reply(batch(1, provision(0, "subscribe"))).find(R"("t":"defer")"),
+              std::string::npos);
+    EXPECT_EQ(automatic.reply(batch(1, provision(0, "automatic"))), R"({"round":1,"cmds":[]})");
 }
 
 /// The reply to two requests with one key, under changed settings.
-std::string reply_to_two_of_one_key(const std::string& was, const std::string& is) {
-    const std::string with = provision_with(was, is);
+std::string reply_to_two_requests_with_one_key(const std::string& old_text, const std::string& new_text) {
+    const std::string provision_text = provision_with(old_text, new_text);
     Host host;
     const auto one = [](const std::string& id) {
         std::string text = ingress(id);
         return text.replace(text.find(R"("extra":1)"), 9, R"("key":5)");
     };
-    return host.reply(
-        batch(1, with + "," + ledger(0, 5) + "," + peers_known(0) + "," + one("x") + "," + one("y")));
+    return host.reply(batch(
+        1, provision_text + "," + ledger(0, 5) + "," + peers_known(0) + "," + one("x") + "," + one("y")));
 }
 
-TEST(Adapter, OrderByKeyIsPassedOn) {
-    const std::string was = R"("effect":"free"})";
+TEST(Adapter, SequentialFlagIsPassedOn) {
+    const std::string old_text = R"("effect":"free"})";
     const auto sends = [](const std::string& reply) {
         std::size_t n = 0;
         for (auto at = reply.find("place"); at != std::string::npos; at = reply.find("place", at + 1)) ++n;
         return n;
     };
-    EXPECT_EQ(sends(reply_to_two_of_one_key(was, was)), 2u);
-    EXPECT_EQ(sends(reply_to_two_of_one_key(was, R"("effect":"free","sequential":true})")), 1u);
-    EXPECT_EQ(sends(reply_to_two_of_one_key(was, R"("effect":"free","sequential":null})")), 2u);
+    EXPECT_EQ(sends(reply_to_two_requests_with_one_key(old_text, old_text)), 2u);
+    EXPECT_EQ(sends(reply_to_two_requests_with_one_key(old_text, R"("effect":"free","sequential":true})")),
+              1u);
+    EXPECT_EQ(sends(reply_to_two_requests_with_one_key(old_text, R"("effect":"free","sequential":null})")),
+              2u);
 }
 
-TEST(Adapter, RationOfAttemptsIsPassedOn) {
-    const auto answer_to_failure = [](const std::string& extra) {
-        const std::string with =
+TEST(Adapter, AttemptBudgetIsPassedOn) {
+    const auto reply_to_retry_timer = [](const std::string& extra) {
+        const std::string provision_text =
             provision_with(R"("tip_after":2000000000})", R"("tip_after":2000000000)" + extra + "}");
         Host host;
-        host.reply(batch(1, with + "," + ledger(0, 5) + "," + peers_known(0) + "," + ingress("x")));
+        host.reply(batch(1, provision_text + "," + ledger(0, 5) + "," + peers_known(0) + "," + ingress("x")));
         host.reply(batch(2, R"({"t":"completed","sidecar_id":0,"request_id":"x","go":0,"endpoint":5,)"
                             R"("ending":0,"wait_time":1000,"last":false,"report":null})"));
         // The timer of the retry is the first that the balancer set; its token is the request's number.
         return host.reply(batch(3, R"({"t":"due","sidecar_id":0,"label":1})", 400000000));
     };
-    EXPECT_NE(answer_to_failure("").find("place"), std::string::npos);
-    EXPECT_NE(answer_to_failure(R"(,"extra_floor":1,"resend_ratio":0,"look_back":2000000000)").find("place"),
-              std::string::npos);
-    const std::string none = answer_to_failure(R"(,"extra_floor":0,"resend_ratio":0,"look_back":2000000000)");
+    EXPECT_NE(reply_to_retry_timer("").find("place"), std::string::npos);
+    EXPECT_NE(
+        reply_to_retry_timer(R"(,"extra_floor":1,"resend_ratio":0,"look_back":2000000000)").find("place"),
+        std::string::npos);
+    const std::string none =
+        reply_to_retry_timer(R"(,"extra_floor":0,"resend_ratio":0,"look_back":2000000000)");
     EXPECT_EQ(none.find("place"), std::string::npos) << none;
-    EXPECT_THROW(answer_to_failure(R"(,"resend_ratio":0.1)"), WireError);
+    EXPECT_THROW(reply_to_retry_timer(R"(,"resend_ratio":0.1)"), WireError);
 }
 
-TEST(Adapter, ServeFlushesOneLineForEachBatchAndEndsWithItsInput) {
+TEST(Adapter, ServeWritesOneLinePerBatchUntilTheInputEnds) {
     std::istringstream in(batch(1, "") + "\n" + batch(2, "") + "\n");
     std::ostringstream out, err;
     EXPECT_EQ(serve(in, out, err), 0);
@@ -160,7 +165,7 @@
 };
 class MalformedLine : public testing::TestWithParam<Malformed> {};
 
-TEST_P(MalformedLine, EndsWithAPlainMessageAndNoPartialReply) {
+TEST_P(MalformedLine, EndsWithAnErrorMessageAndNoPartialReply) {
     std::istringstream in(batch(1, provision() + "," + ledger(0, 5) + "," + peers_known(0)) + "\n" +
                           GetParam().line + "\n");
     std::ostringstream out, err;
@@ -249,7 +254,7 @@
                   "round 2, message 'due': field 'label' is missing"}),
     [](const auto& info) { return info.param.name; });
 
-TEST(Adapter, BatchThatFailsLeavesTheInstanceAsItWas) {
+TEST(Adapter, MalformedBatchChangesNoState) {
     Host host;
     host.reply(batch(1, provision() + "," + ledger(0, 5) + "," + peers_known(0)));
     EXPECT_THROW(host.reply(batch(2, R"({"t":"stop","sidecar_id":0},)" + ledger(0, 6) + "," + ingress("x"))),
@@ -258,19 +263,20 @@
     EXPECT_NE(reply.find(R"("request_id":"x","endpoint":5)"), std::string::npos) << reply;
 }
 
-TEST(Adapter, TenantOutOfRangeIsRefusedAndMeaninglessWithoutTenants) {
+TEST(Adapter, TenantOutOfRangeIsRejectedAndIgnoredWithoutTenants) {
     Host host;
     EXPECT_NO_THROW(host.reply(batch(1, provision() + "," +
                                             R"({"t":"ingress","sidecar_id":0,"request_id":"x","priority":0,)"
                                             R"("valid_until":2000000000,"party":7})")));
-    const std::string with = provision_with(R"("accounts":[])", R"("accounts":[{"name":"t","share":1}])");
-    EXPECT_THROW(host.reply(batch(2, with + "," +
+    const std::string provision_text =
+        provision_with(R"("accounts":[])", R"("accounts":[{"name":"t","share":1}])");
+    EXPECT_THROW(host.reply(batch(2, provision_text + "," +
                                          R"({"t":"ingress","sidecar_id":0,"request_id":"x",)"
                                          R"("priority":0,"valid_until":2000000000,"party":1})")),
                  WireError);
 }
 
-TEST(Writer, EveryActionHasItsWireForm) {
+TEST(Writer, WritesEveryAction) {
     Writer writer(5);
     writer.write(1, Send{"a", EndpointId{7}, std::chrono::milliseconds(80)});
     writer.write(1, Refuse{"a", std::chrono::milliseconds(250)});
--- a/tests/outlier/outlier_policy_test.cpp
+++ b/tests/outlier/outlier_policy_test.cpp
@@ -55,7 +55,7 @@
     std::vector<Action> actions;
 };
 
-TEST(Outlier, OneThatFailsOnceAMinuteIsEjectedAndComesBack) {
+TEST(Outlier, EndpointThatFailsOncePerMinuteIsEjectedAndReadmitted) {
     Sidecar sidecar;
     sidecar.fail(7, 2);
     EXPECT_EQ(sidecar.seen(7), Availability::Ready);
@@ -79,7 +79,7 @@
     EXPECT_EQ(sidecar.seen(7), Availability::Ready);
 }
 
-TEST(Outlier, OneThatOthersEjectedIsOutAtItsFirstFailureAndNotBefore) {
+TEST(Outlier, EndpointThatOthersEjectedIsEjectedAtItsFirstFailure) {
     Sidecar sidecar;
     std::vector<std::uint32_t> reported;
     sidecar.policy.on_ejected(
@@ -98,7 +98,7 @@
     EXPECT_EQ(sidecar.seen(8), Availability::Ready);
 }
 
-TEST(Outlier, ABurstOfFailuresIsTheModulesToSeeAndCountsOnce) {
+TEST(Outlier, BurstOfFailuresCountsOnce) {
     Sidecar sidecar;
     for (int i = 0; i < 100; ++i) {
         sidecar.now += 50ms;
@@ -107,7 +107,7 @@
     EXPECT_EQ(sidecar.seen(7), Availability::Ready);
 }
 
-TEST(Outlier, WhatIsServedTakesFailuresOff) {
+TEST(Outlier, SuccessesTakeFailuresOff) {
     Sidecar sidecar;
     for (int i = 0; i < 50; ++i) {
         sidecar.fail(7, 1);
@@ -117,7 +117,7 @@
     EXPECT_EQ(sidecar.seen(7), Availability::Ready);
 }
 
-TEST(Outlier, BeingFullOrGivenUpIsNoFailure) {
+TEST(Outlier, RejectedCancelledAndUnsentCallsAreNoFailures) {
     Sidecar sidecar;
     for (const Status status : {Status::Rejected, Status::Cancelled, Status::NotSent}) {
         for (int i = 0; i < 10; ++i) {
@@ -128,7 +128,7 @@
     EXPECT_EQ(sidecar.seen(7), Availability::Ready);
 }
 
-TEST(Outlier, NeverMoreThanTheShareIsOut) {
+TEST(Outlier, EjectedShareIsLimited) {
     Sidecar sidecar({}, 9);
     for (int round = 0; round < 3; ++round) {
         sidecar.now += 11s;
@@ -144,7 +144,7 @@
     EXPECT_EQ(alone.seen(0), Availability::Ready);
 }
 
-TEST(Outlier, ADrainOfOneThatIsOutIsKeptAndANewStartClears) {
+TEST(Outlier, DrainDuringAnEjectionIsKeptAndARestartClearsIt) {
     Sidecar sidecar;
     sidecar.fail(7, 3);
     Endpoint e = Sidecar::endpoint(7);
@@ -170,7 +170,7 @@
     EXPECT_EQ(sidecar.policy.ejected_now(), 0u);
 }
 
-TEST(Outlier, WrongOptionsAreRefused) {
+TEST(Outlier, InvalidOptionsAreRejected) {
     Options options;
     options.failure_threshold = 0;
     EXPECT_THROW(Sidecar{options}, std::invalid_argument);
@@ -181,7 +181,7 @@
 
 /// Random outcomes, lists and times: the bound on the share holds, drains stay, and no endpoint that is
 /// listed as ready stays out for longer than the most.
-TEST(Outlier, KeepsItsBoundsUnderRandomEvents) {
+TEST(Outlier, KeepsItsLimitsUnderRandomEvents) {
     Options options;
     options.max_ejection_time = 300s;
     Sidecar sidecar(options, 30);
--- a/tests/policy/large_fleet_test.cpp
+++ b/tests/policy/large_fleet_test.cpp
@@ -74,10 +74,10 @@
     BalancerPair(std::uint64_t seed, DedupScope dedup_scope, int size = 40, std::uint32_t cells = 8)
         : random(seed),
           cells(cells),
-          by_changes(settings(dedup_scope), seed),
+          by_deltas(settings(dedup_scope), seed),
           by_lists(settings(dedup_scope), seed) {
         std::vector<Action> ignored;
-        by_changes.start(now, ignored);
+        by_deltas.start(now, ignored);
         by_lists.start(now, ignored);
         for (int i = 0; i < size; ++i) add_endpoint();
         EndpointList all;
@@ -181,7 +181,7 @@
 
     void handle_both(const Event& to_first, const Event& to_second) {
         std::vector<Action> first, second;
-        by_changes.handle(now, to_first, first);
+        by_deltas.handle(now, to_first, first);
         by_lists.handle(now, to_second, second);
         std::vector<std::string> first_text, second_text;
         for (const Action& action : first) first_text.push_back(to_text(action));
@@ -202,7 +202,7 @@
 
     Random random;
     std::uint32_t cells;
-    Balancer by_changes, by_lists;
+    Balancer by_deltas, by_lists;
     Time now{1s};
     std::map<EndpointId, Endpoint> fleet;
     std::vector<Out> open;
@@ -213,7 +213,7 @@
 
 class LargeFleet : public testing::TestWithParam<DedupScope> {};
 
-TEST_P(LargeFleet, ChangesOneByOneLeadToTheDecisionsOfWholeLists) {
+TEST_P(LargeFleet, DeltasGiveTheSameDecisionsAsFullLists) {
     std::uint64_t sent = 0, changes = 0;
     for (std::uint64_t seed = 1; seed <= 30 && !HasFatalFailure(); ++seed) {
         BalancerPair pair(seed, GetParam());
@@ -226,7 +226,7 @@
 }
 
 /// Around the size from which a cell's servers stand in the ring by themselves.
-TEST_P(LargeFleet, OneCellThatGrowsAndShrinksAcrossThatSize) {
+TEST_P(LargeFleet, CellSizeCrossesThePairingLimit) {
     std::uint64_t sent = 0, changes = 0;
     for (std::uint64_t seed = 1; seed <= 6 && !HasFatalFailure(); ++seed) {
         BalancerPair pair(seed, GetParam(), 155, 1);
--- a/tests/policy/logic_test.cpp
+++ b/tests/policy/logic_test.cpp
@@ -163,7 +163,7 @@
     return 1000;
 }
 
-TEST(RetryBudget, OnlyServedCallsEarnWhatRetriesSpend) {
+TEST(RetryBudget, OnlySuccessesEarnTokens) {
     Rig rig(default_settings());
     rig.list(servers(4));
     const int full = retries_until_exhausted(rig, "a");
@@ -177,7 +177,7 @@
     EXPECT_EQ(early + later, 1);  // 19 served calls at the cost of ten a retry
 }
 
-TEST(RetryBudget, CapacityBoundsWhatManySuccessesEarn) {
+TEST(RetryBudget, CapacityLimitsTheTokens) {
     Rig rig(default_settings());
     rig.list(servers(4));
     for (int i = 0; i < 2000; ++i)
@@ -185,7 +185,7 @@
     EXPECT_LE(retries_until_exhausted(rig, "a"), 10);
 }
 
-TEST(Backoff, WaitsKeepDecorrelatedJitterAndDiffer) {
+TEST(Backoff, UsesDecorrelatedJitter) {
     std::set<Duration> waits;
     for (std::uint64_t seed = 0; seed < 50; ++seed) {
         Rig rig(default_settings(), seed);
@@ -201,7 +201,7 @@
     EXPECT_GT(waits.size(), 40u);
 }
 
-TEST(Deadline, NoAttemptStartsInsideTheBuffer) {
+TEST(Deadline, NoAttemptStartsWithinTheBuffer) {
     Rig rig(default_settings());
     rig.list(servers(4));
     const auto send = only<Send>(rig.request("a", 400ms));
@@ -212,21 +212,21 @@
     EXPECT_EQ(answers(after), 1);
 }
 
-TEST(Deadline, AlreadyPastGetsItsAnswerAtOnce) {
+TEST(Deadline, ExpiredRequestIsAnsweredAtOnce) {
     Rig rig(default_settings());
     rig.list({});
     EXPECT_EQ(answers(rig.request("a", -5ms)), 1);
 }
 
-TEST(Attempts, StopAtTheToldLimitAndGoElsewhere) {
+TEST(Attempts, StopAtTheLimitAndUseDifferentServers) {
     Rig rig(default_settings());
     rig.list(servers(6));
-    std::set<EndpointId> met;
+    std::set<EndpointId> used;
     auto send = only<Send>(rig.request("a"));
     std::vector<Action> after;
     AttemptNumber attempt = 0;
     while (send) {
-        EXPECT_TRUE(met.insert(send->endpoint).second) << "a retry goes elsewhere";
+        EXPECT_TRUE(used.insert(send->endpoint).second) << "a retry goes elsewhere";
         after = rig.outcome(*send, Status::Rejected, attempt++);
         if (answers(after) == 0) after = rig.advance(1s);
         send = only<Send>(after);
@@ -244,9 +244,9 @@
     bool may_repeat;
     bool may_refuse;
 };
-class EachOutcome : public testing::TestWithParam<RetryCase> {};
+class EveryOutcome : public testing::TestWithParam<RetryCase> {};
 
-TEST_P(EachOutcome, IsRepeatedAndAnsweredAsItsClassAllows) {
+TEST_P(EveryOutcome, IsRetriedAndAnsweredAsItsClassAllows) {
     const RetryCase& c = GetParam();
     Settings settings = default_settings(c.idempotency, DedupScope::Cell);
     Rig rig(settings);
@@ -267,7 +267,7 @@
 }
 
 INSTANTIATE_TEST_SUITE_P(
-    Classes, EachOutcome,
+    Classes, EveryOutcome,
     testing::Values(RetryCase{"FreeError", Idempotency::Idempotent, Status::Error, true, true},
                     RetryCase{"FreeTimeout", Idempotency::Idempotent, Status::Timeout, true, true},
                     RetryCase{"FreeReset", Idempotency::Idempotent, Status::Reset, true, true},
@@ -284,9 +284,9 @@
                               true}),
     [](const auto& info) { return info.param.name; });
 
-TEST(Deduplicated, StaysInTheCellZoneOrAnywhereAsItsGroupSays) {
+TEST(Deduplicated, RetryStaysWithinTheDedupScope) {
     for (const DedupScope dedup_scope : {DedupScope::All, DedupScope::Zone, DedupScope::Cell}) {
-        std::set<unsigned> met;
+        std::set<unsigned> other_zone;
         for (std::uint64_t seed = 0; seed < 60; ++seed) {
             Rig rig(default_settings(Idempotency::Deduplicated, dedup_scope), seed);
             // Cells 1 to 4, zones 1 and 2; two servers a cell.
@@ -306,13 +306,13 @@
             if (dedup_scope == DedupScope::Zone) {
                 EXPECT_EQ(a / 4, b / 4);
             }
-            if (a / 4 != b / 4) met.insert(b);
+            if (a / 4 != b / 4) other_zone.insert(b);
         }
-        EXPECT_EQ(met.empty(), dedup_scope != DedupScope::All);
+        EXPECT_EQ(other_zone.empty(), dedup_scope != DedupScope::All);
     }
 }
 
-TEST(Deduplicated, IsNotRepeatedPastTheWindow) {
+TEST(Deduplicated, IsNotRetriedAfterTheDedupWindow) {
     Settings settings = default_settings(Idempotency::Deduplicated, DedupScope::All);
     settings.classes[0].deadline = 10s;
     Rig rig(settings);
@@ -326,7 +326,7 @@
     EXPECT_EQ(answers(after), 1);
 }
 
-TEST(Deduplicated, CellIsRememberedAfterTheListDropsItsServer) {
+TEST(Deduplicated, CellIsRememberedAfterItsServerIsRemoved) {
     Rig rig(default_settings(Idempotency::Deduplicated, DedupScope::Cell));
     rig.list({server(1, 7)});
     const auto send = only<Send>(rig.request("a"));
@@ -339,7 +339,7 @@
 
 // ---- one final answer -----------------------------------------------------------------------------
 
-TEST(FinalAnswer, NoServerKnownIsHeldThenServedOrRefusedOnceInTime) {
+TEST(FinalAnswer, WithoutServersARequestIsHeldThenSentOrRefusedInTime) {
     Rig rig(default_settings());
     EXPECT_EQ(answers(rig.request("a")), 0);
     EXPECT_EQ(all_of<Send>(rig.list(servers(1))).size(), 1u);
@@ -358,7 +358,7 @@
     EXPECT_EQ(answers(rig.advance(5s)), 0);
 }
 
-TEST(FinalAnswer, LapsedLateRepeatedAndUnknownEventsArePassedOver) {
+TEST(FinalAnswer, LateRepeatedAndUnknownEventsAreIgnored) {
     Rig rig(default_settings());
     rig.list(servers(2));
     const auto send = only<Send>(rig.request("a"));
@@ -376,14 +376,14 @@
     EXPECT_TRUE(rig.give(DiscoveryUpdate{DiscoveryUpdate::Kind::Full, nullptr}).empty());
 }
 
-TEST(FinalAnswer, HeldIdIsNotTakenTwice) {
+TEST(FinalAnswer, DuplicateIdIsIgnored) {
     Rig rig(default_settings());
     rig.list(servers(2));
     EXPECT_EQ(all_of<Send>(rig.request("a")).size(), 1u);
     EXPECT_TRUE(rig.request("a").empty());
 }
 
-TEST(FinalAnswer, OutlivedTimerDoesNotCutALaterWaitShort) {
+TEST(FinalAnswer, ObsoleteTimerDoesNotShortenALaterWait) {
     // Held for want of a server until near its end, then sent and failed: only the retry's own timer counts.
     for (std::uint64_t seed = 0; seed < 20; ++seed) {
         Rig rig(default_settings(), seed);
@@ -400,7 +400,7 @@
     }
 }
 
-TEST(FinalAnswer, OneServerGetsTheRetryToo) {
+TEST(FinalAnswer, SingleServerGetsTheRetryToo) {
     Rig rig(default_settings());
     rig.list(servers(1));
     rig.outcome(*only<Send>(rig.request("a")), Status::Error);
@@ -418,8 +418,8 @@
     s.rules.key_cooldown = key_cooldown;
     return s;
 }
-std::vector<Action> keyed(Rig& rig, const RequestId& id, std::optional<std::uint64_t> key,
-                          std::uint32_t class_index = 0, Duration left = 3s) {
+std::vector<Action> keyed_request(Rig& rig, const RequestId& id, std::optional<std::uint64_t> key,
+                                  std::uint32_t class_index = 0, Duration left = 3s) {
     Request request;
     request.id = id;
     request.class_index = class_index;
@@ -428,16 +428,16 @@
     return rig.give(request);
 }
 
-TEST(KeyOrder, OneKeyRunsInTurnOverAllSequentialClassesAndOthersAreNotBound) {
+TEST(KeyOrder, RequestsOfOneKeyRunOneAtATime) {
     Rig rig(sequential_settings());
     rig.list(servers(4));
-    const auto a = only<Send>(keyed(rig, "a", 7));
+    const auto a = only<Send>(keyed_request(rig, "a", 7));
     ASSERT_TRUE(a);
-    EXPECT_FALSE(only<Send>(keyed(rig, "b", 7, 1)));
-    EXPECT_FALSE(only<Send>(keyed(rig, "c", 7, 0)));
-    EXPECT_TRUE(only<Send>(keyed(rig, "other key", 8)));
-    EXPECT_TRUE(only<Send>(keyed(rig, "no key", std::nullopt)));
-    EXPECT_TRUE(only<Send>(keyed(rig, "free class", 7, 2)));
+    EXPECT_FALSE(only<Send>(keyed_request(rig, "b", 7, 1)));
+    EXPECT_FALSE(only<Send>(keyed_request(rig, "c", 7, 0)));
+    EXPECT_TRUE(only<Send>(keyed_request(rig, "other key", 8)));
+    EXPECT_TRUE(only<Send>(keyed_request(rig, "no key", std::nullopt)));
+    EXPECT_TRUE(only<Send>(keyed_request(rig, "free class", 7, 2)));
     const auto b = only<Send>(rig.outcome(*a, Status::Ok, 0, true));
     ASSERT_TRUE(b);
     EXPECT_EQ(b->id, "b");
@@ -446,11 +446,11 @@
     EXPECT_EQ(c->id, "c");
 }
 
-TEST(KeyOrder, RequestThatWaitsForItsRetryKeepsTheTurn) {
+TEST(KeyOrder, RequestThatWaitsForItsRetryKeepsItsTurn) {
     Rig rig(sequential_settings());
     rig.list(servers(4));
-    const auto a = only<Send>(keyed(rig, "a", 7));
-    keyed(rig, "b", 7);
+    const auto a = only<Send>(keyed_request(rig, "a", 7));
+    keyed_request(rig, "b", 7);
     EXPECT_FALSE(only<Send>(rig.outcome(*a, Status::Error)));
     const auto again = only<Send>(rig.advance(400ms));
     ASSERT_TRUE(again);
@@ -458,22 +458,22 @@
     EXPECT_EQ(only<Send>(rig.outcome(*again, Status::Ok, 1, true))->id, "b");
 }
 
-TEST(KeyOrder, AttemptThatOutlivesItsRequestStillBlocks) {
+TEST(KeyOrder, AttemptThatOutlivesItsRequestBlocksTheKey) {
     Rig rig(sequential_settings());
     rig.list(servers(4));
-    const auto a = only<Send>(keyed(rig, "a", 7));
-    keyed(rig, "b", 7);
+    const auto a = only<Send>(keyed_request(rig, "a", 7));
+    keyed_request(rig, "b", 7);
     EXPECT_FALSE(only<Send>(rig.give(DeadlineExpired{"a"})));
     EXPECT_FALSE(only<Send>(rig.advance(200ms)));
     EXPECT_EQ(only<Send>(rig.outcome(*a, Status::Error, 0, true))->id, "b");
 }
 
-TEST(KeyOrder, KeyRestsAfterAnAttemptThatMayStillRun) {
+TEST(KeyOrder, KeyCooldownAfterAnAttemptThatMayStillRun) {
     for (const Status status : {Status::Timeout, Status::Reset, Status::Cancelled}) {
         Rig rig(sequential_settings(300ms));
         rig.list(servers(4));
-        const auto a = only<Send>(keyed(rig, "a", 7, 1));
-        keyed(rig, "b", 7, 1);
+        const auto a = only<Send>(keyed_request(rig, "a", 7, 1));
+        keyed_request(rig, "b", 7, 1);
         EXPECT_FALSE(only<Send>(rig.outcome(*a, status)));
         EXPECT_FALSE(only<Send>(rig.advance(299ms)));
         EXPECT_EQ(only<Send>(rig.advance(2ms))->id, "b");
@@ -481,38 +481,38 @@
     // With nobody waiting the rest still binds who comes meanwhile, and nobody who comes later.
     Rig rig(sequential_settings(300ms));
     rig.list(servers(4));
-    rig.outcome(*only<Send>(keyed(rig, "a", 7, 1)), Status::Reset);
-    EXPECT_FALSE(only<Send>(keyed(rig, "b", 7, 1)));
+    rig.outcome(*only<Send>(keyed_request(rig, "a", 7, 1)), Status::Reset);
+    EXPECT_FALSE(only<Send>(keyed_request(rig, "b", 7, 1)));
     const auto b = only<Send>(rig.advance(301ms));
     ASSERT_TRUE(b);
     rig.outcome(*b, Status::Reset);
     rig.advance(301ms);
-    EXPECT_TRUE(only<Send>(keyed(rig, "c", 7, 1)));
+    EXPECT_TRUE(only<Send>(keyed_request(rig, "c", 7, 1)));
     // An outcome that ends the work needs no rest.
     Rig none(sequential_settings(300ms));
     none.list(servers(4));
-    const auto first = only<Send>(keyed(none, "a", 7, 1));
-    keyed(none, "b", 7, 1);
+    const auto first = only<Send>(keyed_request(none, "a", 7, 1));
+    keyed_request(none, "b", 7, 1);
     EXPECT_TRUE(only<Send>(none.outcome(*first, Status::Error)));
 }
 
-TEST(KeyOrder, QueuedRequestThatCannotBeInTimeIsRefusedInTimeAndLeavesTheQueue) {
+TEST(KeyOrder, QueuedRequestThatWouldBeLateIsRefused) {
     Rig rig(sequential_settings());
     rig.list(servers(4));
-    const auto a = only<Send>(keyed(rig, "a", 7));
-    keyed(rig, "b", 7, 1, 500ms);
-    keyed(rig, "c", 7);
+    const auto a = only<Send>(keyed_request(rig, "a", 7));
+    keyed_request(rig, "b", 7, 1, 500ms);
+    keyed_request(rig, "c", 7);
     const auto waited = rig.advance(500ms);
     ASSERT_EQ(all_of<Refuse>(waited).size(), 1u);  // it never ran, so even an unsafe one is refused
     EXPECT_EQ(all_of<Refuse>(waited)[0].id, "b");
     EXPECT_EQ(only<Send>(rig.outcome(*a, Status::Ok, 0, true))->id, "c");
 }
 
-TEST(KeyOrder, LapsedInTheQueueDoesNotWedgeIt) {
+TEST(KeyOrder, ExpiredRequestDoesNotBlockTheQueue) {
     Rig rig(sequential_settings());
     rig.list(servers(4));
-    const auto a = only<Send>(keyed(rig, "a", 7));
-    for (const char* id : {"b", "c", "d"}) keyed(rig, id, 7);
+    const auto a = only<Send>(keyed_request(rig, "a", 7));
+    for (const char* id : {"b", "c", "d"}) keyed_request(rig, id, 7);
     rig.give(DeadlineExpired{"c"});
     const auto b = only<Send>(rig.outcome(*a, Status::Ok, 0, true));
     ASSERT_TRUE(b);
@@ -520,10 +520,10 @@
     EXPECT_EQ(only<Send>(rig.outcome(*b, Status::Timeout, 0, true))->id, "d");
 }
 
-TEST(KeyOrder, QueueHeldForWantOfAServerKeepsItsOrder) {
+TEST(KeyOrder, QueueHeldWithoutServersKeepsItsOrder) {
     Rig rig(sequential_settings());
-    keyed(rig, "a", 7);
-    keyed(rig, "b", 7);
+    keyed_request(rig, "a", 7);
+    keyed_request(rig, "b", 7);
     const auto a = only<Send>(rig.list(servers(2)));
     ASSERT_TRUE(a);
     EXPECT_EQ(a->id, "a");
@@ -546,7 +546,7 @@
     return s;
 }
 
-TEST(AttemptLimit, BindsAtItsExactEdge) {
+TEST(AttemptLimit, AppliesExactly) {
     Rig floor_only(with_attempt_budget(2, 0.0));
     floor_only.list(servers(8));
     EXPECT_EQ(retries_sent(floor_only, "a", 5), 2);
@@ -564,7 +564,7 @@
     EXPECT_EQ(retries_sent(absent, "a", 5), 5);
 }
 
-TEST(AttemptLimit, WindowSlidesAndAQuietInstanceHasItsFloor) {
+TEST(AttemptLimit, WindowSlidesAndTheFloorIsAlwaysAvailable) {
     Rig rig(with_attempt_budget(1, 0.0));
     rig.list(servers(8));
     EXPECT_EQ(retries_sent(rig, "a", 2), 1);
@@ -574,7 +574,7 @@
     EXPECT_EQ(retries_sent(rig, "b", 2), 1);
 }
 
-TEST(AttemptLimit, MootOnesDoNotCount) {
+TEST(AttemptLimit, UnsentRetriesDoNotCount) {
     Rig rig(with_attempt_budget(1, 0.0));
     rig.list(servers(8));
     rig.outcome(*only<Send>(rig.request("a")), Status::Rejected);
@@ -585,7 +585,7 @@
     EXPECT_EQ(all_of<Send>(rig.advance(310ms)).size(), 1u);
 }
 
-TEST(AttemptLimit, RetryThatIsNotSentCostsNoTokens) {
+TEST(AttemptLimit, UnsentRetryCostsNoTokens) {
     // Held retries whose clients leave give their tokens back: the bucket holds ten retries, here fifty
     // lapse.
     Rig rig(default_settings());
@@ -601,7 +601,7 @@
 
 // ---- discovery ------------------------------------------------------------------------------------
 
-TEST(Discovery, NothingNewGoesToDrainingGoneOrReplacedServers) {
+TEST(Discovery, DrainingGoneAndReplacedServersGetNoRequests) {
     Rig rig(default_settings());
     rig.list(servers(3));
     Endpoint draining = server(1), gone = server(2);
@@ -620,16 +620,16 @@
     EXPECT_EQ(send->endpoint, EndpointId{4});
 }
 
-TEST(Discovery, DeltaKeepsWhatItDoesNotName) {
+TEST(Discovery, DeltaKeepsServersItDoesNotName) {
     Rig rig(default_settings());
     rig.list(servers(1));
     rig.list({server(9)}, DiscoveryUpdate::Kind::Delta);
-    std::set<EndpointId> met;
-    for (int i = 0; i < 40; ++i) met.insert(only<Send>(rig.request(numbered("a", i)))->endpoint);
-    EXPECT_EQ(met, (std::set<EndpointId>{EndpointId{1}, EndpointId{9}}));
+    std::set<EndpointId> used;
+    for (int i = 0; i < 40; ++i) used.insert(only<Send>(rig.request(numbered("a", i)))->endpoint);
+    EXPECT_EQ(used, (std::set<EndpointId>{EndpointId{1}, EndpointId{9}}));
 }
 
-TEST(Discovery, SubscribesWhereItMustAskAndAgainAfterAFailure) {
+TEST(Discovery, SubscribesIfRequiredAndAgainAfterAFailure) {
     Settings settings = default_settings();
     settings.subscribe = true;
     Rig rig(settings);
@@ -643,7 +643,7 @@
     EXPECT_TRUE(all_of<Subscribe>(pushed.advance(60s)).empty());
 }
 
-TEST(Discovery, AnInstanceToldNothingAsksInTimeAndKeepsAsking) {
+TEST(Discovery, KeepsSubscribingInTimeAfterFailures) {
     // Guards against: being treated as told of drains that it never asked about.
     for (std::uint64_t seed = 0; seed < 20; ++seed) {
         Settings settings = default_settings();
@@ -667,7 +667,7 @@
 
 // ---- cold servers ---------------------------------------------------------------------------------
 
-TEST(WarmUp, AloneItStillServes) {
+TEST(WarmUp, SingleColdServerStillServes) {
     Rig rig(default_settings());
     Endpoint cold = server(1);
     cold.started = rig.now;
@@ -678,7 +678,7 @@
     EXPECT_EQ(all_of<Send>(done).size(), 1u);
 }
 
-TEST(WarmUp, AmongWarmOnesItGetsAtMostItsShare) {
+TEST(WarmUp, ColdServerGetsAtMostItsShare) {
     Rig rig(default_settings());
     auto all = servers(9);
     all.push_back(server(10));
@@ -694,7 +694,7 @@
     EXPECT_LT(cold, 60);  // a warm one's share is 100, and it has a fifth to a quarter of their capacity
 }
 
-TEST(WarmUp, NoWindowHoldsMoreWorkThanTheToldMultipleHeavyCallsToo) {
+TEST(WarmUp, OverloadMultipleIsNeverExceededEvenByHeavyCalls) {
     // Ten servers at half their capacity, a hundred calls a second; every tenth call is five times as heavy.
     const Settings settings = default_settings();
     const double warm_capacity = 2.0 * 10.0 * (0.9 * 0.05 + 0.1 * 0.25);  // work a second of one server
@@ -706,14 +706,14 @@
         rig.list(all);
         std::deque<std::pair<Time, double>> window;
         double held = 0.0;
-        int met = 0;
+        int calls_met = 0;
         for (int i = 0; i < 1000; ++i) {
             const auto send = only<Send>(rig.request(numbered("a", i)));
             ASSERT_TRUE(send);
             if (send->endpoint == EndpointId{10}) {
                 window.emplace_back(rig.now, i % 10 == 0 ? 0.25 : 0.05);
                 held += window.back().second;
-                ++met;
+                ++calls_met;
             }
             while (!window.empty() && window.front().first <= rig.now - settings.rules.overload_time) {
                 held -= window.front().second;
@@ -726,11 +726,11 @@
             rig.outcome(*send, Status::Ok, 0, true, 50ms);
             rig.now += 10ms;
         }
-        EXPECT_GT(met, 10) << "it is eased in, not left out";
+        EXPECT_GT(calls_met, 10) << "it is eased in, not left out";
     }
 }
 
-TEST(WarmUp, ManyAtOnceTakeWhatTheyCanAtOnce) {
+TEST(WarmUp, ManyColdServersGetTheirShareAtOnce) {
     // Guards against: of the few servers that each instance of a large fleet uses half are new, all instances
     // keep them nearly idle, and the rest crowd. What is served here earns half of a warm server's
     // calls, and no less, as long as the told multiple leaves room for it.
@@ -741,20 +741,21 @@
     auto all = servers(4);
     all[2].started = all[3].started = rig.now;
     rig.list(all);
-    std::map<EndpointId, int> met;
+    std::map<EndpointId, int> calls_met;
     for (int i = 0; i < 400; ++i) {  // 4 s: less than half of the time that it takes to get warm
         const auto send = only<Send>(rig.request(numbered("a", i)));
         ASSERT_TRUE(send);
-        ++met[send->endpoint];
+        ++calls_met[send->endpoint];
         rig.outcome(*send, Status::Ok, 0, true, 50ms);
         rig.now += 10ms;
     }
-    const int warm = met[EndpointId{1}] + met[EndpointId{2}], cold = met[EndpointId{3}] + met[EndpointId{4}];
+    const int warm = calls_met[EndpointId{1}] + calls_met[EndpointId{2}],
+              cold = calls_met[EndpointId{3}] + calls_met[EndpointId{4}];
     EXPECT_GE(cold * 2, warm);
     EXPECT_LE(cold, warm);
 }
 
-TEST(WarmUp, IsNotPushedOverWhileTheRestAreFull) {
+TEST(WarmUp, ColdServerIsNotOverloadedWhileOthersReject) {
     // Guards against: the idle-looking cold server takes every retry that the full ones turn away.
     Settings settings = default_settings();
     settings.limits.max_attempts = 1;
@@ -778,33 +779,33 @@
 std::set<EndpointId> endpoints_used_at_low_rate(const Settings& settings, const std::vector<Endpoint>& list) {
     Rig rig(settings);
     rig.list(list);
-    std::set<EndpointId> met;
+    std::set<EndpointId> used;
     for (int i = 0; i < 200; ++i) {
         const auto send = only<Send>(rig.request(numbered("a", i)));
-        met.insert(send->endpoint);
+        used.insert(send->endpoint);
         rig.outcome(*send, Status::Ok, 0, true);
         rig.now += 50ms;
     }
-    return met;
+    return used;
 }
 
-TEST(SubsetSize, ReplicasUseStablePartsThatTogetherCoverTheFleet) {
+TEST(SubsetSize, ReplicasUseStableSubsetsThatCoverTheFleet) {
     // Guards against: replicas x servers connections, more than the servers accept.
     Settings settings = default_settings();
     settings.replicas = 40;
     std::set<EndpointId> all;
     for (std::uint32_t i = 0; i < 40; ++i) {
         settings.position = i;
-        const auto met = endpoints_used_at_low_rate(settings, servers(60));
-        EXPECT_LE(met.size(), 8u);
-        EXPECT_GE(met.size(), 2u);
-        EXPECT_EQ(met, endpoints_used_at_low_rate(settings, servers(60)));
-        all.insert(met.begin(), met.end());
+        const auto used = endpoints_used_at_low_rate(settings, servers(60));
+        EXPECT_LE(used.size(), 8u);
+        EXPECT_GE(used.size(), 2u);
+        EXPECT_EQ(used, endpoints_used_at_low_rate(settings, servers(60)));
+        all.insert(used.begin(), used.end());
     }
     EXPECT_EQ(all.size(), 60u);
 }
 
-TEST(SubsetSize, GrowsWithTheCallsOut) {
+TEST(SubsetSize, GrowsWithTheCallsInFlight) {
     // Guards against: a hot instance crowds the few servers of its part.
     Settings settings = default_settings();
     settings.replicas = 40;
@@ -812,11 +813,11 @@
     rig.list(servers(60));
     // Served in step until the rate is known, then more and more at once.
     for (int i = 0; i < 50; ++i) rig.outcome(*only<Send>(rig.request(numbered("w", i))), Status::Ok, 0, true);
-    std::set<EndpointId> met;
+    std::set<EndpointId> used;
     for (int i = 0; i < 40; ++i) {
-        if (const auto send = only<Send>(rig.request(numbered("a", i)))) met.insert(send->endpoint);
+        if (const auto send = only<Send>(rig.request(numbered("a", i)))) used.insert(send->endpoint);
     }
-    EXPECT_GE(met.size(), 20u);
+    EXPECT_GE(used.size(), 20u);
 }
 
 // ---- server view ----------------------------------------------------------------------------------
@@ -825,19 +826,19 @@
 int calls_to_faulty_server(Status status, Duration latency) {
     Rig rig(default_settings());
     rig.list(servers(4));
-    int met = 0;
+    int calls_met = 0;
     for (int i = 0; i < 200; ++i) {
         const auto send = only<Send>(rig.request(numbered("a", i)));
         if (!send) continue;
         const bool faulty = send->endpoint == EndpointId{1};
-        met += faulty ? 1 : 0;
+        calls_met += faulty ? 1 : 0;
         rig.now += faulty ? latency : 100ms;
         rig.outcome(*send, faulty ? status : Status::Ok, 0, true, faulty ? latency : 100ms);
     }
-    return met;
+    return calls_met;
 }
 
-TEST(ServerHealth, FastFailingAndSlowServersGetLessThanTheirShare) {
+TEST(ServerHealth, FailingAndSlowServersGetFewerCalls) {
     // Guards against: an empty server keeps winning draws while it fails fast or crawls. A share is 50.
     EXPECT_LT(calls_to_faulty_server(Status::Error, 1ms), 15);
     EXPECT_LT(calls_to_faulty_server(Status::Timeout, 1s), 15);
@@ -856,7 +857,7 @@
     int at_failing = 0, routed = 0;
     std::deque<Send> held;
     for (int i = 0; i < 400; ++i) {
-        const auto send = only<Send>(keyed(rig, numbered("r", i), std::nullopt, i % 4 == 0 ? 0 : 1));
+        const auto send = only<Send>(keyed_request(rig, numbered("r", i), std::nullopt, i % 4 == 0 ? 0 : 1));
         if (!send) continue;
         if (send->endpoint == EndpointId{1}) {
             if (i >= 160 && i % 4 == 0) ++routed;
@@ -874,7 +875,7 @@
     return routed;
 }
 
-TEST(ServerHealth, UnsafeCallKeepsOffQuickErrorsThatOthersMayRisk) {
+TEST(ServerHealth, NonIdempotentCallAvoidsServersWithFastErrors) {
     // Guards against: an endpoint that fails at once looks idle beside sound ones that hold several calls
     // each, and a call that may not go again fails there for good.
     EXPECT_LE(calls_to_failing_server(Idempotency::NonIdempotent, 0ms), 2);
@@ -884,42 +885,42 @@
         << "where all wait its place is worth more";
 }
 
-TEST(ServerHealth, ACallThatWasTurnedAwayTellsNothingOfItsServer) {
+TEST(ServerHealth, RejectionDoesNotCountAgainstTheServer) {
     // Guards against: servers with one place turn calls of many replicas away by chance; a replica that takes
     // this for a bad server or a queue sends elsewhere for 10 s and refuses good work.
     Rig rig(default_settings());
     rig.list(servers(2));
-    std::map<EndpointId, int> met;
+    std::map<EndpointId, int> calls_met;
     for (int i = 0; i < 400; ++i) {
         auto done = rig.request(numbered("a", i));
         EXPECT_TRUE(all_of<Refuse>(done).empty());
         const auto send = only<Send>(done);
         ASSERT_TRUE(send);
-        ++met[send->endpoint];
+        ++calls_met[send->endpoint];
         const bool turned_away = send->endpoint == EndpointId{1} && i % 4 == 0;
         rig.outcome(*send, turned_away ? Status::Rejected : Status::Ok, 0, true);
         rig.now += 50ms;
     }
-    EXPECT_GT(met[EndpointId{1}], 160);
+    EXPECT_GT(calls_met[EndpointId{1}], 160);
 }
 
-TEST(ServerHealth, ToldSizeWeighsTheCallsInFlight) {
+TEST(ServerHealth, CallsInFlightAreWeightedByServerSize) {
     // Guards against: servers of half the size held as full as the others.
     Rig rig(default_settings());
     auto list = servers(4);
     for (auto& endpoint : list) endpoint.weight = endpoint.id == EndpointId{1} ? 1.0 : 3.0;
     rig.list(list);
-    std::map<EndpointId, int> met;
+    std::map<EndpointId, int> calls_met;
     for (int i = 0; i < 12; ++i) {
-        if (const auto send = only<Send>(rig.request(numbered("a", i)))) ++met[send->endpoint];
+        if (const auto send = only<Send>(rig.request(numbered("a", i)))) ++calls_met[send->endpoint];
     }
-    EXPECT_LE(met[EndpointId{1}], 2);  // a share by calls alone is 3
-    list[0].weight = 0.0;              // no size told is no reason to divide by it
+    EXPECT_LE(calls_met[EndpointId{1}], 2);  // a share by calls alone is 3
+    list[0].weight = 0.0;                    // no size told is no reason to divide by it
     rig.list(list);
     EXPECT_TRUE(only<Send>(rig.request("b")));
 }
 
-TEST(ServerHealth, IsForgottenInTime) {
+TEST(ServerHealth, StatisticsDecay) {
     Rig rig(default_settings());
     rig.list(servers(2));
     for (int i = 0; i < 30; ++i) {
@@ -928,16 +929,16 @@
         rig.outcome(*send, faulty ? Status::Error : Status::Ok, 0, true, 100ms);
     }
     rig.now += 2min;
-    int met = 0;
+    int calls_met = 0;
     for (int i = 0; i < 100; ++i) {
         const auto send = only<Send>(rig.request(numbered("b", i)));
-        met += send->endpoint == EndpointId{1} ? 1 : 0;
+        calls_met += send->endpoint == EndpointId{1} ? 1 : 0;
         rig.outcome(*send, Status::Ok, 0, true, 100ms);
     }
-    EXPECT_GT(met, 10);
+    EXPECT_GT(calls_met, 10);
 }
 
-TEST(Silence, ServerWithAnOverdueCallGetsLessBeforeAnyAnswer) {
+TEST(Unanswered, ServerWithAnOverdueCallIsAvoided) {
     // Guards against: a server that stands still or vanished; there is no answer to go by.
     Rig rig(default_settings());
     rig.list(servers(2));
@@ -947,21 +948,21 @@
     }
     const auto stuck = only<Send>(rig.request("stuck"));
     rig.now += 1s;  // ten times the usual
-    int met = 0;
+    int calls_met = 0;
     for (int i = 0; i < 40; ++i) {
         const auto send = only<Send>(rig.request(numbered("a", i)));
         ASSERT_TRUE(send);
-        met += send->endpoint == stuck->endpoint ? 1 : 0;
+        calls_met += send->endpoint == stuck->endpoint ? 1 : 0;
         rig.outcome(*send, Status::Ok, 0, true, 100ms);
     }
-    EXPECT_EQ(met, 0);
+    EXPECT_EQ(calls_met, 0);
 }
 
 // ---- connections ----------------------------------------------------------------------------------
 
 /// Sends calls a second apart to one server, all idle connections being dead or none: how often connections
 /// were closed before use. A call on a connection that is fresh, or was closed and opened anew, is served.
-int closes_in_calls(int calls, bool idle_is_dead, bool all_silent = false) {
+int closes_during_calls(int calls, bool idle_is_dead, bool all_silent = false) {
     Settings settings = default_settings();
     settings.limits.connection_idle = 15s;
     Rig rig(settings);
@@ -983,15 +984,15 @@
     return closes;
 }
 
-TEST(Connections, IdleOnesThatMeetSilenceAreClosedBeforeUse) {
+TEST(Connections, UnansweringIdleConnectionsAreClosedBeforeUse) {
     // Guards against: connections dropped unseen on the way; what is sent on one gets no answer.
-    EXPECT_GT(closes_in_calls(60, true), 20);
-    EXPECT_EQ(closes_in_calls(60, false), 0);
+    EXPECT_GT(closes_during_calls(60, true), 20);
+    EXPECT_EQ(closes_during_calls(60, false), 0);
 }
 
-TEST(Connections, AreKeptWhereFreshOnesMeetSilenceToo) {
+TEST(Connections, IdleConnectionsAreKeptIfNewOnesAreUnansweredToo) {
     // A server that stands still is no matter of connections: closing them would only cost handshakes.
-    EXPECT_EQ(closes_in_calls(60, false, true), 0);
+    EXPECT_EQ(closes_during_calls(60, false, true), 0);
 }
 
 // ---- overdue attempts -----------------------------------------------------------------------------
@@ -1004,7 +1005,7 @@
     rig.outcome(sends[0], Status::Ok, 0, true);
 }
 
-TEST(Overdue, AttemptIsEndedAndItsCallGoesElsewhere) {
+TEST(Overdue, AttemptIsCancelledAndRetriedElsewhere) {
     Rig rig(default_settings());
     rig.list(servers(2));
     serve_one(rig, "quick");
@@ -1021,7 +1022,7 @@
     EXPECT_NE(second[0].endpoint, first[0].endpoint);
 }
 
-TEST(Overdue, UnsafeCallWaitsOnUntilItsClientLeaves) {
+TEST(Overdue, NonIdempotentCallWaitsUntilItsClientLeaves) {
     Rig rig(default_settings(Idempotency::NonIdempotent));
     rig.list(servers(2));
     serve_one(rig, "quick");
@@ -1034,7 +1035,7 @@
     EXPECT_EQ(ended[0].id, "left");
 }
 
-TEST(Overdue, OneLostCallDoesNotKeepItsServerOutAndASecondDoes) {
+TEST(Overdue, OneLostCallDoesNotExcludeItsServerButASecondDoes) {
     // Guards against: a debit that is lost with its connection keeps an endpoint out until its deadline, and
     // for the fading of a view after it, since nothing is sent there that could show it alive.
     for (const bool stands_still : {false, true}) {
@@ -1044,20 +1045,20 @@
         Rig rig(settings);
         rig.list(servers(2));
         for (int i = 0; i < 40; ++i) {
-            const auto send = only<Send>(keyed(rig, numbered("w", i), std::nullopt, i % 2));
+            const auto send = only<Send>(keyed_request(rig, numbered("w", i), std::nullopt, i % 2));
             rig.advance(20ms);
             rig.outcome(*send, Status::Ok, 0, true, 20ms);
         }
-        const auto lost = only<Send>(keyed(rig, "lost", std::nullopt, 1));
+        const auto lost = only<Send>(keyed_request(rig, "lost", std::nullopt, 1));
         ASSERT_TRUE(lost);
         rig.advance(500ms);  // overdue by far
-        int there = 0;
+        int calls_there = 0;
         std::deque<Send> held;  // six at a time
         for (int i = 0; i < 60; ++i) {
             const auto send = only<Send>(rig.request(numbered("r", i)));
             rig.advance(5ms);
             const bool same = send && send->endpoint == lost->endpoint;
-            there += same ? 1 : 0;
+            calls_there += same ? 1 : 0;
             if (send && (!same || !stands_still)) held.push_back(*send);
             if (held.size() <= 6 && (send || held.empty()))
                 continue;  // shed: nothing new holds the others up
@@ -1065,14 +1066,14 @@
             held.pop_front();
         }
         if (stands_still) {
-            EXPECT_LE(there, 2) << "a second call found out";
+            EXPECT_LE(calls_there, 2) << "a second call found out";
         } else {
-            EXPECT_GE(there, 8) << "it takes its part beside the lost call";
+            EXPECT_GE(calls_there, 8) << "it takes its part beside the lost call";
         }
     }
 }
 
-TEST(Overdue, CallsThatWaitAloneAreNoQueueAndOthersAre) {
+TEST(Overdue, LostCallsAreNoQueueAndOthersAre) {
     for (const bool alone : {true, false}) {
         Rig rig(default_settings(Idempotency::NonIdempotent));
         rig.list(servers(1));
@@ -1089,7 +1090,7 @@
 
 // ---- load shedding and doomed work ----------------------------------------------------------------
 
-TEST(Shedding, CrowdedInstanceDeclinesTheLeastWorthFirstAndRecovers) {
+TEST(Shedding, ShedsTheLowestValueFirstAndRecovers) {
     // Guards against: servers fill and stay slow, since nothing is declined before they decline it
     // themselves.
     Settings settings = default_settings();
@@ -1098,7 +1099,7 @@
     Rig rig(settings);
     rig.list(servers(4));
     const auto ask = [&](const RequestId& id, std::uint32_t index) {
-        return keyed(rig, id, std::nullopt, index);
+        return keyed_request(rig, id, std::nullopt, index);
     };
     for (int i = 0; i < 60; ++i) {
         for (std::uint32_t index : {0u, 1u}) {
@@ -1132,7 +1133,7 @@
     return request;
 }
 
-TEST(StreamedRequest, TimeThatABodyTakesIsNotAnEndpoints) {
+TEST(StreamedRequest, UploadTimeIsNotCountedAgainstTheEndpoint) {
     Rig rig(default_settings());
     rig.list(servers(2));
     const auto warm = all_of<Send>(rig.request("warm"));
@@ -1159,7 +1160,7 @@
     EXPECT_EQ(ended[0].id, "long");
 }
 
-TEST(StreamedRequest, ManyOfThemAreNoQueueForWhichOthersAreShed) {
+TEST(StreamedRequest, UploadsInProgressAreNoQueue) {
     Settings settings = default_settings();
     Rig rig(settings);
     rig.list(servers(4));
@@ -1179,7 +1180,7 @@
     }
 }
 
-TEST(StreamedRequest, OneThatEndsBeforeItsLastByteLeavesTheCountsAsTheyWere) {
+TEST(StreamedRequest, AbortedUploadLeavesTheCountsIntact) {
     Rig rig(default_settings(Idempotency::NonIdempotent));
     rig.list(servers(1));
     const auto sent = all_of<Send>(rig.give(streamed_request(rig, "long")));
@@ -1194,7 +1195,7 @@
     }
 }
 
-TEST(Shedding, CountOfCallsOutIsTrustedOnceCallsAreSeenToWait) {
+TEST(Shedding, CallsInFlightCountOnceCallsAreSeenToQueue) {
     // Guards against: a jam that shows in answers only seconds late; and a calm day taken for one.
     for (const Duration latency : {100ms, 500ms}) {
         Rig rig(default_settings());
@@ -1214,7 +1215,7 @@
 
 /// Steady calls that take `before`; from 4 s on they come `times` as often and take `after`. Gives back how
 /// many of those that came in the second after the step were declined.
-int declined_at_step(std::uint32_t replicas, double times, Duration before, Duration after) {
+int shed_at_step(std::uint32_t replicas, double times, Duration before, Duration after) {
     Settings settings = default_settings();
     settings.replicas = replicas;
     settings.classes.push_back(settings.classes[0]);
@@ -1246,19 +1247,19 @@
     return declined;
 }
 
-TEST(Shedding, StepInOwnArrivalsIsToldApartFromServersThatSlowDown) {
+TEST(Shedding, TrafficStepIsDistinguishedFromSlowServers) {
     // Guards against: taking a neighbour's calls for a queue while it drains, since what comes back still has
     // the pace of what went out before; and against overlooking servers that become slow at that moment.
-    EXPECT_EQ(declined_at_step(2, 1.0, 250ms, 250ms), 0) << "a steady day, from its first call on";
-    EXPECT_EQ(declined_at_step(2, 2.0, 250ms, 250ms), 0) << "a neighbour leaves, servers stay as they are";
-    EXPECT_GT(declined_at_step(2, 2.0, 250ms, 900ms), 10) << "a neighbour leaves and servers slow down";
-    EXPECT_GT(declined_at_step(2, 1.0, 250ms, 900ms), 5) << "servers slow down";
-    EXPECT_GT(declined_at_step(2, 8.0, 250ms, 250ms), 10) << "more than a neighbour could have had";
-    EXPECT_GT(declined_at_step(60, 2.0, 250ms, 250ms), 10) << "among many no neighbour explains it";
-    EXPECT_GT(declined_at_step(1, 2.0, 250ms, 250ms), 10) << "nor where there is none";
+    EXPECT_EQ(shed_at_step(2, 1.0, 250ms, 250ms), 0) << "a steady day, from its first call on";
+    EXPECT_EQ(shed_at_step(2, 2.0, 250ms, 250ms), 0) << "a neighbour leaves, servers stay as they are";
+    EXPECT_GT(shed_at_step(2, 2.0, 250ms, 900ms), 10) << "a neighbour leaves and servers slow down";
+    EXPECT_GT(shed_at_step(2, 1.0, 250ms, 900ms), 5) << "servers slow down";
+    EXPECT_GT(shed_at_step(2, 8.0, 250ms, 250ms), 10) << "more than a neighbour could have had";
+    EXPECT_GT(shed_at_step(60, 2.0, 250ms, 250ms), 10) << "among many no neighbour explains it";
+    EXPECT_GT(shed_at_step(1, 2.0, 250ms, 250ms), 10) << "nor where there is none";
 }
 
-TEST(TooLate, CallOfAnInnerTierThatCannotBeInTimeIsDeclinedAtOnce) {
+TEST(TooLate, InnerTierRefusesCallsThatWouldBeLate) {
     // Guards against: a jam in which slots above are held for calls whose answers nobody wants any more.
     Settings settings = default_settings(Idempotency::NonIdempotent);
     settings.tiers = 2;
@@ -1549,7 +1550,7 @@
     return settings;
 }
 
-TEST(RandomEvents, KeepTheRulesThatAnInstanceKeepsAlone) {
+TEST(RandomEvents, KeepTheRules) {
     for (std::uint64_t seed = 1; seed <= 40; ++seed) {
         SCOPED_TRACE(seed);
         RandomScenario day(random_settings(seed), seed);
@@ -1559,7 +1560,7 @@
     }
 }
 
-TEST(Determinism, SameSeedAndEventsGiveTheSameActionsAndInstancesAreApart) {
+TEST(Determinism, SameSeedAndEventsGiveTheSameActions) {
     std::vector<std::string> alone;
     for (std::uint64_t seed = 1; seed <= 3; ++seed) {
         RandomScenario day(random_settings(seed), seed);
@@ -1583,15 +1584,15 @@
 
 struct InvalidSetting {
     const char* name;
-    void (*corrupt)(Settings&);
+    void (*make_invalid)(Settings&);
     const char* field;
 };
 class InvalidSettings : public testing::TestWithParam<InvalidSetting> {};
 
-TEST_P(InvalidSettings, AreRejectedByName) {
+TEST_P(InvalidSettings, AreRejectedWithTheFieldName) {
     Settings settings = default_settings();
     EXPECT_NO_THROW(Balancer(settings, 1));
-    GetParam().corrupt(settings);
+    GetParam().make_invalid(settings);
     try {
         Balancer balancer(settings, 1);
         ADD_FAILURE() << "accepted";
@@ -1638,7 +1639,7 @@
                        "tenants.share"}),
     [](const auto& info) { return info.param.name; });
 
-TEST(BadInput, ClassOrTenantOutOfRangeIsRefusedBeforeAnythingChanges) {
+TEST(InvalidInput, ClassOrTenantOutOfRangeIsRejectedWithoutEffect) {
     Settings settings = default_settings();
     settings.tenants = {{"t", 1.0, 10.0}};
     Rig rig(settings);
--- a/tests/policy/ring_test.cpp
+++ b/tests/policy/ring_test.cpp
@@ -25,7 +25,7 @@
     }
 }
 
-TEST(Ring, AgreesWithASortedListUnderRandomChanges) {
+TEST(Ring, MatchesASortedMapUnderRandomChanges) {
     for (std::uint64_t seed = 1; seed <= 20; ++seed) {
         Random random(seed);
         Ring<int> ring;
--- a/tests/subset/subset_policy_test.cpp
+++ b/tests/subset/subset_policy_test.cpp
@@ -53,7 +53,7 @@
         }
         return result;
     }
-    bool agrees() const {
+    bool module_has_selection() const {
         const auto selected = policy->selected();
         return ready() == std::set<EndpointId>(selected.begin(), selected.end());
     }
@@ -78,14 +78,14 @@
     return result;
 }
 
-TEST(SubsetPolicy, ShowsTheModuleItsWidthAndNoMore) {
+TEST(SubsetPolicy, ShowsTheModuleWidthEndpoints) {
     Sidecar sidecar(3, 92, {20, 160});
     sidecar.list(DiscoveryUpdate::Kind::Full, fleet(1'000));
     EXPECT_EQ(sidecar.record->listed.size(), 20u);
-    EXPECT_TRUE(sidecar.agrees());
+    EXPECT_TRUE(sidecar.module_has_selection());
 }
 
-TEST(SubsetPolicy, AFleetCoversAllEndpointsEvenly) {
+TEST(SubsetPolicy, FleetCoversAllEndpointsEvenly) {
     std::map<EndpointId, int> callers;
     for (std::uint32_t i = 0; i < 100; ++i) {
         Sidecar sidecar(i, 100, {20, 160});
@@ -96,14 +96,14 @@
     for (const auto& [id, count] : callers) EXPECT_EQ(count, 2);
 }
 
-TEST(SubsetPolicy, AnEndpointThatGoesIsReplacedByOneChange) {
+TEST(SubsetPolicy, RemovedEndpointIsReplacedByOneOther) {
     Sidecar sidecar(0, 10, {20, 160});
     sidecar.list(DiscoveryUpdate::Kind::Full, fleet(1'000));
     Endpoint lost = sidecar.record->listed.begin()->second;
     const auto before = sidecar.ready();
     lost.availability = Availability::Gone;
     sidecar.list(DiscoveryUpdate::Kind::Delta, {lost});
-    EXPECT_TRUE(sidecar.agrees());
+    EXPECT_TRUE(sidecar.module_has_selection());
     const auto after = sidecar.ready();
     EXPECT_EQ(after.size(), 20u);
     std::vector<EndpointId> fresh;
@@ -112,7 +112,7 @@
     EXPECT_LE(sidecar.record->endpoints_in_changes, 3u);
 }
 
-TEST(SubsetPolicy, ADrainReachesTheModuleAndOnesElsewhereDoNot) {
+TEST(SubsetPolicy, OnlyDrainsWithinTheSubsetReachTheModule) {
     Sidecar sidecar(0, 10, {20, 160});
     sidecar.list(DiscoveryUpdate::Kind::Full, fleet(1'000));
     const auto selected = sidecar.policy->selected();
@@ -120,7 +120,7 @@
     mine.availability = Availability::Draining;
     sidecar.list(DiscoveryUpdate::Kind::Delta, {mine});
     EXPECT_EQ(sidecar.record->listed.at(mine.id).availability, Availability::Draining);
-    EXPECT_TRUE(sidecar.agrees());
+    EXPECT_TRUE(sidecar.module_has_selection());
     // An endpoint in the middle of another sidecar's window.
     std::uint32_t number = 0;
     Sidecar other(5, 10, {20, 160});
@@ -132,30 +132,30 @@
     EXPECT_FALSE(sidecar.record->listed.contains(endpoint(number).id));
 }
 
-TEST(SubsetPolicy, WhatIsGivenUpIsGoneForTheModuleAndItsIdleConnectionsAreClosed) {
+TEST(SubsetPolicy, NarrowingRemovesEndpointsAndClosesIdleConnections) {
     Sidecar sidecar(0, 1, {5, 40});
     sidecar.list(DiscoveryUpdate::Kind::Full, fleet(100));
     sidecar.outcome(Status::Reset, 10);
     sidecar.now += 1100ms;
     sidecar.tell(TimerFired{1});
     ASSERT_EQ(sidecar.policy->width(), 10u);
-    ASSERT_TRUE(sidecar.agrees());
-    std::size_t shut = 0;
+    ASSERT_TRUE(sidecar.module_has_selection());
+    std::size_t closed = 0;
     for (int i = 0; i < 40; ++i) {
         sidecar.now += 1s;
         sidecar.outcome(Status::Ok, 5);
-        shut += static_cast<std::size_t>(
+        closed += static_cast<std::size_t>(
             std::count_if(sidecar.actions.begin(), sidecar.actions.end(),
                           [](auto& a) { return std::holds_alternative<CloseIdleConnections>(a); }));
         // The first event of a second brings the change.
         sidecar.tell(TimerFired{1});
     }
     EXPECT_EQ(sidecar.policy->width(), 5u);
-    EXPECT_TRUE(sidecar.agrees());
+    EXPECT_TRUE(sidecar.module_has_selection());
     EXPECT_EQ(sidecar.record->listed.size(), 5u);
 }
 
-TEST(SubsetPolicy, ASubsetWhoseEveryMemberIsBadGrowsUntilOthersAreIn) {
+TEST(SubsetPolicy, FailingSubsetWidensUpToTheMaximum) {
     Sidecar sidecar(0, 10, {5, 40});
     sidecar.list(DiscoveryUpdate::Kind::Full, fleet(1'000));
     const auto bad = sidecar.ready();
@@ -175,10 +175,10 @@
         sidecar.tell(TimerFired{1});
     }
     EXPECT_EQ(sidecar.policy->width(), 40u);
-    EXPECT_TRUE(sidecar.agrees());
+    EXPECT_TRUE(sidecar.module_has_selection());
 }
 
-TEST(SubsetPolicy, AHotSidecarSpreadsOverMore) {
+TEST(SubsetPolicy, BusySidecarWidensItsSubset) {
     Sidecar sidecar(0, 10, {5, 40});
     sidecar.list(DiscoveryUpdate::Kind::Full, fleet(100));
     for (int i = 0; i < 9; ++i) {
@@ -198,7 +198,7 @@
 }
 
 /// A wider subset may let held calls out at once: they are out like any other.
-TEST(SubsetPolicy, WhatAWiderSubsetLetsOutIsCounted) {
+TEST(SubsetPolicy, SendsCausedByWideningAreCounted) {
     Sidecar sidecar(0, 10, {4, 8});
     sidecar.list(DiscoveryUpdate::Kind::Full, fleet(100));
     sidecar.outcome(Status::Reset, 10);
@@ -215,7 +215,7 @@
     EXPECT_EQ(sidecar.policy->width(), 8u);
 }
 
-TEST(SubsetPolicy, OwnZoneFirstAndTheRestWhereItIsShort) {
+TEST(SubsetPolicy, OwnZoneComesFirst) {
     const auto zones = [](const Sidecar& sidecar) {
         std::map<std::uint32_t, int> count;
         for (const auto& [id, e] : sidecar.record->listed) ++count[e.zone];
@@ -239,10 +239,10 @@
     even.list(DiscoveryUpdate::Kind::Delta, gone);
     EXPECT_EQ(zones(even).contains(1), false);
     EXPECT_EQ(even.record->listed.size(), 12u);
-    EXPECT_TRUE(even.agrees());
+    EXPECT_TRUE(even.module_has_selection());
 }
 
-TEST(SubsetPolicy, TiersOfOneAndOfNone) {
+TEST(SubsetPolicy, TiersWithOneAndWithNoEndpoint) {
     Sidecar sidecar(7, 92, {20, 160});
     sidecar.list(DiscoveryUpdate::Kind::Full, {});
     EXPECT_TRUE(sidecar.record->listed.empty());
@@ -250,18 +250,18 @@
     EXPECT_EQ(sidecar.record->listed.size(), 1u);
     sidecar.list(DiscoveryUpdate::Kind::Delta, {endpoint(0, 0, Availability::Gone)});
     EXPECT_TRUE(sidecar.record->listed.empty());
-    EXPECT_TRUE(sidecar.agrees());
+    EXPECT_TRUE(sidecar.module_has_selection());
 }
 
-TEST(SubsetPolicy, WrongOptionsAreRefused) {
+TEST(SubsetPolicy, InvalidOptionsAreRejected) {
     EXPECT_THROW(Sidecar(0, 1, {0, 10}), std::invalid_argument);
     EXPECT_THROW(Sidecar(0, 1, {20, 10}), std::invalid_argument);
 }
 
 /// Random changes against the same lists taken in whole: the same choice, and the module knows it.
-TEST(SubsetPolicy, ChangesLeadWhereWholeListsWould) {
+TEST(SubsetPolicy, DeltasGiveTheSameSubsetAsFullLists) {
     std::mt19937_64 random(5);
-    Sidecar by_changes(3, 7, {12, 96}, 1, 3), by_lists(3, 7, {12, 96}, 1, 3);
+    Sidecar by_deltas(3, 7, {12, 96}, 1, 3), by_lists(3, 7, {12, 96}, 1, 3);
     std::map<std::uint32_t, Endpoint> all;
     for (int step = 0; step < 3'000; ++step) {
         EndpointList changes;
@@ -279,15 +279,15 @@
                 all[number] = e;
             }
         }
-        by_changes.list(DiscoveryUpdate::Kind::Delta, changes);
+        by_deltas.list(DiscoveryUpdate::Kind::Delta, changes);
         EndpointList whole;
         for (const auto& [number, e] : all) whole.push_back(e);
         by_lists.list(DiscoveryUpdate::Kind::Full, whole);
-        ASSERT_EQ(by_changes.policy->selected(), by_lists.policy->selected()) << "step " << step;
-        ASSERT_TRUE(by_changes.agrees()) << "step " << step;
-        ASSERT_TRUE(by_lists.agrees()) << "step " << step;
+        ASSERT_EQ(by_deltas.policy->selected(), by_lists.policy->selected()) << "step " << step;
+        ASSERT_TRUE(by_deltas.module_has_selection()) << "step " << step;
+        ASSERT_TRUE(by_lists.module_has_selection()) << "step " << step;
         // What drains and was used is still known as that: what is out there goes on.
-        for (const auto& [id, e] : by_changes.record->listed) {
+        for (const auto& [id, e] : by_deltas.record->listed) {
             const auto known =
                 std::find_if(all.begin(), all.end(), [&, id = id](auto& a) { return a.second.id == id; });
             ASSERT_NE(known, all.end()) << "step " << step;
--- a/tests/subset/subset_test.cpp
+++ b/tests/subset/subset_test.cpp
@@ -40,9 +40,9 @@
             ++all;
         }
     }
-    int most = 0;
-    for (const auto& [i, count] : callers) most = std::max(most, count);
-    return most / (all / static_cast<double>(members.size()));
+    int max_callers = 0;
+    for (const auto& [i, count] : callers) max_callers = std::max(max_callers, count);
+    return max_callers / (all / static_cast<double>(members.size()));
 }
 
 /// Endpoints that a sidecar newly connects to by a change, in the mean.
@@ -60,14 +60,14 @@
 
 class EveryMethod : public testing::TestWithParam<Method> {};
 
-TEST_P(EveryMethod, GivesAsManyAsAskedWithoutRepeatsAndAlikeEachTime) {
+TEST_P(EveryMethod, ReturnsWidthUniqueMembersDeterministically) {
     const auto members = tier(99);
     for (const std::size_t width : {1u, 7u, 20u, 98u, 99u, 500u}) {
         for (std::uint32_t p = 0; p < 92; ++p) {
             const auto picked = choose(GetParam(), members, {p, 92, width});
-            const std::size_t least = std::min<std::size_t>(width, 99);
-            ASSERT_GE(picked.size(), least);
-            ASSERT_LE(picked.size(), least + 2);  // an aperture touches one more at each end
+            const std::size_t expected = std::min<std::size_t>(width, 99);
+            ASSERT_GE(picked.size(), expected);
+            ASSERT_LE(picked.size(), expected + 2);  // an aperture touches one more at each end
             ASSERT_TRUE(std::is_sorted(picked.begin(), picked.end()));
             ASSERT_EQ(std::adjacent_find(picked.begin(), picked.end()), picked.end());
             ASSERT_LT(picked.back(), members.size());
@@ -76,7 +76,7 @@
     }
 }
 
-TEST_P(EveryMethod, CopesWithNoneWithOneAndWithAPositionPastTheReplicas) {
+TEST_P(EveryMethod, HandlesEmptyTiersSingleMembersAndLargePositions) {
     EXPECT_TRUE(choose(GetParam(), {}, {0, 1, 20}).empty());
     EXPECT_EQ(choose(GetParam(), tier(1), {5, 9, 20}), std::vector<std::size_t>{0});
     EXPECT_EQ(choose(GetParam(), tier(50), {12, 9, 5}), choose(GetParam(), tier(50), {3, 9, 5}));
@@ -87,7 +87,7 @@
 INSTANTIATE_TEST_SUITE_P(Methods, EveryMethod,
                          testing::Values(Method::Window, Method::Rounds, Method::Aperture, Method::Lots));
 
-TEST(Subset, WindowsAndWholeLotsCoverEveryEndpointAboutAlike) {
+TEST(Subset, WindowsAndFullLotsCoverEndpointsEvenly) {
     const auto members = tier(1024);
     EXPECT_LE(unevenness(Method::Window, members, 512, 16), 1.13);
     EXPECT_LE(unevenness(Method::Lots, members, 512, 16), 1.13);
@@ -95,7 +95,7 @@
     EXPECT_LE(unevenness(Method::Lots, members, 500, 16), 1.30);
 }
 
-TEST(Subset, LotsMoveLittleWhenOneEndpointComesOrGoes) {
+TEST(Subset, LotsMoveLittleWhenOneEndpointChanges) {
     const auto members = tier(1100);
     auto fewer = members;
     fewer.erase(fewer.begin() + 300);
@@ -104,7 +104,7 @@
     EXPECT_GT(movement(Method::Rounds, members, fewer, 200, 200, 16), 5.0);  // a shuffle moves nearly all
 }
 
-TEST(Subset, LotsMoveNearlyAllWhereTheTierCrossesAPowerOfTwoOfWidths) {
+TEST(Subset, LotsMoveNearlyAllWhenTheirSizeDoubles) {
     // 1039 endpoints of width 16 are lots of 64, one more makes lots of 128. Known, and why a tier's width is
     // better set so that its size is not at such a step.
     const auto members = tier(1040);
@@ -113,13 +113,13 @@
     EXPECT_GT(movement(Method::Lots, members, fewer, 200, 200, 16), 5.0);
 }
 
-TEST(Subset, LotsMoveNothingWhenASidecarComesOrGoes) {
+TEST(Subset, LotsMoveNothingWhenOneSidecarChanges) {
     const auto members = tier(1024);
     EXPECT_EQ(movement(Method::Lots, members, members, 200, 201, 16), 0.0);
     EXPECT_GT(movement(Method::Window, members, members, 200, 201, 16), 1.0);
 }
 
-TEST(Subset, NamesAreReadAndOthersSaidToBeNone) {
+TEST(Subset, ParsesMethodNamesAndRejectsOthers) {
     EXPECT_EQ(parse_method("lots"), Method::Lots);
     EXPECT_THROW(parse_method("dice"), std::invalid_argument);
 }
