--- a/tests/adapter/adapter_test.cpp
+++ b/tests/adapter/adapter_test.cpp
@@ -1,4 +1,4 @@
-// The adapter on wire text: round trips, order of events, and every kind of malformed line.
+// The adapter's JSON protocol: replies, order of events, and all kinds of malformed lines.
 #include <gtest/gtest.h>
 
 #include <sstream>
@@ -23,7 +23,7 @@
     return R"({"t":"provision","sidecar_id":)" + std::to_string(id) + R"(,"prng":7,"settings":)" +
            settings(discovery) + "}";
 }
-/// A provision with one piece of its settings' text replaced.
+/// A provision message with a part of its settings replaced.
 std::string provision_with(const std::string& old_text, const std::string& new_text) {
     std::string text = provision();
     return text.replace(text.find(old_text), old_text.size(), new_text);
@@ -79,7 +79,7 @@
 TEST(Adapter, StopAndProvisionInOneBatchResetTheInstance) {
     Host host;
     host.reply(batch(1, provision() + "," + ledger(0, 5) + "," + peers_known(0) + "," + ingress("x")));
-    // The fresh instance knows neither the request nor the endpoint of its former life.
+    // The new instance knows neither the request nor the endpoint of the previous one.
     const std::string reply = host.reply(
         batch(2, R"({"t":"stop","sidecar_id":0},)" + provision() + "," +
                      R"({"t":"completed","sidecar_id":0,"request_id":"x","go":0,"endpoint":5,"ending":0,)"
@@ -137,7 +137,7 @@
         host.reply(batch(1, provision_text + "," + ledger(0, 5) + "," + peers_known(0) + "," + ingress("x")));
         host.reply(batch(2, R"({"t":"completed","sidecar_id":0,"request_id":"x","go":0,"endpoint":5,)"
                             R"("ending":0,"wait_time":1000,"last":false,"report":null})"));
-        // The timer of the retry is the first that the balancer set; its token is the request's number.
+        // The token of the retry timer is the number of the request, which is the first one.
         return host.reply(batch(3, R"({"t":"due","sidecar_id":0,"label":1})", 400000000));
     };
     EXPECT_NE(reply_to_retry_timer("").find("place"), std::string::npos);
@@ -249,7 +249,7 @@
                   R"("cold_from":0.3,"fall_multiple":3.0,"ramp_time":5,"stop_sending_within":5,)"
                   R"("tip_after":2}}})"),
             "round 2, message 'provision': decision library: settings field 'replicas' is zero"},
-        // A good event before the bad one must not show in the reply either.
+        // A valid event before the malformed one must not show in the reply either.
         Malformed{"LateInTheBatch", batch(2, ingress("x") + R"(,{"t":"due","sidecar_id":0})"),
                   "round 2, message 'due': field 'label' is missing"}),
     [](const auto& info) { return info.param.name; });
--- a/tests/outlier/outlier_policy_test.cpp
+++ b/tests/outlier/outlier_policy_test.cpp
@@ -40,7 +40,7 @@
     void outcome(std::uint32_t id, Status status) {
         tell(Outcome{"r", 0, EndpointId{id}, status, 1ms, true, std::nullopt, true});
     }
-    /// Failures as an endpoint shows them that is asked once a minute.
+    /// Failures of an endpoint that gets one call a minute.
     void fail(std::uint32_t id, int times) {
         for (int i = 0; i < times; ++i) {
             now += 60s;
@@ -60,7 +60,7 @@
     sidecar.fail(7, 2);
     EXPECT_EQ(sidecar.seen(7), Availability::Ready);
     sidecar.fail(7, 1);
-    EXPECT_EQ(sidecar.seen(7), Availability::Draining);  // what is out there goes on
+    EXPECT_EQ(sidecar.seen(7), Availability::Draining);  // calls in flight continue
     EXPECT_TRUE(sidecar.policy.ejected(EndpointId{7}));
     sidecar.now += 59s;
     sidecar.tell(TimerFired{1});
@@ -68,7 +68,7 @@
     sidecar.now += 1s;
     sidecar.tell(TimerFired{1});
     EXPECT_EQ(sidecar.seen(7), Availability::Ready);
-    // The first failure after that ejects, for twice as long.
+    // The first failure after the readmission ejects it for twice as long.
     sidecar.fail(7, 1);
     EXPECT_EQ(sidecar.seen(7), Availability::Draining);
     sidecar.now += 119s;
@@ -85,12 +85,12 @@
     sidecar.policy.on_ejected(
         [&](EndpointId id, std::uint32_t) { reported.push_back(static_cast<std::uint32_t>(id)); });
     sidecar.policy.note_peer_ejection(EndpointId{7});
-    sidecar.policy.note_peer_ejection(EndpointId{99});  // known to nobody here
+    sidecar.policy.note_peer_ejection(EndpointId{99});  // not in the list
     EXPECT_EQ(sidecar.seen(7), Availability::Ready);
     sidecar.outcome(7, Status::Error);
     EXPECT_EQ(sidecar.seen(7), Availability::Draining);
     EXPECT_EQ(reported, std::vector<std::uint32_t>{7});
-    // What it serves here weighs against what others say.
+    // Successes here outweigh reports of others.
     sidecar.policy.note_peer_ejection(EndpointId{8});
     sidecar.outcome(8, Status::Ok);
     sidecar.outcome(8, Status::Ok);
@@ -138,7 +138,7 @@
     std::size_t ready = 0;
     for (std::uint32_t id = 0; id < 9; ++id) ready += sidecar.seen(id) == Availability::Ready ? 1 : 0;
     EXPECT_EQ(ready, 6u);
-    // A tier of one is never without.
+    // The only endpoint of a tier is never ejected.
     Sidecar alone({}, 1);
     alone.fail(0, 20);
     EXPECT_EQ(alone.seen(0), Availability::Ready);
@@ -159,7 +159,7 @@
     EXPECT_EQ(sidecar.seen(7), Availability::Ready);
     sidecar.fail(7, 2);
     EXPECT_EQ(sidecar.seen(7), Availability::Ready);
-    // Gone for good while it is out: nothing brings it back.
+    // Removed during an ejection: it is not readmitted.
     sidecar.fail(7, 1);
     ASSERT_TRUE(sidecar.policy.ejected(EndpointId{7}));
     e.availability = Availability::Gone;
@@ -179,8 +179,8 @@
     EXPECT_THROW(Sidecar{options}, std::invalid_argument);
 }
 
-/// Random outcomes, lists and times: the bound on the share holds, drains stay, and no endpoint that is
-/// listed as ready stays out for longer than the most.
+/// Random outcomes, lists and times: ejections are shown as draining, listed drains stay, and no endpoint
+/// stays ejected for longer than the maximum.
 TEST(Outlier, KeepsItsLimitsUnderRandomEvents) {
     Options options;
     options.max_ejection_time = 300s;
@@ -194,7 +194,7 @@
         sidecar.now += std::chrono::seconds(random() % 8);
         const auto id = static_cast<std::uint32_t>(random() % 30);
         const auto what = random() % 20;
-        // Whose time is up comes back first, also where the event that follows sends it out again.
+        // Due readmissions come first, even if the next event ejects the endpoint again.
         sidecar.tell(TimerFired{1});
         std::erase_if(out_since, [&](const auto& o) { return !sidecar.policy.ejected(EndpointId{o.first}); });
         if (what < 16) {
--- a/tests/policy/large_fleet_test.cpp
+++ b/tests/policy/large_fleet_test.cpp
@@ -1,6 +1,5 @@
-// Lists of endpoints taken in change by change against the same lists taken in whole: the decisions must be
-// the same, whatever comes and goes meanwhile. Guards what the module keeps in place of looking at every
-// endpoint.
+// Two balancers get the same endpoint changes, one as deltas and one as full lists, and must make the same
+// decisions. Guards the incrementally updated state that saves the module from looking at every endpoint.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -68,7 +67,7 @@
     return std::visit(Visitor{}, action);
 }
 
-/// A made-up fleet and what happens to it, told to two balancers at once.
+/// A simulated fleet whose random events go to two balancers at once.
 class BalancerPair {
   public:
     BalancerPair(std::uint64_t seed, DedupScope dedup_scope, int size = 40, std::uint32_t cells = 8)
@@ -126,7 +125,7 @@
         fleet[endpoint.id] = endpoint;
     }
 
-    /// One endpoint comes, drains, returns, restarts, moves to another cell or goes.
+    /// Adds, drains, restores, restarts, moves to another cell, or removes one endpoint.
     void change() {
         ++changes;
         std::vector<Endpoint> changed;
@@ -225,7 +224,7 @@
     EXPECT_GT(changes, 3'000u);
 }
 
-/// Around the size from which a cell's servers stand in the ring by themselves.
+/// Around the cell size above which servers are placed on the ring one by one instead of in pairs.
 TEST_P(LargeFleet, CellSizeCrossesThePairingLimit) {
     std::uint64_t sent = 0, changes = 0;
     for (std::uint64_t seed = 1; seed <= 6 && !HasFatalFailure(); ++seed) {
--- a/tests/policy/logic_test.cpp
+++ b/tests/policy/logic_test.cpp
@@ -1,4 +1,4 @@
-// The decision module through its interface only: settings, events and simulated time.
+// Tests the decision module through its public interface: settings, events and simulated time.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -69,7 +69,7 @@
     return prefix.append(std::to_string(number));
 }
 
-/// One balancer under a clock that the test moves; timers are kept here and fired when asked.
+/// One balancer with a simulated clock. Collects the timers and fires them in advance().
 class Rig {
   public:
     explicit Rig(Settings settings, std::uint64_t seed = 1) : balancer_(settings, seed) {
@@ -93,7 +93,7 @@
                                 Duration latency = 10ms) {
         return give(Outcome{send.id, attempt, send.endpoint, status, latency, last, {}});
     }
-    /// Moves the clock on, firing every timer on the way. Gives back all that was done.
+    /// Advances the clock and fires all timers that are due. Returns all actions.
     std::vector<Action> advance(Duration by) {
         const Time end = now + by;
         std::vector<Action> all;
@@ -110,7 +110,7 @@
 
     Time now{1h};
     std::multimap<Time, std::uint64_t> timers;
-    std::function<void(const std::vector<Action>&)> watch;  ///< sees the actions at the time they are made
+    std::function<void(const std::vector<Action>&)> watch;  ///< called with the actions of each event
 
   private:
     template <typename F>
@@ -146,19 +146,20 @@
 
 // ---- retry budget, backoff, deadline --------------------------------------------------------------
 
-/// Fails first attempts until one is not retried; how many retries were granted.
+/// Lets first attempts fail until one is not retried. Returns the number of retries granted.
 int retries_until_exhausted(Rig& rig, const std::string& prefix) {
     for (int i = 0; i < 1000; ++i) {
         const auto send = only<Send>(rig.request(numbered(prefix, i)));
         if (!send) return -1;
         const auto after = rig.outcome(*send, Status::Rejected);
         if (answers(after) != 0) return i;
-        // A retry that isn't sent costs nothing, and one that is served earns: let it lapse while it is out.
+        // An unsent retry costs nothing and a successful one earns tokens: let it expire while it is in
+        // flight.
         const auto retry = only<Send>(rig.advance(400ms));
         if (!retry) return -1;
         rig.give(DeadlineExpired{send->id});
         rig.outcome(*retry, Status::Rejected, 1, true);
-        rig.now += 3s;  // failures remembered by health fade meanwhile
+        rig.now += 3s;  // lets the failure statistics decay
     }
     return 1000;
 }
@@ -174,7 +175,7 @@
     const int early = retries_until_exhausted(rig, "c");
     for (int i = 0; i < 10; ++i) rig.outcome(*only<Send>(rig.request(numbered("t", i))), Status::Ok, 0, true);
     const int later = retries_until_exhausted(rig, "d");
-    EXPECT_EQ(early + later, 1);  // 19 served calls at the cost of ten a retry
+    EXPECT_EQ(early + later, 1);  // 19 successes, and a retry costs ten
 }
 
 TEST(RetryBudget, CapacityLimitsTheTokens) {
@@ -226,7 +227,7 @@
     std::vector<Action> after;
     AttemptNumber attempt = 0;
     while (send) {
-        EXPECT_TRUE(used.insert(send->endpoint).second) << "a retry goes elsewhere";
+        EXPECT_TRUE(used.insert(send->endpoint).second) << "a retry must use another server";
         after = rig.outcome(*send, Status::Rejected, attempt++);
         if (answers(after) == 0) after = rig.advance(1s);
         send = only<Send>(after);
@@ -235,7 +236,7 @@
     EXPECT_EQ(answers(after), 1);
 }
 
-// ---- what a class may repeat or refuse ------------------------------------------------------------
+// ---- retries and refusals by class ----------------------------------------------------------------
 
 struct RetryCase {
     const char* name;
@@ -257,7 +258,7 @@
     const auto later = rig.advance(1s);
     after.insert(after.end(), later.begin(), later.end());
     EXPECT_EQ(!all_of<Send>(after).empty(), c.may_repeat);
-    // The end of the same story with no attempt left: refused only where that is harmless.
+    // The same with no attempt left: refused only if a retry by the client is harmless.
     settings.limits.max_attempts = 1;
     Rig once(settings);
     once.list(servers(4));
@@ -337,7 +338,7 @@
     EXPECT_EQ(again->endpoint, EndpointId{2});
 }
 
-// ---- one final answer -----------------------------------------------------------------------------
+// ---- final answer ---------------------------------------------------------------------------------
 
 TEST(FinalAnswer, WithoutServersARequestIsHeldThenSentOrRefusedInTime) {
     Rig rig(default_settings());
@@ -384,7 +385,7 @@
 }
 
 TEST(FinalAnswer, ObsoleteTimerDoesNotShortenALaterWait) {
-    // Held for want of a server until near its end, then sent and failed: only the retry's own timer counts.
+    // Held without servers, then sent and failed: only the retry's own timer may trigger the retry.
     for (std::uint64_t seed = 0; seed < 20; ++seed) {
         Rig rig(default_settings(), seed);
         const auto hold = only<SetTimer>(rig.request("a", 400ms));
@@ -396,7 +397,7 @@
         ASSERT_TRUE(retry);
         ASSERT_LE(retry->at, hold->at);
         rig.now = retry->at - 50ms;
-        EXPECT_TRUE(rig.give(TimerFired{hold->token}).empty()) << "fired before the wait was over";
+        EXPECT_TRUE(rig.give(TimerFired{hold->token}).empty()) << "retried before the backoff was over";
     }
 }
 
@@ -414,7 +415,7 @@
     s.classes[0].sequential = true;
     s.classes.push_back(make_class(Idempotency::NonIdempotent));
     s.classes[1].sequential = true;
-    s.classes.push_back(make_class(Idempotency::Idempotent));  // a class that keeps no order
+    s.classes.push_back(make_class(Idempotency::Idempotent));  // a class without ordering
     s.rules.key_cooldown = key_cooldown;
     return s;
 }
@@ -441,7 +442,7 @@
     const auto b = only<Send>(rig.outcome(*a, Status::Ok, 0, true));
     ASSERT_TRUE(b);
     EXPECT_EQ(b->id, "b");
-    const auto c = only<Send>(rig.outcome(*b, Status::Error, 0));  // unsafe: failed, and so over
+    const auto c = only<Send>(rig.outcome(*b, Status::Error, 0));  // not idempotent: it failed and is over
     ASSERT_TRUE(c);
     EXPECT_EQ(c->id, "c");
 }
@@ -478,7 +479,7 @@
         EXPECT_FALSE(only<Send>(rig.advance(299ms)));
         EXPECT_EQ(only<Send>(rig.advance(2ms))->id, "b");
     }
-    // With nobody waiting the rest still binds who comes meanwhile, and nobody who comes later.
+    // Without waiting requests, the cooldown applies to requests that arrive during it, but not later.
     Rig rig(sequential_settings(300ms));
     rig.list(servers(4));
     rig.outcome(*only<Send>(keyed_request(rig, "a", 7, 1)), Status::Reset);
@@ -488,7 +489,7 @@
     rig.outcome(*b, Status::Reset);
     rig.advance(301ms);
     EXPECT_TRUE(only<Send>(keyed_request(rig, "c", 7, 1)));
-    // An outcome that ends the work needs no rest.
+    // No cooldown after an outcome that proves that the attempt has ended.
     Rig none(sequential_settings(300ms));
     none.list(servers(4));
     const auto first = only<Send>(keyed_request(none, "a", 7, 1));
@@ -503,7 +504,8 @@
     keyed_request(rig, "b", 7, 1, 500ms);
     keyed_request(rig, "c", 7);
     const auto waited = rig.advance(500ms);
-    ASSERT_EQ(all_of<Refuse>(waited).size(), 1u);  // it never ran, so even an unsafe one is refused
+    ASSERT_EQ(all_of<Refuse>(waited).size(),
+              1u);  // it never ran, so it is refused although it is not idempotent
     EXPECT_EQ(all_of<Refuse>(waited)[0].id, "b");
     EXPECT_EQ(only<Send>(rig.outcome(*a, Status::Ok, 0, true))->id, "c");
 }
@@ -529,9 +531,9 @@
     EXPECT_EQ(a->id, "a");
 }
 
-// ---- ration of attempts ---------------------------------------------------------------------------
+// ---- attempt budget -------------------------------------------------------------------------------
 
-/// Takes so many requests and lets each first attempt fail; how many further attempts went out at once.
+/// Sends `requests` requests and lets each first attempt fail. Returns how many retries follow.
 int retries_sent(Rig& rig, const std::string& prefix, int requests) {
     for (int i = 0; i < requests; ++i) {
         const auto send = only<Send>(rig.request(numbered(prefix, i)));
@@ -569,7 +571,7 @@
     rig.list(servers(8));
     EXPECT_EQ(retries_sent(rig, "a", 2), 1);
     const auto held_back = all_of<Send>(rig.advance(1500ms));
-    EXPECT_TRUE(held_back.empty());  // within the window of the first
+    EXPECT_TRUE(held_back.empty());  // still within the window
     rig.now += 10s;
     EXPECT_EQ(retries_sent(rig, "b", 2), 1);
 }
@@ -586,8 +588,8 @@
 }
 
 TEST(AttemptLimit, UnsentRetryCostsNoTokens) {
-    // Held retries whose clients leave give their tokens back: the bucket holds ten retries, here fifty
-    // lapse.
+    // Retries whose clients leave before they are sent return their tokens: the bucket holds ten retries, and
+    // fifty expire here.
     Rig rig(default_settings());
     rig.list(servers(8));
     for (int i = 0; i < 50; ++i) {
@@ -636,7 +638,7 @@
     EXPECT_EQ(all_of<Subscribe>(rig.advance(10s)).size(), 1u);
     rig.list(servers(2));
     const auto failed = rig.give(DiscoveryUpdate{DiscoveryUpdate::Kind::Failed, nullptr});
-    EXPECT_EQ(all_of<Send>(rig.request("a")).size(), 1u);  // the old list stands
+    EXPECT_EQ(all_of<Send>(rig.request("a")).size(), 1u);  // the old list stays valid
     EXPECT_EQ(all_of<SetTimer>(failed).size(), 1u);
     EXPECT_EQ(all_of<Subscribe>(rig.advance(10s)).size(), 1u);
     Rig pushed(default_settings());
@@ -644,7 +646,7 @@
 }
 
 TEST(Discovery, KeepsSubscribingInTimeAfterFailures) {
-    // Guards against: being treated as told of drains that it never asked about.
+    // Guards against an instance that counts as informed of drains although it never asked for updates.
     for (std::uint64_t seed = 0; seed < 20; ++seed) {
         Settings settings = default_settings();
         settings.subscribe = true;
@@ -691,13 +693,14 @@
         rig.outcome(*send, Status::Ok, 0, true);
         rig.now += 1ms;
     }
-    EXPECT_LT(cold, 60);  // a warm one's share is 100, and it has a fifth to a quarter of their capacity
+    EXPECT_LT(cold, 60);  // a warm server gets 100, and this one has a fifth to a quarter of its capacity
 }
 
 TEST(WarmUp, OverloadMultipleIsNeverExceededEvenByHeavyCalls) {
-    // Ten servers at half their capacity, a hundred calls a second; every tenth call is five times as heavy.
+    // Ten servers at half their capacity, 100 calls per second. Every tenth call costs five times as much.
     const Settings settings = default_settings();
-    const double warm_capacity = 2.0 * 10.0 * (0.9 * 0.05 + 0.1 * 0.25);  // work a second of one server
+    const double warm_capacity =
+        2.0 * 10.0 * (0.9 * 0.05 + 0.1 * 0.25);  // seconds of work per second of one server
     for (std::uint64_t seed = 1; seed <= 10; ++seed) {
         Rig rig(settings, seed);
         auto all = servers(10);
@@ -726,14 +729,14 @@
             rig.outcome(*send, Status::Ok, 0, true, 50ms);
             rig.now += 10ms;
         }
-        EXPECT_GT(calls_met, 10) << "it is eased in, not left out";
+        EXPECT_GT(calls_met, 10) << "the cold server must get some calls";
     }
 }
 
 TEST(WarmUp, ManyColdServersGetTheirShareAtOnce) {
-    // Guards against: of the few servers that each instance of a large fleet uses half are new, all instances
-    // keep them nearly idle, and the rest crowd. What is served here earns half of a warm server's
-    // calls, and no less, as long as the told multiple leaves room for it.
+    // Guards against overloading the warm servers when half of the few servers that each instance of a large
+    // fleet uses are new and all instances keep these nearly idle. Successful calls earn the cold servers at
+    // least half of a warm server's calls, as long as the overload multiple permits it.
     Settings settings = default_settings();
     settings.rules.cold_capacity_share = 0.34;
     settings.rules.overload_multiple = 3.0;
@@ -742,7 +745,7 @@
     all[2].started = all[3].started = rig.now;
     rig.list(all);
     std::map<EndpointId, int> calls_met;
-    for (int i = 0; i < 400; ++i) {  // 4 s: less than half of the time that it takes to get warm
+    for (int i = 0; i < 400; ++i) {  // 4 s: less than half of the warm-up time
         const auto send = only<Send>(rig.request(numbered("a", i)));
         ASSERT_TRUE(send);
         ++calls_met[send->endpoint];
@@ -756,7 +759,7 @@
 }
 
 TEST(WarmUp, ColdServerIsNotOverloadedWhileOthersReject) {
-    // Guards against: the idle-looking cold server takes every retry that the full ones turn away.
+    // Guards against sending all retries to the cold server, which looks idle while the others reject calls.
     Settings settings = default_settings();
     settings.limits.max_attempts = 1;
     Rig rig(settings);
@@ -771,10 +774,10 @@
         rig.outcome(*send, Status::Rejected, 0, true);
         rig.now += 3ms;
     }
-    EXPECT_LE(cold, 1);  // nothing was served, so nothing was earned
+    EXPECT_LE(cold, 1);  // without successful calls it earns none
 }
 
-// ---- reach ----------------------------------------------------------------------------------------
+// ---- subset size ----------------------------------------------------------------------------------
 
 std::set<EndpointId> endpoints_used_at_low_rate(const Settings& settings, const std::vector<Endpoint>& list) {
     Rig rig(settings);
@@ -790,7 +793,7 @@
 }
 
 TEST(SubsetSize, ReplicasUseStableSubsetsThatCoverTheFleet) {
-    // Guards against: replicas x servers connections, more than the servers accept.
+    // Guards against replicas x servers connections, which is more than the servers accept.
     Settings settings = default_settings();
     settings.replicas = 40;
     std::set<EndpointId> all;
@@ -806,12 +809,12 @@
 }
 
 TEST(SubsetSize, GrowsWithTheCallsInFlight) {
-    // Guards against: a hot instance crowds the few servers of its part.
+    // Guards against a busy instance that overloads the few servers of its subset.
     Settings settings = default_settings();
     settings.replicas = 40;
     Rig rig(settings);
     rig.list(servers(60));
-    // Served in step until the rate is known, then more and more at once.
+    // One call at a time until the rate is known, then more and more at once.
     for (int i = 0; i < 50; ++i) rig.outcome(*only<Send>(rig.request(numbered("w", i))), Status::Ok, 0, true);
     std::set<EndpointId> used;
     for (int i = 0; i < 40; ++i) {
@@ -820,9 +823,9 @@
     EXPECT_GE(used.size(), 20u);
 }
 
-// ---- server view ----------------------------------------------------------------------------------
+// ---- server statistics ----------------------------------------------------------------------------
 
-/// How many of 200 calls, one after another, meet server 1 when it answers so and the rest serve in 100 ms.
+/// Returns how many of 200 sequential calls server 1 gets if it responds like this and the others in 100 ms.
 int calls_to_faulty_server(Status status, Duration latency) {
     Rig rig(default_settings());
     rig.list(servers(4));
@@ -839,15 +842,16 @@
 }
 
 TEST(ServerHealth, FailingAndSlowServersGetFewerCalls) {
-    // Guards against: an empty server keeps winning draws while it fails fast or crawls. A share is 50.
+    // Guards against a server that looks idle, and so gets most calls, because it fails fast or is slow. An
+    // even share is 50.
     EXPECT_LT(calls_to_faulty_server(Status::Error, 1ms), 15);
     EXPECT_LT(calls_to_faulty_server(Status::Timeout, 1s), 15);
     EXPECT_LT(calls_to_faulty_server(Status::Ok, 600ms), 20);
     EXPECT_GT(calls_to_faulty_server(Status::Ok, 100ms), 30);
 }
 
-/// Of 60 calls that come while each sound server holds eight, how many go to one that answers half of its
-/// calls with an error at once.
+/// Of 60 calls that arrive while each healthy server has eight in flight, returns how many go to a server
+/// that fails half of its calls at once.
 int calls_to_failing_server(Idempotency idempotency, Duration waits) {
     Settings settings = default_settings(idempotency);
     settings.classes.push_back(make_class(Idempotency::Idempotent));
@@ -876,18 +880,18 @@
 }
 
 TEST(ServerHealth, NonIdempotentCallAvoidsServersWithFastErrors) {
-    // Guards against: an endpoint that fails at once looks idle beside sound ones that hold several calls
-    // each, and a call that may not go again fails there for good.
+    // Guards against sending non-idempotent calls, which cannot be retried, to an endpoint that fails at once
+    // and so looks idle beside healthy ones with several calls in flight.
     EXPECT_LE(calls_to_failing_server(Idempotency::NonIdempotent, 0ms), 2);
     EXPECT_GT(calls_to_failing_server(Idempotency::Idempotent, 0ms), 8)
-        << "one that may go again does not wait for others";
+        << "a call that can be retried need not queue elsewhere";
     EXPECT_GT(calls_to_failing_server(Idempotency::NonIdempotent, 500ms), 8)
-        << "where all wait its place is worth more";
+        << "under queueing pressure a free place matters more";
 }
 
 TEST(ServerHealth, RejectionDoesNotCountAgainstTheServer) {
-    // Guards against: servers with one place turn calls of many replicas away by chance; a replica that takes
-    // this for a bad server or a queue sends elsewhere for 10 s and refuses good work.
+    // Guards against taking chance rejections for a bad server or a queue: servers with a concurrency of one
+    // reject calls when replicas collide. A replica would avoid them for 10 s and refuse good work.
     Rig rig(default_settings());
     rig.list(servers(2));
     std::map<EndpointId, int> calls_met;
@@ -905,7 +909,7 @@
 }
 
 TEST(ServerHealth, CallsInFlightAreWeightedByServerSize) {
-    // Guards against: servers of half the size held as full as the others.
+    // Guards against giving small servers as many calls as large ones.
     Rig rig(default_settings());
     auto list = servers(4);
     for (auto& endpoint : list) endpoint.weight = endpoint.id == EndpointId{1} ? 1.0 : 3.0;
@@ -914,8 +918,8 @@
     for (int i = 0; i < 12; ++i) {
         if (const auto send = only<Send>(rig.request(numbered("a", i)))) ++calls_met[send->endpoint];
     }
-    EXPECT_LE(calls_met[EndpointId{1}], 2);  // a share by calls alone is 3
-    list[0].weight = 0.0;                    // no size told is no reason to divide by it
+    EXPECT_LE(calls_met[EndpointId{1}], 2);  // an even share would be 3
+    list[0].weight = 0.0;                    // an unknown size must not cause a division by zero
     rig.list(list);
     EXPECT_TRUE(only<Send>(rig.request("b")));
 }
@@ -939,7 +943,7 @@
 }
 
 TEST(Unanswered, ServerWithAnOverdueCallIsAvoided) {
-    // Guards against: a server that stands still or vanished; there is no answer to go by.
+    // Guards against a server that hangs or vanished, so that there are no responses to judge by.
     Rig rig(default_settings());
     rig.list(servers(2));
     for (int i = 0; i < 20; ++i) {
@@ -947,7 +951,7 @@
         rig.now += 100ms;
     }
     const auto stuck = only<Send>(rig.request("stuck"));
-    rig.now += 1s;  // ten times the usual
+    rig.now += 1s;  // ten times the mean latency
     int calls_met = 0;
     for (int i = 0; i < 40; ++i) {
         const auto send = only<Send>(rig.request(numbered("a", i)));
@@ -960,15 +964,15 @@
 
 // ---- connections ----------------------------------------------------------------------------------
 
-/// Sends calls a second apart to one server, all idle connections being dead or none: how often connections
-/// were closed before use. A call on a connection that is fresh, or was closed and opened anew, is served.
+/// Sends one call a second to one server, with all idle connections dead or none. Returns how often
+/// connections were closed before use. Calls on new connections succeed.
 int closes_during_calls(int calls, bool idle_is_dead, bool all_silent = false) {
     Settings settings = default_settings();
     settings.limits.connection_idle = 15s;
     Rig rig(settings);
     rig.list(servers(1));
     int closes = 0;
-    bool idle = false;  // there is one
+    bool idle = false;  // there is an idle connection
     for (int i = 0; i < calls; ++i) {
         const auto done = rig.request(numbered("a", i), 500ms);
         const auto send = only<Send>(done);
@@ -985,19 +989,19 @@
 }
 
 TEST(Connections, UnansweringIdleConnectionsAreClosedBeforeUse) {
-    // Guards against: connections dropped unseen on the way; what is sent on one gets no answer.
+    // Guards against connections that were dropped unnoticed on the way: calls on them get no response.
     EXPECT_GT(closes_during_calls(60, true), 20);
     EXPECT_EQ(closes_during_calls(60, false), 0);
 }
 
 TEST(Connections, IdleConnectionsAreKeptIfNewOnesAreUnansweredToo) {
-    // A server that stands still is no matter of connections: closing them would only cost handshakes.
+    // If the server hangs, closing connections does not help and only costs handshakes.
     EXPECT_EQ(closes_during_calls(60, false, true), 0);
 }
 
 // ---- overdue attempts -----------------------------------------------------------------------------
 
-/// Asks for a call that is served within 10 ms.
+/// Sends a request that succeeds within 10 ms.
 void serve_one(Rig& rig, const RequestId& id) {
     const auto sends = all_of<Send>(rig.request(id));
     ASSERT_EQ(sends.size(), 1u);
@@ -1036,8 +1040,9 @@
 }
 
 TEST(Overdue, OneLostCallDoesNotExcludeItsServerButASecondDoes) {
-    // Guards against: a debit that is lost with its connection keeps an endpoint out until its deadline, and
-    // for the fading of a view after it, since nothing is sent there that could show it alive.
+    // Guards against excluding an endpoint because of one non-idempotent call that was lost with its
+    // connection: until the deadline and the decay after it, nothing would be sent there that could show it
+    // alive.
     for (const bool stands_still : {false, true}) {
         Settings settings = default_settings(Idempotency::Idempotent);
         settings.classes.push_back(make_class(Idempotency::NonIdempotent));
@@ -1051,9 +1056,9 @@
         }
         const auto lost = only<Send>(keyed_request(rig, "lost", std::nullopt, 1));
         ASSERT_TRUE(lost);
-        rig.advance(500ms);  // overdue by far
+        rig.advance(500ms);  // far overdue
         int calls_there = 0;
-        std::deque<Send> held;  // six at a time
+        std::deque<Send> held;  // six in flight
         for (int i = 0; i < 60; ++i) {
             const auto send = only<Send>(rig.request(numbered("r", i)));
             rig.advance(5ms);
@@ -1061,14 +1066,14 @@
             calls_there += same ? 1 : 0;
             if (send && (!same || !stands_still)) held.push_back(*send);
             if (held.size() <= 6 && (send || held.empty()))
-                continue;  // shed: nothing new holds the others up
+                continue;  // shed: the others in flight must still complete
             rig.outcome(held.front(), Status::Ok, 0, true, 30ms);
             held.pop_front();
         }
         if (stands_still) {
-            EXPECT_LE(calls_there, 2) << "a second call found out";
+            EXPECT_LE(calls_there, 2) << "the second call shows that the server hangs";
         } else {
-            EXPECT_GE(calls_there, 8) << "it takes its part beside the lost call";
+            EXPECT_GE(calls_there, 8) << "the server keeps its share in spite of the lost call";
         }
     }
 }
@@ -1088,10 +1093,10 @@
     }
 }
 
-// ---- load shedding and doomed work ----------------------------------------------------------------
+// ---- load shedding --------------------------------------------------------------------------------
 
 TEST(Shedding, ShedsTheLowestValueFirstAndRecovers) {
-    // Guards against: servers fill and stay slow, since nothing is declined before they decline it
+    // Guards against servers that fill up and stay slow because nothing is shed before they reject calls
     // themselves.
     Settings settings = default_settings();
     settings.classes.push_back(settings.classes[0]);
@@ -1124,7 +1129,7 @@
     EXPECT_EQ(all_of<Send>(ask("z", 0)).size(), 1u);
 }
 
-/// A request whose body goes out as it comes, with room for the slowest one.
+/// A request whose body is streamed, with an upper bound on its deadline.
 Request streamed_request(const Rig& rig, const RequestId& id, Duration at_most = 60s) {
     Request request;
     request.id = id;
@@ -1142,8 +1147,8 @@
     const auto first = all_of<Send>(rig.give(streamed_request(rig, "long")));
     ASSERT_EQ(first.size(), 1u);
     EXPECT_TRUE(all_of<Cancel>(rig.advance(20s)).empty())
-        << "an attempt that is not whole yet is not overdue";
-    // Its endpoint is not taken to be slow: it still gets its share of the others.
+        << "an attempt whose body is incomplete is not overdue";
+    // Its endpoint is not considered slow: it still gets its share of the other requests.
     std::size_t same = 0;
     for (int i = 0; i < 200; ++i) {
         const auto sent = all_of<Send>(rig.request(numbered("r", i)));
@@ -1153,7 +1158,7 @@
         rig.outcome(sent[0], Status::Ok, 0, true, 100ms);
     }
     EXPECT_GT(same, 10u);
-    // From its last byte on it is an attempt like any other, with the time that its client has.
+    // Once its body is complete it is a normal attempt with the client's deadline.
     rig.give(BodyReceived{"long", rig.now + 3s});
     const auto ended = all_of<Cancel>(rig.advance(2s));
     ASSERT_EQ(ended.size(), 1u);
@@ -1164,7 +1169,7 @@
     Settings settings = default_settings();
     Rig rig(settings);
     rig.list(servers(4));
-    for (int i = 0; i < 40; ++i) {  // calm: calls come back in 10 ms
+    for (int i = 0; i < 40; ++i) {  // no queueing: calls take 10 ms
         const auto sent = all_of<Send>(rig.request(numbered("w", i)));
         rig.advance(10ms);
         rig.outcome(sent.at(0), Status::Ok, 0, true, 10ms);
@@ -1174,7 +1179,7 @@
     rig.advance(500ms);
     for (int i = 0; i < 50; ++i) {
         const auto sent = all_of<Send>(rig.request(numbered("r", i)));
-        ASSERT_EQ(sent.size(), 1u) << "refused for bodies that are on their way";
+        ASSERT_EQ(sent.size(), 1u) << "refused because of uploads in progress";
         rig.advance(10ms);
         rig.outcome(sent[0], Status::Ok, 0, true, 10ms);
     }
@@ -1185,7 +1190,7 @@
     rig.list(servers(1));
     const auto sent = all_of<Send>(rig.give(streamed_request(rig, "long")));
     rig.outcome(sent.at(0), Status::ConnectFailed, 0, true);
-    rig.give(BodyReceived{"long", rig.now + 3s});  // of what is over: passed over
+    rig.give(BodyReceived{"long", rig.now + 3s});  // the request is over: ignored
     rig.give(BodyReceived{"nobody", rig.now + 3s});
     for (int i = 0; i < 10; ++i) {
         const auto next = all_of<Send>(rig.request(numbered("r", i)));
@@ -1196,13 +1201,13 @@
 }
 
 TEST(Shedding, CallsInFlightCountOnceCallsAreSeenToQueue) {
-    // Guards against: a jam that shows in answers only seconds late; and a calm day taken for one.
+    // Guards against a jam that shows in responses only seconds later, and against false alarms.
     for (const Duration latency : {100ms, 500ms}) {
         Rig rig(default_settings());
         rig.list(servers(8));
         for (int i = 0; i < 40; ++i) {
             const auto send = only<Send>(rig.request(numbered("w", i)));
-            ASSERT_TRUE(send) << "what waits alone is not shed: it is worth the most";
+            ASSERT_TRUE(send) << "a single call of the highest-value class must not be shed";
             rig.now += i < 5 ? 100ms : latency;
             rig.outcome(*send, Status::Ok, 0, true, i < 5 ? 100ms : latency);
         }
@@ -1213,14 +1218,14 @@
     }
 }
 
-/// Steady calls that take `before`; from 4 s on they come `times` as often and take `after`. Gives back how
-/// many of those that came in the second after the step were declined.
+/// Sends calls at a steady rate that take `before`. After 4 s the rate rises by the factor `times` and they
+/// take `after`. Returns how many calls are shed in the second after the step.
 int shed_at_step(std::uint32_t replicas, double times, Duration before, Duration after) {
     Settings settings = default_settings();
     settings.replicas = replicas;
     settings.classes.push_back(settings.classes[0]);
     settings.classes[0].latency_target = 700ms;
-    settings.classes[1].worth = 40.0;  // never asked for: these calls are of the least worth
+    settings.classes[1].worth = 40.0;  // never requested, so that the calls sent have the lowest value
     Rig rig(settings);
     rig.list(servers(8));
     std::multimap<Time, Send> due;
@@ -1248,19 +1253,20 @@
 }
 
 TEST(Shedding, TrafficStepIsDistinguishedFromSlowServers) {
-    // Guards against: taking a neighbour's calls for a queue while it drains, since what comes back still has
-    // the pace of what went out before; and against overlooking servers that become slow at that moment.
-    EXPECT_EQ(shed_at_step(2, 1.0, 250ms, 250ms), 0) << "a steady day, from its first call on";
-    EXPECT_EQ(shed_at_step(2, 2.0, 250ms, 250ms), 0) << "a neighbour leaves, servers stay as they are";
+    // Guards against taking the calls of a draining neighbour for a queue, since completions lag behind a
+    // rise in sends, and against overlooking servers that become slow at that moment.
+    EXPECT_EQ(shed_at_step(2, 1.0, 250ms, 250ms), 0) << "steady load from the first call on";
+    EXPECT_EQ(shed_at_step(2, 2.0, 250ms, 250ms), 0) << "a neighbour leaves, servers are unchanged";
     EXPECT_GT(shed_at_step(2, 2.0, 250ms, 900ms), 10) << "a neighbour leaves and servers slow down";
     EXPECT_GT(shed_at_step(2, 1.0, 250ms, 900ms), 5) << "servers slow down";
-    EXPECT_GT(shed_at_step(2, 8.0, 250ms, 250ms), 10) << "more than a neighbour could have had";
-    EXPECT_GT(shed_at_step(60, 2.0, 250ms, 250ms), 10) << "among many no neighbour explains it";
-    EXPECT_GT(shed_at_step(1, 2.0, 250ms, 250ms), 10) << "nor where there is none";
+    EXPECT_GT(shed_at_step(2, 8.0, 250ms, 250ms), 10) << "more than the load of one neighbour";
+    EXPECT_GT(shed_at_step(60, 2.0, 250ms, 250ms), 10)
+        << "among many replicas one neighbour cannot explain it";
+    EXPECT_GT(shed_at_step(1, 2.0, 250ms, 250ms), 10) << "there is no neighbour";
 }
 
 TEST(TooLate, InnerTierRefusesCallsThatWouldBeLate) {
-    // Guards against: a jam in which slots above are held for calls whose answers nobody wants any more.
+    // Guards against a jam in which tiers above hold slots for calls whose responses are no longer needed.
     Settings settings = default_settings(Idempotency::NonIdempotent);
     settings.tiers = 2;
     settings.tier = 1;
@@ -1270,11 +1276,12 @@
         const auto send = only<Send>(rig.request(numbered("a", i), 3s));
         rig.outcome(*send, Status::Ok, 0, true, 300ms);
     }
-    // The aim is 1 s of the 3 s: with 2.1 s left 0.9 s have gone, and the usual 0.3 s would end past the aim.
+    // The latency target is 1 s of 3 s: with 2.1 s left 0.9 s have passed, and a mean latency of 0.3 s
+    // exceeds it.
     EXPECT_EQ(all_of<Refuse>(rig.request("late", 2100ms)).size(), 1u);
     const auto send = only<Send>(rig.request("early", 2900ms));
     ASSERT_TRUE(send);
-    EXPECT_EQ(send->timeout, 900ms);  // and is given up once the answer is worth nothing
+    EXPECT_EQ(send->timeout, 900ms);  // times out once the response is worth nothing
     settings.classes[0].late_worth = 0.5;
     Rig worth(settings);
     worth.list(servers(4));
@@ -1282,7 +1289,7 @@
     EXPECT_EQ(all_of<Send>(worth.request("late", 2100ms)).size(), 1u);
 }
 
-// ---- determinism, bad input, odd sequences --------------------------------------------------------
+// ---- determinism, invalid input, random events ----------------------------------------------------
 
 std::string to_text(const std::vector<Action>& actions) {
     std::ostringstream to;
@@ -1310,7 +1317,7 @@
     return to.str();
 }
 
-/// A long odd day, by one seed: checks rules 1, 2, 3, 5 and 6 on the actions that come out.
+/// Random events from one seed. Checks rules 1, 2, 3, 5 and 6 on the resulting actions.
 class RandomScenario {
   public:
     RandomScenario(Settings settings, std::uint64_t seed)
@@ -1341,7 +1348,7 @@
     void finish() {
         check_advance(30s);
         for (const auto& [id, call] : open_) {
-            // What is still out at its deadline times out, as a host reports it.
+            // An attempt that is in flight at its deadline would be reported as timed out by the host.
             if (call.over) continue;
             EXPECT_TRUE(std::any_of(call.sends.begin(), call.sends.end(), [](auto& s) { return s.out; }))
                 << id;
@@ -1363,7 +1370,7 @@
         bool over = false;
         std::optional<std::uint64_t> key;
         unsigned order = 0;        // of arrival
-        Time key_blocked_until{};  // its key, once it is over
+        Time key_blocked_until{};  // its key, after it is over
     };
 
     unsigned below(std::size_t n) {
@@ -1379,7 +1386,7 @@
         open_[request.id] = {request.class_index, request.deadline, {}, false, request.key, count_, {}};
         accepted_.push_back(rig_.now);
         rig_.give(request);
-        if (below(10) == 0 && !open_.at(request.id).over) rig_.give(request);  // the same id again
+        if (below(10) == 0 && !open_.at(request.id).over) rig_.give(request);  // a duplicate id
     }
     void some_outcome() {
         std::vector<std::pair<RequestId, AttemptNumber>> out;
@@ -1407,7 +1414,8 @@
         const bool last = serves || call.over;
         if (serves) call.over = true;
         rig_.give(Outcome{id, n, sent.to, status, rig_.now - sent.at, last, {}});
-        if (below(8) == 0) rig_.give(Outcome{id, n, sent.to, Status::Ok, 1ms, last, {}});  // repeated
+        if (below(8) == 0)
+            rig_.give(Outcome{id, n, sent.to, Status::Ok, 1ms, last, {}});  // a duplicate outcome
     }
     void some_list() {
         std::vector<Endpoint> entries;
@@ -1435,7 +1443,8 @@
     void check_advance(Duration by) {
         const Time end = rig_.now + by;
         while (rig_.now < end) {
-            // The host reports what is out at the client's deadline as timed out, if the call is still open.
+            // The host reports attempts in flight at the client's deadline as timed out, if the call is not
+            // over.
             Time next = end;
             for (const auto& [id, call] : open_) {
                 if (!call.over && call.deadline > rig_.now) next = std::min(next, call.deadline);
@@ -1471,7 +1480,7 @@
         for (const Sent& sent : call.sends) {
             if (!sent.may_have_run || rules.idempotency == Idempotency::Idempotent) continue;
             EXPECT_NE(rules.idempotency, Idempotency::NonIdempotent) << "rule 2";
-            EXPECT_LE(rig_.now, sent.at + rules.dedup_window) << "rule 2: past the window";
+            EXPECT_LE(rig_.now, sent.at + rules.dedup_window) << "rule 2: after the dedup window";
             if (rules.dedup_scope == DedupScope::Cell) {
                 EXPECT_EQ(sent.cell, to.cell) << "rule 2";
             }
@@ -1489,15 +1498,16 @@
             if (other.key != call.key || other.order >= call.order) continue;
             if (!settings_.classes[other.class_index].sequential) continue;
             EXPECT_TRUE(other.over) << "rule 5: " << id << " came earlier and is not over";
-            for (const Sent& sent : other.sends) EXPECT_FALSE(sent.out) << "rule 5: " << id << " is out";
-            EXPECT_LE(other.key_blocked_until, rig_.now) << "rule 5: rest after " << id;
+            for (const Sent& sent : other.sends)
+                EXPECT_FALSE(sent.out) << "rule 5: " << id << " is in flight";
+            EXPECT_LE(other.key_blocked_until, rig_.now) << "rule 5: cooldown after " << id;
         }
     }
     void check_attempt_budget() {
         retries_.insert(rig_.now);
         const auto& told = settings_.rules.attempt_budget;
         if (!told) return;
-        // The window as the wire words it, with its edge read both ways.
+        // The window as the protocol defines it, with its edge counted in the stricter way on both sides.
         const Time from = rig_.now - told->look_back;
         const auto retries = std::distance(retries_.lower_bound(from), retries_.end());
         const auto taken =
--- a/tests/policy/ring_test.cpp
+++ b/tests/policy/ring_test.cpp
@@ -1,4 +1,4 @@
-// The ring against a plain sorted list, under random changes.
+// Compares Ring with a std::map under random changes.
 #include "policy/ring.h"
 
 #include <gtest/gtest.h>
@@ -33,7 +33,7 @@
         std::vector<std::unique_ptr<int>> owned;
         for (int step = 0; step < 500; ++step) {
             if (reference.empty() || random.unit() < 0.6) {
-                // Few keys, so that many are alike and the id decides.
+                // Few keys, so that many are equal and the id decides the order.
                 const std::uint64_t key = random.below(20);
                 const EndpointId id{static_cast<std::uint32_t>(step)};
                 owned.push_back(std::make_unique<int>(step));
--- a/tests/subset/subset_policy_test.cpp
+++ b/tests/subset/subset_policy_test.cpp
@@ -121,7 +121,7 @@
     sidecar.list(DiscoveryUpdate::Kind::Delta, {mine});
     EXPECT_EQ(sidecar.record->listed.at(mine.id).availability, Availability::Draining);
     EXPECT_TRUE(sidecar.module_has_selection());
-    // An endpoint in the middle of another sidecar's window.
+    // Picks an endpoint from the middle of another sidecar's window.
     std::uint32_t number = 0;
     Sidecar other(5, 10, {20, 160});
     other.list(DiscoveryUpdate::Kind::Full, fleet(1'000));
@@ -147,7 +147,7 @@
         closed += static_cast<std::size_t>(
             std::count_if(sidecar.actions.begin(), sidecar.actions.end(),
                           [](auto& a) { return std::holds_alternative<CloseIdleConnections>(a); }));
-        // The first event of a second brings the change.
+        // The first event in a second evaluates the previous one.
         sidecar.tell(TimerFired{1});
     }
     EXPECT_EQ(sidecar.policy->width(), 5u);
@@ -168,7 +168,7 @@
     }
     EXPECT_EQ(seconds, 2);
     EXPECT_EQ(sidecar.ready().size(), 20u);
-    // Never past the most, however long it fails.
+    // It never exceeds the maximum width.
     for (int i = 0; i < 10; ++i) {
         sidecar.outcome(Status::ConnectFailed, 10);
         sidecar.now += 1s;
@@ -189,7 +189,7 @@
     sidecar.now += 1s;
     sidecar.tell(TimerFired{1});
     EXPECT_EQ(sidecar.policy->width(), 10u);
-    // While they are out it does not go back.
+    // It does not shrink while they are in flight.
     sidecar.now += 60s;
     sidecar.tell(TimerFired{1});
     sidecar.now += 1s;
@@ -197,7 +197,7 @@
     EXPECT_EQ(sidecar.policy->width(), 10u);
 }
 
-/// A wider subset may let held calls out at once: they are out like any other.
+/// Widening may release held calls at once. They must count as in flight.
 TEST(SubsetPolicy, SendsCausedByWideningAreCounted) {
     Sidecar sidecar(0, 10, {4, 8});
     sidecar.list(DiscoveryUpdate::Kind::Full, fleet(100));
@@ -205,9 +205,9 @@
     for (int i = 0; i < 9; ++i)
         sidecar.record->next_actions.push_back(Send{"r" + std::to_string(i), EndpointId{1}, {}});
     sidecar.now += 1100ms;
-    sidecar.tell(TimerFired{1});  // grows by the failures, and the module sends
+    sidecar.tell(TimerFired{1});  // widens because of the failures, and the module sends
     ASSERT_EQ(sidecar.policy->width(), 8u);
-    // While nine are out at a width of eight it is crowded, and does not go back.
+    // With nine calls in flight at a width of eight it is crowded and does not shrink.
     for (int i = 0; i < 30; ++i) {
         sidecar.now += 1s;
         sidecar.tell(TimerFired{1});
@@ -224,14 +224,14 @@
     Sidecar even(3, 30, {12, 96}, 1, 3);
     even.list(DiscoveryUpdate::Kind::Full, fleet(300, 3));
     EXPECT_EQ(zones(even), (std::map<std::uint32_t, int>{{1, 12}}));
-    // Its zone holds a sixth of what there is: half of the width, by the stated rule.
+    // Its zone has a sixth of the endpoints but is one of three zones: it gets half of the width.
     EndpointList uneven;
     for (std::uint32_t i = 0; i < 300; ++i) uneven.push_back(endpoint(i, i % 6 == 0 ? 1 : 0));
     Sidecar small(3, 30, {12, 96}, 1, 3);
     small.list(DiscoveryUpdate::Kind::Full, uneven);
     EXPECT_EQ(zones(small)[1], 6);
     EXPECT_EQ(small.record->listed.size(), 12u);
-    // Its zone goes as a whole.
+    // All endpoints of its zone are removed.
     EndpointList gone;
     for (std::uint32_t i = 0; i < 300; ++i) {
         if (i % 3 == 1) gone.push_back(endpoint(i, 1, Availability::Gone));
@@ -258,7 +258,8 @@
     EXPECT_THROW(Sidecar(0, 1, {20, 10}), std::invalid_argument);
 }
 
-/// Random changes against the same lists taken in whole: the same choice, and the module knows it.
+/// Random deltas and the corresponding full lists must lead to the same selection, which the module must
+/// know.
 TEST(SubsetPolicy, DeltasGiveTheSameSubsetAsFullLists) {
     std::mt19937_64 random(5);
     Sidecar by_deltas(3, 7, {12, 96}, 1, 3), by_lists(3, 7, {12, 96}, 1, 3);
@@ -286,7 +287,7 @@
         ASSERT_EQ(by_deltas.policy->selected(), by_lists.policy->selected()) << "step " << step;
         ASSERT_TRUE(by_deltas.module_has_selection()) << "step " << step;
         ASSERT_TRUE(by_lists.module_has_selection()) << "step " << step;
-        // What drains and was used is still known as that: what is out there goes on.
+        // Selected endpoints that drain are still listed as draining, so that calls in flight continue.
         for (const auto& [id, e] : by_deltas.record->listed) {
             const auto known =
                 std::find_if(all.begin(), all.end(), [&, id = id](auto& a) { return a.second.id == id; });
--- a/tests/subset/subset_test.cpp
+++ b/tests/subset/subset_test.cpp
@@ -1,4 +1,4 @@
-// Subsetting: evenness, movement, and what holds for every method.
+// Subsetting: evenness, number of moved endpoints, and properties that every method must have.
 #include "subset/subset.h"
 
 #include <gtest/gtest.h>
@@ -29,7 +29,7 @@
     return result;
 }
 
-/// Most callers that an endpoint has, over the mean.
+/// Largest number of callers of an endpoint, relative to the mean.
 double unevenness(Method method, const std::vector<EndpointId>& members, std::uint32_t replicas,
                   std::size_t width) {
     std::map<std::size_t, int> callers;
@@ -45,7 +45,7 @@
     return max_callers / (all / static_cast<double>(members.size()));
 }
 
-/// Endpoints that a sidecar newly connects to by a change, in the mean.
+/// Mean number of endpoints that a sidecar newly connects to after a change.
 double movement(Method method, const std::vector<EndpointId>& before, const std::vector<EndpointId>& after,
                 std::uint32_t replicas_before, std::uint32_t replicas_after, std::size_t width) {
     double moved = 0.0;
@@ -67,7 +67,7 @@
             const auto picked = choose(GetParam(), members, {p, 92, width});
             const std::size_t expected = std::min<std::size_t>(width, 99);
             ASSERT_GE(picked.size(), expected);
-            ASSERT_LE(picked.size(), expected + 2);  // an aperture touches one more at each end
+            ASSERT_LE(picked.size(), expected + 2);  // an aperture may touch one more at each end
             ASSERT_TRUE(std::is_sorted(picked.begin(), picked.end()));
             ASSERT_EQ(std::adjacent_find(picked.begin(), picked.end()), picked.end());
             ASSERT_LT(picked.back(), members.size());
@@ -91,7 +91,7 @@
     const auto members = tier(1024);
     EXPECT_LE(unevenness(Method::Window, members, 512, 16), 1.13);
     EXPECT_LE(unevenness(Method::Lots, members, 512, 16), 1.13);
-    // Where a lot is not whole its last points are missing: still about even.
+    // The last lot lacks its last points: still about even.
     EXPECT_LE(unevenness(Method::Lots, members, 500, 16), 1.30);
 }
 
@@ -101,12 +101,12 @@
     fewer.erase(fewer.begin() + 300);
     EXPECT_LE(movement(Method::Lots, members, fewer, 200, 200, 16), 1.1);
     EXPECT_LE(movement(Method::Lots, fewer, members, 200, 200, 16), 1.1);
-    EXPECT_GT(movement(Method::Rounds, members, fewer, 200, 200, 16), 5.0);  // a shuffle moves nearly all
+    EXPECT_GT(movement(Method::Rounds, members, fewer, 200, 200, 16), 5.0);  // a new shuffle moves nearly all
 }
 
 TEST(Subset, LotsMoveNearlyAllWhenTheirSizeDoubles) {
-    // 1039 endpoints of width 16 are lots of 64, one more makes lots of 128. Known, and why a tier's width is
-    // better set so that its size is not at such a step.
+    // 1039 endpoints of width 16 give lots of 64, and one more gives lots of 128. This is a known limit:
+    // choose the width so that the size of the tier is not at such a step.
     const auto members = tier(1040);
     auto fewer = members;
     fewer.erase(fewer.begin() + 300);
