--- a/tests/policy/logic_test.cpp
+++ b/tests/policy/logic_test.cpp
@@ -1505,14 +1505,15 @@
     }
     void check_attempt_budget() {
         retries_.insert(rig_.now);
-        const auto& told = settings_.rules.attempt_budget;
-        if (!told) return;
+        const auto& attempt_budget = settings_.rules.attempt_budget;
+        if (!attempt_budget) return;
         // The window as the protocol defines it, with its edge counted in the stricter way on both sides.
-        const Time from = rig_.now - told->look_back;
+        const Time from = rig_.now - attempt_budget->look_back;
         const auto retries = std::distance(retries_.lower_bound(from), retries_.end());
         const auto taken =
             std::count_if(accepted_.begin(), accepted_.end(), [&](Time t) { return t > from; });
-        EXPECT_LE(static_cast<double>(retries), told->floor + told->ratio * static_cast<double>(taken))
+        EXPECT_LE(static_cast<double>(retries),
+                  attempt_budget->floor + attempt_budget->ratio * static_cast<double>(taken))
             << "rule 6";
     }
     void check_end(const RequestId& id, bool refused) {
--- a/tests/subset/subset_policy_test.cpp
+++ b/tests/subset/subset_policy_test.cpp
@@ -126,9 +126,9 @@
     Sidecar other(5, 10, {20, 160});
     other.list(DiscoveryUpdate::Kind::Full, fleet(1'000));
     while (endpoint(number).id != other.policy->selected()[10]) ++number;
-    const auto told = sidecar.record->endpoints_in_changes;
+    const auto before = sidecar.record->endpoints_in_changes;
     sidecar.list(DiscoveryUpdate::Kind::Delta, {endpoint(number, 0, Availability::Draining)});
-    EXPECT_EQ(sidecar.record->endpoints_in_changes, told);
+    EXPECT_EQ(sidecar.record->endpoints_in_changes, before);
     EXPECT_FALSE(sidecar.record->listed.contains(endpoint(number).id));
 }
 
