--- a/src/assembly/features.cpp
+++ b/src/assembly/features.cpp
@@ -84,7 +84,7 @@
     return result;
 }
 
-constexpr std::size_t kMaxFleetNameBytes = 64;  // bytes, as the wire has it
+constexpr std::size_t kMaxFleetNameBytes = 64;  // limit of the wire format
 constexpr Duration kMaxStall = 60s;
 constexpr Duration kMinTombstones = 10s;
 
--- a/src/policy/logic.cpp
+++ b/src/policy/logic.cpp
@@ -233,8 +233,7 @@
     std::vector<Server*> busy;            // servers with attempts in flight, unordered: few in a large fleet
     int total_in_flight = 0;              // attempts whose request is complete
     std::map<std::uint64_t, Call> calls;  // by number, which is the order of arrival
-    std::unordered_map<RequestId, std::uint64_t>
-        call_numbers;  // only for lookups: the iteration order is unspecified
+    std::unordered_map<RequestId, std::uint64_t> call_numbers;  // never iterated: the order is unspecified
     std::uint64_t last_number = kDiscoveryToken;
     std::unordered_map<std::uint64_t, std::deque<std::uint64_t>>
         key_queues;                      // call numbers by key; the first one may be sent
@@ -263,8 +262,7 @@
     // ---- discovery --------------------------------------------------------------------------------
 
     void start() {
-        // All instances of a fleet may start at once, and discovery could not serve all subscriptions
-        // together.
+        // All instances of a fleet may start at once; simultaneous subscriptions would all fail.
         if (settings.subscribe)
             subscribe_after(
                 scaled(settings.rules.subscribe_interval, random.unit() / kFirstSubscribeDivisor));
@@ -531,8 +529,7 @@
             }
             (tried_by(call, server) ? tried : untried).push_back(&server);
         }
-        // If only cold servers are left they must serve: a call that is held until its deadline is lost for
-        // sure.
+        // If only cold servers are left they must serve: a call held until its deadline is lost for sure.
         std::vector<Server*>& from = !untried.empty() ? untried : tried.empty() ? throttled : tried;
         return less_loaded(call, from.size(), [&](std::size_t i) { return from[i]; });
     }
@@ -591,7 +588,7 @@
     /// it is worth no less than those behind it, and they may not overtake it.
     bool is_next_for_key(std::uint64_t number, const Call& call) const {
         if (!is_ordered(call.request)) return true;
-        const auto queue = key_queues.find(*call.request.key);  // empty for a call that was shed on arrival
+        const auto queue = key_queues.find(*call.request.key);  // a call shed on arrival is in none
         return queue != key_queues.end() && queue->second.front() == number;
     }
 
@@ -628,8 +625,8 @@
 
     // ---- the life of a request --------------------------------------------------------------------
 
-    /// Whether even a fast call would be too late to be worth anything. Guards against jams in which servers
-    /// work on responses that nobody needs any more, while slots of the tiers above are held.
+    /// Whether a response at the mean latency would be too late to be worth anything. Guards against jams in
+    /// which servers work on responses that nobody needs any more, while slots of the tiers above are held.
     bool is_too_late(const Request& request) const {
         return useful_time_left(request) < class_stats[request.class_index].mean_latency;
     }
@@ -865,11 +862,11 @@
         }
     }
 
-    // ---- connections and silence ------------------------------------------------------------------
+    // ---- connections and unanswered calls ---------------------------------------------------------
 
     /// Returns how long the chosen connection was idle, 0 for a new one. Hosts usually take the most recently
-    /// used one. Guards against connections that were dropped unnoticed on the way: a connection that was
-    /// idle for longer than one that recently went unanswered is closed before use. That limit doubles with
+    /// used one. Guards against connections that were dropped unnoticed on the way: a connection idle for
+    /// over half as long as one that recently went unanswered is closed before use. That limit doubles with
     /// each half-life.
     Duration take_connection(Server& server) {
         if (stale_idle_time > Duration{}) {
