--- a/adapter/host.cpp
+++ b/adapter/host.cpp
@@ -8,7 +8,7 @@
 namespace martenford::decision::wire {
 
 std::string Host::reply(const std::string& line) {
-    // The whole batch is read before anything acts on it: a fault in it gives no partial reply.
+    // The whole batch is parsed before any of it is executed: malformed input gives no partial reply.
     const Batch batch = reader_.read(line);
     Writer writer(batch.round);
     std::vector<Action> actions;
@@ -26,7 +26,7 @@
             }
             for (const Action& action : actions) writer.write(message.instance, action);
         } catch (const std::exception& error) {
-            writer.write_broken(message.instance, error.what());
+            writer.write_error(message.instance, error.what());
         }
     }
     return std::move(writer).finish();
--- a/adapter/wire.h
+++ b/adapter/wire.h
@@ -1,4 +1,4 @@
-// The bench's wire: JSON lines to typed events, typed actions to JSON lines. No decisions.
+// The test bench's protocol: JSON lines to typed events, and typed actions to JSON lines.
 #pragma once
 
 #include <simdjson.h>
@@ -17,7 +17,7 @@
 
 namespace martenford::decision::wire {
 
-/// Malformed input: the text names the round and the field.
+/// Malformed input. The message names the round and the field.
 using WireError = json::FieldError;
 
 struct Provision {
@@ -36,25 +36,25 @@
     std::vector<Message> messages;
 };
 
-/// Reads batches. Endpoint lists are kept between batches and resolved in the order of the events.
+/// Reads batches. Endpoint lists persist between batches and are resolved in the order of the events.
 class Reader {
   public:
-    /// Throws WireError where the line is no valid batch.
+    /// Throws WireError if the line is not a valid batch.
     Batch read(const std::string& line);
 
   private:
-    static constexpr std::size_t kLists = 16;
+    static constexpr std::size_t kMaxLists = 16;
     simdjson::dom::parser parser_;
-    /// How many of each thing the settings name: what an index in an event must stay below.
+    /// Sizes from the settings. Indices in events must be below them.
     struct Ranges {
         std::size_t classes = 0, tenants = 0, zones = 0, kinds = 0;
     };
     struct List {
         std::shared_ptr<const EndpointList> endpoints;
-        std::uint32_t most_zone = 0, most_kind = 0;
+        std::uint32_t max_zone = 0, max_kind = 0;
     };
     struct State {
-        std::array<List, kLists> lists;
+        std::array<List, kMaxLists> lists;
         std::map<std::uint32_t, Ranges> running;  ///< by instance
     };
     static void read_event(const simdjson::dom::object& event, std::string_view tag, State& state,
@@ -62,12 +62,12 @@
     State state_;
 };
 
-/// Writes one reply line, without the line's end.
+/// Writes one reply line, without the newline.
 class Writer {
   public:
     explicit Writer(std::uint64_t round);
     void write(std::uint32_t instance, const Action& action);
-    void write_broken(std::uint32_t instance, std::string_view reason);
+    void write_error(std::uint32_t instance, std::string_view reason);
     std::string finish() &&;
 
   private:
--- a/emulator/virtual_transport.cpp
+++ b/emulator/virtual_transport.cpp
@@ -12,7 +12,7 @@
 namespace martenford::emulator {
 
 using decision::Availability;
-using decision::Discovered;
+using decision::DiscoveryUpdate;
 using decision::Status;
 
 namespace {
@@ -136,7 +136,7 @@
         request.id = spec.id;
         request.class_index = spec.class_index;
         request.deadline = time_.now() + spec.timeout - kResponseTransitTime;
-        request.write = settings_.classes[spec.class_index].effect != decision::Effect::Free;
+        request.write = settings_.classes[spec.class_index].idempotency != decision::Idempotency::Idempotent;
         request.resent = spec.retried;
         request.key = mix(0, spec.key);
         engine_.submit(std::move(request), std::make_shared<NamedMessage>(spec.id),
@@ -244,7 +244,7 @@
     void failed() {
         watching_ = false;
         ++turn_;
-        if (settings_.subscribe) return engine_.handle_discovery({Discovered::Kind::Failed, nullptr});
+        if (settings_.subscribe) return engine_.handle_discovery({DiscoveryUpdate::Kind::Failed, nullptr});
         again_.set(time_.now() + kAgent, [this] { subscribe(); });
     }
     void arrived(const ListAnswer& list) {
@@ -280,7 +280,7 @@
             pool.node = node;
             pool.ready = is_ready;
         }
-        if (update.discovered.kind != Discovered::Kind::Failed)
+        if (update.discovered.kind != DiscoveryUpdate::Kind::Failed)
             engine_.handle_discovery(std::move(update.discovered));
         if (update.need_full_list) whole_ = true;
         if (const auto due = membership_.next_due()) {
@@ -395,7 +395,7 @@
     if (reply.kind == AttemptReply::Kind::Reset) return finish(Status::Reset);
     Result result;
     result.status = reply.kind == AttemptReply::Kind::Served       ? Status::Ok
-                    : reply.kind == AttemptReply::Kind::TurnedAway ? Status::Full
+                    : reply.kind == AttemptReply::Kind::TurnedAway ? Status::Rejected
                                                                    : Status::Error;
     result.body = std::move(reply.body);
     end_.cancel();
--- a/src/assembly/features.cpp
+++ b/src/assembly/features.cpp
@@ -9,37 +9,37 @@
 
 namespace {
 
-constexpr std::int64_t kMostWidth = 100'000;        // as many endpoints as a list may hold
-constexpr std::int64_t kMostConnections = 1 << 20;  // more than a process has descriptors
-constexpr double kDoubtShare = 0.4;                 // of the drain grace
+constexpr std::int64_t kMaxWidth = 100'000;        // endpoints in a list at most
+constexpr std::int64_t kMaxConnections = 1 << 20;  // more than the file descriptors of a process
+constexpr double kCautionDrainShare = 0.4;         // of the drain grace
 
 using Table = TomlReader::Table;
 
 subset::Options read_subset(Table& from) {
     subset::Options result;
-    from.integer("width", result.width, 1, kMostWidth);
-    result.most_width = std::min<std::size_t>(result.width * 8, kMostWidth);
-    from.integer("most_width", result.most_width, 1, kMostWidth);
-    if (result.most_width < result.width) from.fail("'most_width' is less than 'width'");
+    from.integer("width", result.width, 1, kMaxWidth);
+    result.max_width = std::min<std::size_t>(result.width * 8, kMaxWidth);
+    from.integer("most_width", result.max_width, 1, kMaxWidth);
+    if (result.max_width < result.width) from.fail("'most_width' is less than 'width'");
     from.reject_unknown_fields();
     return result;
 }
 
 outlier::Options read_outliers(Table& from) {
     outlier::Options result;
-    from.integer("failures", result.failures, 1, 1000);
-    from.duration("apart", result.apart, true);
-    from.duration("eject_for", result.eject_for, true);
-    from.duration("eject_most", result.eject_most, true);
-    from.number("most_share", result.most_share, 0.0, 1.0);
+    from.integer("failures", result.failure_threshold, 1, 1000);
+    from.duration("apart", result.min_failure_gap, true);
+    from.duration("eject_for", result.base_ejection_time, true);
+    from.duration("eject_most", result.max_ejection_time, true);
+    from.number("most_share", result.max_ejected_share, 0.0, 1.0);
     from.reject_unknown_fields();
     return result;
 }
 
-constexpr std::int64_t kMostMegabytes = 1 << 20;
-constexpr Duration kMostHold = 10s;
+constexpr std::int64_t kMaxMegabytes = 1 << 20;
+constexpr Duration kMaxHold = 10s;
 
-ledger::ClassOptions read_promise(Table& from, ledger::ClassOptions result) {
+ledger::ClassOptions read_class_options(Table& from, ledger::ClassOptions result) {
     from.choice("level", result.level,
                 {{"off", ledger::Durability::Off},
                  {"async", ledger::Durability::Async},
@@ -57,14 +57,14 @@
     from.string("helper", result.helper);
     from.string("digest_key", result.key_file);
     from.duration("hold", result.hold_timeout, true);
-    if (result.hold_timeout > kMostHold) from.fail("'hold' is over 10s: no request waits for so long");
-    result.non_idempotent = read_promise(from, result.non_idempotent);
+    if (result.hold_timeout > kMaxHold) from.fail("'hold' must be at most 10s: no request waits longer");
+    result.non_idempotent = read_class_options(from, result.non_idempotent);
     std::uint64_t megabytes = 0;
-    from.integer("most_mb", megabytes, 1, kMostMegabytes);
+    from.integer("most_mb", megabytes, 1, kMaxMegabytes);
     result.max_bytes = megabytes << 20;
     from.integer("batch_records", result.batch.max_records, 1, 100'000);
     from.duration("batch_delay", result.batch.delay);
-    if (result.batch.delay >= result.hold_timeout) from.fail("'batch_delay' is not below 'hold'");
+    if (result.batch.delay >= result.hold_timeout) from.fail("'batch_delay' must be less than 'hold'");
     from.integer("queue_records", result.queue.max_records, 100, 10'000'000);
     from.duration("ack_within", result.queue.ack_timeout, true);
     std::int64_t days = 30, archive_days = 400;
@@ -76,33 +76,33 @@
     for (Table& each : from.tables("class")) {
         std::string name;
         each.string("name", name, true);
-        const auto promise = read_promise(each, result.non_idempotent);
-        if (!result.classes.emplace(name, promise).second) each.fail("class '" + name + "' stands twice");
+        const auto class_options = read_class_options(each, result.non_idempotent);
+        if (!result.classes.emplace(name, class_options).second) each.fail("duplicate class '" + name + "'");
         each.reject_unknown_fields();
     }
     from.reject_unknown_fields();
     return result;
 }
 
-constexpr std::size_t kMostFleetName = 64;  // bytes, as the wire has it
-constexpr Duration kMostStall = 60s;
-constexpr Duration kLeastTombstones = 10s;
+constexpr std::size_t kMaxFleetNameBytes = 64;  // limit of the wire format
+constexpr Duration kMaxStall = 60s;
+constexpr Duration kMinTombstones = 10s;
 
-/// Addresses with their ports, or (`hosts`) without.
-std::vector<std::string> read_addresses(Table& from, std::string_view key, bool hosts) {
+/// Reads addresses with their ports, or without (`without_port`).
+std::vector<std::string> read_addresses(Table& from, std::string_view key, bool without_port) {
     std::vector<std::string> result;
     for (const toml::node* node : from.items(key)) {
         const auto text = node->value_exact<std::string>();
-        if (!text || !parse_address(hosts ? *text + ":1" : *text))
+        if (!text || !parse_address(without_port ? *text + ":1" : *text))
             from.reader().fail(*node, fmt::format("each of '{}' must be an address such as \"{}\"", key,
-                                                  hosts ? "10.0.0.4" : "10.0.0.4:7400"));
+                                                  without_port ? "10.0.0.4" : "10.0.0.4:7400"));
         result.push_back(*text);
     }
     return result;
 }
 
-void read_address(Table& from, std::string_view key, std::string& into, bool needed) {
-    from.string(key, into, needed);
+void read_address(Table& from, std::string_view key, std::string& into, bool required) {
+    from.string(key, into, required);
     if (!into.empty() && !parse_address(into))
         from.reader().fail(from.require(key),
                            fmt::format("'{}' must be an address such as \"10.0.0.4:7400\"", key));
@@ -111,10 +111,11 @@
 fleet::Options read_fleet(Table& from) {
     fleet::Options result;
     from.string("name", result.name, true);
-    if (result.name.empty() || result.name.size() > kMostFleetName ||
+    if (result.name.empty() || result.name.size() > kMaxFleetNameBytes ||
         result.name.find_first_of(" \t\r\n") != std::string::npos)
-        from.reader().fail(from.require("name"),
-                           fmt::format("'name' must have 1 to {} bytes and no blanks", kMostFleetName));
+        from.reader().fail(
+            from.require("name"),
+            fmt::format("'name' must have 1 to {} bytes and no whitespace", kMaxFleetNameBytes));
     read_address(from, "listen", result.listen, true);
     read_address(from, "advertise", result.advertise, false);
     result.seeds = read_addresses(from, "seeds", false);
@@ -135,16 +136,18 @@
     from.duration("reconnect_every", protocol.reconnect_interval, true);
     from.duration("forget_after", protocol.forget_after, true);
     if (protocol.probe_timeout >= protocol.probe_interval)
-        from.fail("'probe_patience' is not below 'probe_every'");
-    if (protocol.stall_tolerance > kMostStall) from.fail("'stall' is over 60s: nobody would be missed");
-    if (protocol.not_listening_tolerance > protocol.stall_tolerance) from.fail("'gone' is over 'stall'");
+        from.fail("'probe_patience' must be less than 'probe_every'");
+    if (protocol.stall_tolerance > kMaxStall)
+        from.fail("'stall' must be at most 60s: no failed member would be noticed");
+    if (protocol.not_listening_tolerance > protocol.stall_tolerance)
+        from.fail("'gone' must be at most 'stall'");
     from.reject_unknown_fields();
     return result;
 }
 
 replica::Options read_state(Table& from, bool fleet) {
     replica::Options result;
-    if (!fleet) from.fail("needs [fleet]: there is nobody to share state with");
+    if (!fleet) from.fail("requires [fleet]: its members share the state");
     replica::ReplicationSettings& pace = result.replication;
     from.duration("push_every", pace.push_every, true);
     from.integer("push_to", pace.push_to, 1, 16);
@@ -157,8 +160,8 @@
     from.string("registry", result.registry);
     from.string("directory", result.directory);
     from.string("helper", result.helper);
-    if (pace.tombstones < kLeastTombstones)
-        from.fail("'tombstones' is under 10s: a pause would bring deleted entries back");
+    if (pace.tombstones < kMinTombstones)
+        from.fail("'tombstones' must be at least 10s: a paused member would bring deleted entries back");
     from.reject_unknown_fields();
     return result;
 }
@@ -178,8 +181,8 @@
             table->reject_unknown_fields();
         }
         if (auto table = top.table("connections")) {
-            table->integer("most", result.connections.most, 1, kMostConnections);
-            table->integer("per_endpoint", result.connections.per_endpoint, 1, kMostConnections);
+            table->integer("most", result.connections.max_total, 1, kMaxConnections);
+            table->integer("per_endpoint", result.connections.per_endpoint, 1, kMaxConnections);
             table->reject_unknown_fields();
         }
         if (auto table = top.table("fleet")) result.fleet = read_fleet(*table);
@@ -205,7 +208,7 @@
     Membership::Options result;
     if (!features.caution_share) return result;
     result.max_removal_share = *features.caution_share;
-    result.removal_delay = decision::scaled(settings.rules.drain_grace, kDoubtShare);
+    result.removal_delay = decision::scaled(settings.rules.drain_grace, kCautionDrainShare);
     return result;
 }
 
@@ -213,15 +216,16 @@
                                     const Features& features, Counters& counters,
                                     outlier::OutlierPolicy** outliers) {
     decision::validate(settings);
-    const auto of_module = features.subset ? subset::SubsetPolicy::alone(settings) : settings;
-    std::unique_ptr<Policy> policy = std::make_unique<BalancerPolicy>(of_module, seed);
-    // Nearest to the module: it remembers those that are used only, and a subset sees what it ejects as
-    // failures.
+    const auto balancer_settings =
+        features.subset ? subset::SubsetPolicy::single_replica_settings(settings) : settings;
+    std::unique_ptr<Policy> policy = std::make_unique<BalancerPolicy>(balancer_settings, seed);
+    // Innermost: it then keeps records of endpoints of the subset only, and the subset counts the failures
+    // that lead to an ejection.
     if (features.outliers) {
-        auto within =
+        auto outlier_policy =
             std::make_unique<outlier::OutlierPolicy>(std::move(policy), *features.outliers, counters);
-        if (outliers) *outliers = within.get();
-        policy = std::move(within);
+        if (outliers) *outliers = outlier_policy.get();
+        policy = std::move(outlier_policy);
     }
     if (features.subset) {
         policy =
--- a/src/config/read_settings.cpp
+++ b/src/config/read_settings.cpp
@@ -8,17 +8,19 @@
     result.name = require_string(from, "name");
     result.worth = number_or(from, "credit", 1.0);
     result.late_worth = number_or(from, "late_value", 0.0);
-    result.aim = require_duration(from, "slo");
-    result.aim_stretch = number_or(from, "aim_stretch", 0.0);
+    result.latency_target = require_duration(from, "slo");
+    result.latency_target_stretch = number_or(from, "aim_stretch", 0.0);
     result.deadline = require_duration(from, "deadline");
-    result.effect = enum_value<Effect>(
-        require_string(from, "effect"), "effect",
-        {{"free", Effect::Free}, {"guarded", Effect::Guarded}, {"single_shot", Effect::SingleShot}});
+    result.idempotency = enum_value<Idempotency>(require_string(from, "effect"), "effect",
+                                                 {{"free", Idempotency::Idempotent},
+                                                  {"guarded", Idempotency::Deduplicated},
+                                                  {"single_shot", Idempotency::NonIdempotent}});
     if (find(from, "group")) {
-        result.group = enum_value<Group>(require_string(from, "group"), "group",
-                                         {{"all", Group::All}, {"zone", Group::Zone}, {"cell", Group::Cell}});
+        result.dedup_scope = enum_value<DedupScope>(
+            require_string(from, "group"), "group",
+            {{"all", DedupScope::All}, {"zone", DedupScope::Zone}, {"cell", DedupScope::Cell}});
     }
-    result.window = duration_or_zero(from, "window");
+    result.dedup_window = duration_or_zero(from, "window");
     result.stream = bool_or(from, "stream", false);
     result.sequential = bool_or(from, "sequential", false);
     return result;
@@ -28,7 +30,7 @@
     Limits result;
     result.may_cancel = bool_or(from, "may_cancel", false);
     result.probing = bool_or(from, "probing", false);
-    result.second_copies = bool_or(from, "second_copies", false);
+    result.hedging = bool_or(from, "second_copies", false);
     result.peers = bool_or(from, "peers", false);
     result.retry_after = bool_or(from, "retry_after", false);
     result.max_attempts = require_u32(from, "try_limit");
@@ -42,13 +44,13 @@
 Rules read_rules(const object& from) {
     Rules result;
     result.answer_slack = require_duration(from, "answer_slack");
-    result.ask_every = duration_or_zero(from, "ask_every");
+    result.subscribe_interval = duration_or_zero(from, "ask_every");
     result.drain_grace = require_duration(from, "stop_sending_within");
-    result.cold_from = require_number(from, "cold_from");
-    result.ramp_time = require_duration(from, "ramp_time");
-    result.fall_multiple = require_number(from, "fall_multiple");
-    result.tip_after = require_duration(from, "tip_after");
-    result.turn_gap = duration_or_zero(from, "turn_gap");
+    result.cold_capacity_share = require_number(from, "cold_from");
+    result.warm_up_time = require_duration(from, "ramp_time");
+    result.overload_multiple = require_number(from, "fall_multiple");
+    result.overload_time = require_duration(from, "tip_after");
+    result.key_cooldown = duration_or_zero(from, "turn_gap");
     // Any of the three fields enables the attempt budget; validate() reports which of the others are missing.
     if (find(from, "extra_floor") || find(from, "resend_ratio") || find(from, "look_back")) {
         result.attempt_budget = {number_or(from, "extra_floor", 0.0), number_or(from, "resend_ratio", 0.0),
--- a/src/core/engine.cpp
+++ b/src/core/engine.cpp
@@ -43,9 +43,9 @@
         complete(request.id, Answer{Answer::Kind::Refused, {}, {}, {}}, CompletionReason::Journal);
         return true;
     }
-    request_state.arriving = request.arriving;
+    request_state.arriving = request.body_pending;
     request_state.held = interceptor_ && interceptor_->holds(request);
-    request.arriving |= request_state.held;
+    request.body_pending |= request_state.held;
     // Guards against a request that is never answered because the policy holds it or has lost track of it.
     request_state.backstop.set(request_state.deadline + kBackstopDelay, [this, id = request.id] {
         if (complete(id, Answer{}, CompletionReason::Deadline)) post(DeadlineExpired{id});
@@ -80,7 +80,7 @@
     for (Attempt& attempt : request_state.attempts) {
         if (attempt.in_flight) attempt.sent = scheduler_.now();
     }
-    post(Received{id, request_state.deadline});
+    post(BodyReceived{id, request_state.deadline});
 }
 
 void Engine::client_disconnected(const RequestId& id) {
@@ -142,7 +142,7 @@
         void operator()(const Subscribe&) const {
             if (engine.subscribe_) engine.subscribe_();
         }
-        void operator()(const ShutIdle& shut) const {
+        void operator()(const CloseIdleConnections& shut) const {
             engine.endpoint_client_.close_idle_connections(shut.endpoint);
         }
 
@@ -213,7 +213,7 @@
         request_state.failure_body = std::move(result.body);
     } else if (request_state.message && !request_state.message->resendable()) {
         // The body has been forwarded and freed, so that another attempt has nothing to send.
-        const bool never_ran = result.status == Status::Full || result.status == Status::ConnectFailed ||
+        const bool never_ran = result.status == Status::Rejected || result.status == Status::ConnectFailed ||
                                result.status == Status::NotSent;
         complete(id, Answer{never_ran ? Answer::Kind::Refused : Answer::Kind::Failed, {}, {}, {}},
                  CompletionReason::BodyConsumed);
--- a/src/core/engine.h
+++ b/src/core/engine.h
@@ -92,7 +92,7 @@
     void abort(const decision::RequestId& id, bool refused);
     /// Cancels one attempt in flight, as the policy's Cancel action does; it ends as Cancelled.
     void cancel(const decision::RequestId& id, decision::AttemptNumber attempt);
-    void handle_discovery(decision::Discovered discovered) {
+    void handle_discovery(decision::DiscoveryUpdate discovered) {
         if (observer_) observer_->endpoints_listed(discovered);
         post(std::move(discovered));
     }
--- a/src/core/observer.h
+++ b/src/core/observer.h
@@ -28,7 +28,7 @@
                                decision::Status status) = 0;
     virtual void request_completed(const decision::RequestId& id, RequestCounters::Outcome outcome,
                                    CompletionReason reason) = 0;
-    virtual void endpoints_listed(const decision::Discovered& news) = 0;
+    virtual void endpoints_listed(const decision::DiscoveryUpdate& news) = 0;
 };
 
 }  // namespace martenford
--- a/src/discovery/discovery.cpp
+++ b/src/discovery/discovery.cpp
@@ -212,7 +212,7 @@
 void Discovery::request_failed(const std::string& why) {
     log_event(martenford::Event::DiscoveryCallFailed, "discovery: " + why);
     close_exchange(exchange_);
-    if (config_.settings.subscribe) return engine_.handle_discovery({Discovered::Kind::Failed, nullptr});
+    if (config_.settings.subscribe) return engine_.handle_discovery({DiscoveryUpdate::Kind::Failed, nullptr});
     // The decision module asks again only if lists must be requested. Jitter: all sidecars may have failed at
     // once.
     retry_delay_ = std::clamp(retry_delay_ * 2, kInitialRetryDelay, kMaxRetryDelay);
@@ -229,7 +229,7 @@
         const auto list = parse_targets(json::as<json::object>(root, "answer", "an object"), config_.names);
         request_full_list_ = false;
         auto update = membership_.apply_list(list, false, EventLoop::monotonic(), unix_epoch());
-        if (update.discovered.kind == Discovered::Kind::Failed) {
+        if (update.discovered.kind == DiscoveryUpdate::Kind::Failed) {
             return request_failed("answer rejected: " + update.log_text);
         }
         received_list_ = true;
@@ -253,7 +253,7 @@
         if (uid) placement_.set_name(id, *uid);
         placement_.set_endpoint(id, address, ready);
     }
-    if (update.discovered.kind != Discovered::Kind::Failed)
+    if (update.discovered.kind != DiscoveryUpdate::Kind::Failed)
         engine_.handle_discovery(std::move(update.discovered));
     if (on_drained_ && received_list_) {
         for (const Membership::Drained& each : update.drained)
--- a/src/ledger/recorder.cpp
+++ b/src/ledger/recorder.cpp
@@ -24,7 +24,7 @@
             return Ending::Served;
         case Status::Error:
             return Ending::Error;
-        case Status::Full:
+        case Status::Rejected:
             return Ending::Full;
         case Status::Timeout:
             return Ending::Timeout;
@@ -155,7 +155,7 @@
                                     "attempts sent although the journal could not record them")) {
     for (const auto& each : classes) {
         const auto named = options.classes.find(each.name);
-        const bool non_idempotent = each.effect == decision::Effect::SingleShot;
+        const bool non_idempotent = each.idempotency == decision::Idempotency::NonIdempotent;
         classes_.push_back(named != options.classes.end() ? named->second
                            : non_idempotent               ? options.non_idempotent
                                                           : ClassOptions{});
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -96,8 +96,8 @@
     Program(const Features& features, const Config& config)
         : config_(config),
           socket_share_((config.sockets - reserved_sockets(features, config)) / 2),
-          max_upstream_sockets_(features.connections.most > 0
-                                    ? std::min(features.connections.most, socket_share_)
+          max_upstream_sockets_(features.connections.max_total > 0
+                                    ? std::min(features.connections.max_total, socket_share_)
                                     : socket_share_),
           reload_signal_(loop_.io(), SIGHUP),
           stop_signals_(loop_.io(), SIGTERM, SIGINT),
@@ -147,7 +147,7 @@
                     });
                 });
                 replication_->on_ejected_by_others([this](const std::string& uid) {
-                    if (const auto id = discovery_.id_of(uid)) outliers_->warn(*id);
+                    if (const auto id = discovery_.id_of(uid)) outliers_->note_peer_ejection(*id);
                 });
             }
             discovery_.on_drained([this](const Membership::Drained& drained, std::uint64_t revision) {
--- a/src/membership/membership.cpp
+++ b/src/membership/membership.cpp
@@ -6,7 +6,7 @@
 namespace martenford {
 
 using decision::Availability;
-using decision::Discovered;
+using decision::DiscoveryUpdate;
 using decision::EndpointList;
 
 namespace {
@@ -150,7 +150,7 @@
 Membership::Update Membership::set_endpoint_override(const std::string& uid,
                                                      const EndpointOverride& endpoint_override) {
     Update update;
-    update.discovered.kind = Discovered::Kind::Failed;
+    update.discovered.kind = DiscoveryUpdate::Kind::Failed;
     const auto known = known_.find(uid);
     std::optional<decision::Endpoint> before;
     if (known != known_.end()) before = effective(uid, known->second);
@@ -165,7 +165,7 @@
     if (after.availability == before->availability && after.weight == before->weight) return update;
     auto changes = std::make_shared<EndpointList>();
     add_change(known->first, known->second, *changes, update);
-    update.discovered.kind = Discovered::Kind::Delta;
+    update.discovered.kind = DiscoveryUpdate::Kind::Delta;
     update.discovered.endpoints = std::move(changes);
     return update;
 }
@@ -198,7 +198,7 @@
 
 Membership::Update Membership::apply_list(const TargetList& list, bool cached, Time now, Time epoch) {
     Update update;
-    update.discovered.kind = Discovered::Kind::Failed;
+    update.discovered.kind = DiscoveryUpdate::Kind::Failed;
     release_reserved_ids(now);
     const bool full = list.all || cached;
     if (!full && !revision_) {
@@ -295,16 +295,16 @@
             continue;
         add_change(it->first, it->second, *changes, update);
     }
-    update.discovered.kind = cached     ? Discovered::Kind::Cached
-                             : list.all ? Discovered::Kind::Full
-                                        : Discovered::Kind::Delta;
+    update.discovered.kind = cached     ? DiscoveryUpdate::Kind::Cached
+                             : list.all ? DiscoveryUpdate::Kind::Full
+                                        : DiscoveryUpdate::Kind::Delta;
     update.discovered.endpoints = std::move(changes);
     return update;
 }
 
 Membership::Update Membership::apply_due_removals(Time now) {
     Update update;
-    update.discovered.kind = Discovered::Kind::Failed;
+    update.discovered.kind = DiscoveryUpdate::Kind::Failed;
     if (!removals_due_ || now < *removals_due_) return update;
     removals_due_.reset();
     const auto due = std::exchange(pending_removals_, {});
@@ -313,7 +313,7 @@
     auto changes = std::make_shared<EndpointList>();
     for (const std::string& uid : removals) remove(uid, now, *changes, update);
     update.log_text = std::to_string(removals.size()) + " endpoints removed after the delay";
-    update.discovered.kind = Discovered::Kind::Delta;
+    update.discovered.kind = DiscoveryUpdate::Kind::Delta;
     update.discovered.endpoints = std::move(changes);
     return update;
 }
--- a/src/membership/membership.h
+++ b/src/membership/membership.h
@@ -74,8 +74,8 @@
     };
     /// The consequences of a list.
     struct Update {
-        decision::Discovered discovered;  ///< for the decision module; nothing if of kind Failed
-        std::vector<EndpointId> removed;  ///< for the back end; apply before `placed`
+        decision::DiscoveryUpdate discovered;  ///< for the decision module; nothing if of kind Failed
+        std::vector<EndpointId> removed;       ///< for the back end; apply before `placed`
         std::vector<PlacedEndpoint> placed;
         bool need_full_list = false;  ///< the full list must be requested at once
         std::vector<Drained> drained;
--- a/src/membership/staleness.cpp
+++ b/src/membership/staleness.cpp
@@ -40,7 +40,7 @@
 
 bool Staleness::attempt_ended(EndpointId id, Status status, Time now) {
     if (status == Status::Ok) ++served_;
-    if (status != Status::ConnectFailed && status != Status::Full) {
+    if (status != Status::ConnectFailed && status != Status::Rejected) {
         // Any other answer shows that the endpoint accepts requests. An attempt that was cancelled here or
         // never sent shows nothing.
         if (status == Status::Ok || status == Status::Error) runs_.erase(id);
@@ -52,8 +52,8 @@
     FailureRun& run = position->second;
     if (is_new) run = {now, now, 0, 0, served_, rejected_};
     run.last = now;
-    if (status == Status::Full) ++rejected_;
-    ++(status == Status::Full ? run.rejections : run.connect_failures);
+    if (status == Status::Rejected) ++rejected_;
+    ++(status == Status::Rejected ? run.rejections : run.connect_failures);
     if (!indicates_stale_list(run, now)) return false;
     if (now - last_answer_at_ < kMinQuietTime || (requested_ && now - last_request_at_ < wait_)) return false;
     wait_ = requested_ ? std::min(wait_ * 2, std::max(kMaxWait, initial_wait_)) : initial_wait_;
--- a/src/telemetry/collector.cpp
+++ b/src/telemetry/collector.cpp
@@ -25,7 +25,7 @@
             return "ok";
         case Status::Error:
             return "error";
-        case Status::Full:
+        case Status::Rejected:
             return "turned-away";
         case Status::Timeout:
             return "timeout";
@@ -109,7 +109,7 @@
     endpoints_[id].uid = uid;
 }
 
-void Collector::endpoints_listed(const decision::Discovered& news) {
+void Collector::endpoints_listed(const decision::DiscoveryUpdate& news) {
     if (!news.endpoints) return;
     for (const decision::Endpoint& each : *news.endpoints) {
         if (each.availability == decision::Availability::Gone) {
@@ -176,8 +176,8 @@
     trace.answer = why == CompletionReason::ClientDisconnected ? "left" : name_of(how);
     trace.why = name_of(why);
     const auto& rules = settings_.classes[open.class_index];
-    trace.late =
-        how == RequestCounters::Outcome::Served && rules.aim > Duration{} && trace.duration > rules.aim;
+    trace.late = how == RequestCounters::Outcome::Served && rules.latency_target > Duration{} &&
+                 trace.duration > rules.latency_target;
     open.over = true;
     if (how == RequestCounters::Outcome::Served)
         latencies_[open.class_index].add(static_cast<double>(trace.duration.count()) * 1e-9);
--- a/src/telemetry/collector.h
+++ b/src/telemetry/collector.h
@@ -40,7 +40,7 @@
     void attempt_ended(const decision::RequestId& id, std::size_t attempt, decision::Status status) override;
     void request_completed(const decision::RequestId& id, RequestCounters::Outcome how,
                            CompletionReason why) override;
-    void endpoints_listed(const decision::Discovered& news) override;
+    void endpoints_listed(const decision::DiscoveryUpdate& news) override;
 
     /// Answers a console command: `why [SECONDS]`, `story ID`, `slowest N [CLASS]`, `latencies`. Returns
     /// nothing for other commands.
--- a/tests/adapter/adapter_test.cpp
+++ b/tests/adapter/adapter_test.cpp
@@ -1,4 +1,4 @@
-// The adapter on wire text: round trips, order of events, and every kind of malformed line.
+// The adapter's JSON protocol: replies, order of events, and all kinds of malformed lines.
 #include <gtest/gtest.h>
 
 #include <sstream>
@@ -23,17 +23,17 @@
     return R"({"t":"provision","sidecar_id":)" + std::to_string(id) + R"(,"prng":7,"settings":)" +
            settings(discovery) + "}";
 }
-/// A provision with one piece of its settings' text replaced.
-std::string provision_with(const std::string& was, const std::string& is) {
+/// A provision message with a part of its settings replaced.
+std::string provision_with(const std::string& old_text, const std::string& new_text) {
     std::string text = provision();
-    return text.replace(text.find(was), was.size(), is);
+    return text.replace(text.find(old_text), old_text.size(), new_text);
 }
 std::string ledger(int ref, int endpoint) {
     return R"({"t":"ledger","ref":)" + std::to_string(ref) + R"(,"members_list":[{"endpoint":)" +
            std::to_string(endpoint) +
            R"(,"locality":0,"class_of_host":0,"pack":0,"availability":1,"nominal":1,"online_since":null}]})";
 }
-std::string known(int ref, int kind = 1, int id = 0) {
+std::string peers_known(int ref, int kind = 1, int id = 0) {
     return R"({"t":"peers_known","sidecar_id":)" + std::to_string(id) + R"(,"ref":)" + std::to_string(ref) +
            R"(,"serial":1,"kind":)" + std::to_string(kind) + "}";
 }
@@ -51,20 +51,20 @@
     EXPECT_EQ(host.reply(R"({"clock":8412250000,"round":1,"events":[]})"), R"({"round":1,"cmds":[]})");
 }
 
-TEST(Adapter, RequestIsPlacedOnTheKnownEndpoint) {
+TEST(Adapter, RequestIsSentToTheKnownEndpoint) {
     Host host;
     const std::string reply = host.reply(
-        batch(4, provision() + "," + ledger(3, 51530247) + "," + known(3) + "," + ingress("c:a\\\"b")));
+        batch(4, provision() + "," + ledger(3, 51530247) + "," + peers_known(3) + "," + ingress("c:a\\\"b")));
     EXPECT_EQ(reply,
               R"({"round":4,"cmds":[{"t":"place","sidecar_id":0,"request_id":"c:a\"b","endpoint":51530247},)"
               R"({"t":"defer","sidecar_id":0,"when":500001000,"label":1}]})");
 }
 
-TEST(Adapter, ListNumbersReusedInOneBatchAreResolvedInOrder) {
+TEST(Adapter, ListNumbersReusedWithinABatchAreResolvedInOrder) {
     Host host;
-    const std::string reply = host.reply(
-        batch(1, provision(0) + "," + ledger(0, 11) + "," + known(0, 1, 0) + "," + provision(1) + "," +
-                     ledger(0, 22) + "," + known(0, 1, 1) + "," + ingress("x", 0) + "," + ingress("y", 1)));
+    const std::string reply = host.reply(batch(
+        1, provision(0) + "," + ledger(0, 11) + "," + peers_known(0, 1, 0) + "," + provision(1) + "," +
+               ledger(0, 22) + "," + peers_known(0, 1, 1) + "," + ingress("x", 0) + "," + ingress("y", 1)));
     EXPECT_NE(reply.find(R"("request_id":"x","endpoint":11)"), std::string::npos) << reply;
     EXPECT_NE(reply.find(R"("request_id":"y","endpoint":22)"), std::string::npos) << reply;
 }
@@ -72,14 +72,14 @@
 TEST(Adapter, ListsAreKeptBetweenBatches) {
     Host host;
     host.reply(batch(1, provision() + "," + ledger(15, 33)));
-    const std::string reply = host.reply(batch(2, known(15) + "," + ingress("x")));
+    const std::string reply = host.reply(batch(2, peers_known(15) + "," + ingress("x")));
     EXPECT_NE(reply.find(R"("endpoint":33)"), std::string::npos) << reply;
 }
 
-TEST(Adapter, StopThenProvisionInOneBatchStartsAfresh) {
+TEST(Adapter, StopAndProvisionInOneBatchResetTheInstance) {
     Host host;
-    host.reply(batch(1, provision() + "," + ledger(0, 5) + "," + known(0) + "," + ingress("x")));
-    // The fresh instance knows neither the request nor the endpoint of its former life.
+    host.reply(batch(1, provision() + "," + ledger(0, 5) + "," + peers_known(0) + "," + ingress("x")));
+    // The new instance knows neither the request nor the endpoint of the previous one.
     const std::string reply = host.reply(
         batch(2, R"({"t":"stop","sidecar_id":0},)" + provision() + "," +
                      R"({"t":"completed","sidecar_id":0,"request_id":"x","go":0,"endpoint":5,"ending":0,)"
@@ -88,63 +88,69 @@
     EXPECT_EQ(reply.find("place"), std::string::npos) << reply;
 }
 
-TEST(Adapter, LoadReportsOfAnyNamesAreRead) {
+TEST(Adapter, LoadReportsMayHaveUnknownNames) {
     Host host;
-    host.reply(batch(1, provision() + "," + ledger(0, 5) + "," + known(0) + "," + ingress("x")));
+    host.reply(batch(1, provision() + "," + ledger(0, 5) + "," + peers_known(0) + "," + ingress("x")));
     EXPECT_NO_THROW(host.reply(batch(
         2, R"({"t":"completed","sidecar_id":0,"request_id":"x","go":0,"endpoint":5,"ending":1,)"
            R"("wait_time":1000,"last":true,"report":{"load_share":0.5,"concurrent":3,"novel":"text"}})")));
 }
 
-TEST(Adapter, SubscribesOnlyWhereDiscoveryMustBeAsked) {
-    Host asks, told;
-    EXPECT_NE(asks.reply(batch(1, provision(0, "subscribe"))).find(R"("t":"defer")"), std::string::npos);
-    EXPECT_EQ(told.reply(batch(1, provision(0, "automatic"))), R"({"round":1,"cmds":[]})");
+TEST(Adapter, SubscribesOnlyIfDiscoveryRequiresIt) {
+    Host subscribing, automatic;
+    EXPECT_NE(subscribing.reply(batch(1, provision(0, "subscribe"))).find(R"("t":"defer")"),
+              std::string::npos);
+    EXPECT_EQ(automatic.reply(batch(1, provision(0, "automatic"))), R"({"round":1,"cmds":[]})");
 }
 
 /// The reply to two requests with one key, under changed settings.
-std::string reply_to_two_of_one_key(const std::string& was, const std::string& is) {
-    const std::string with = provision_with(was, is);
+std::string reply_to_two_requests_with_one_key(const std::string& old_text, const std::string& new_text) {
+    const std::string provision_text = provision_with(old_text, new_text);
     Host host;
     const auto one = [](const std::string& id) {
         std::string text = ingress(id);
         return text.replace(text.find(R"("extra":1)"), 9, R"("key":5)");
     };
-    return host.reply(batch(1, with + "," + ledger(0, 5) + "," + known(0) + "," + one("x") + "," + one("y")));
+    return host.reply(batch(
+        1, provision_text + "," + ledger(0, 5) + "," + peers_known(0) + "," + one("x") + "," + one("y")));
 }
 
-TEST(Adapter, OrderByKeyIsPassedOn) {
-    const std::string was = R"("effect":"free"})";
+TEST(Adapter, SequentialFlagIsPassedOn) {
+    const std::string old_text = R"("effect":"free"})";
     const auto sends = [](const std::string& reply) {
         std::size_t n = 0;
         for (auto at = reply.find("place"); at != std::string::npos; at = reply.find("place", at + 1)) ++n;
         return n;
     };
-    EXPECT_EQ(sends(reply_to_two_of_one_key(was, was)), 2u);
-    EXPECT_EQ(sends(reply_to_two_of_one_key(was, R"("effect":"free","sequential":true})")), 1u);
-    EXPECT_EQ(sends(reply_to_two_of_one_key(was, R"("effect":"free","sequential":null})")), 2u);
+    EXPECT_EQ(sends(reply_to_two_requests_with_one_key(old_text, old_text)), 2u);
+    EXPECT_EQ(sends(reply_to_two_requests_with_one_key(old_text, R"("effect":"free","sequential":true})")),
+              1u);
+    EXPECT_EQ(sends(reply_to_two_requests_with_one_key(old_text, R"("effect":"free","sequential":null})")),
+              2u);
 }
 
-TEST(Adapter, RationOfAttemptsIsPassedOn) {
-    const auto answer_to_failure = [](const std::string& extra) {
-        const std::string with =
+TEST(Adapter, AttemptBudgetIsPassedOn) {
+    const auto reply_to_retry_timer = [](const std::string& extra) {
+        const std::string provision_text =
             provision_with(R"("tip_after":2000000000})", R"("tip_after":2000000000)" + extra + "}");
         Host host;
-        host.reply(batch(1, with + "," + ledger(0, 5) + "," + known(0) + "," + ingress("x")));
+        host.reply(batch(1, provision_text + "," + ledger(0, 5) + "," + peers_known(0) + "," + ingress("x")));
         host.reply(batch(2, R"({"t":"completed","sidecar_id":0,"request_id":"x","go":0,"endpoint":5,)"
                             R"("ending":0,"wait_time":1000,"last":false,"report":null})"));
-        // The timer of the retry is the first that the balancer set; its token is the request's number.
+        // The token of the retry timer is the number of the request, which is the first one.
         return host.reply(batch(3, R"({"t":"due","sidecar_id":0,"label":1})", 400000000));
     };
-    EXPECT_NE(answer_to_failure("").find("place"), std::string::npos);
-    EXPECT_NE(answer_to_failure(R"(,"extra_floor":1,"resend_ratio":0,"look_back":2000000000)").find("place"),
-              std::string::npos);
-    const std::string none = answer_to_failure(R"(,"extra_floor":0,"resend_ratio":0,"look_back":2000000000)");
+    EXPECT_NE(reply_to_retry_timer("").find("place"), std::string::npos);
+    EXPECT_NE(
+        reply_to_retry_timer(R"(,"extra_floor":1,"resend_ratio":0,"look_back":2000000000)").find("place"),
+        std::string::npos);
+    const std::string none =
+        reply_to_retry_timer(R"(,"extra_floor":0,"resend_ratio":0,"look_back":2000000000)");
     EXPECT_EQ(none.find("place"), std::string::npos) << none;
-    EXPECT_THROW(answer_to_failure(R"(,"resend_ratio":0.1)"), WireError);
+    EXPECT_THROW(reply_to_retry_timer(R"(,"resend_ratio":0.1)"), WireError);
 }
 
-TEST(Adapter, ServeFlushesOneLineForEachBatchAndEndsWithItsInput) {
+TEST(Adapter, ServeWritesOneLinePerBatchUntilTheInputEnds) {
     std::istringstream in(batch(1, "") + "\n" + batch(2, "") + "\n");
     std::ostringstream out, err;
     EXPECT_EQ(serve(in, out, err), 0);
@@ -159,8 +165,8 @@
 };
 class MalformedLine : public testing::TestWithParam<Malformed> {};
 
-TEST_P(MalformedLine, EndsWithAPlainMessageAndNoPartialReply) {
-    std::istringstream in(batch(1, provision() + "," + ledger(0, 5) + "," + known(0)) + "\n" +
+TEST_P(MalformedLine, EndsWithAnErrorMessageAndNoPartialReply) {
+    std::istringstream in(batch(1, provision() + "," + ledger(0, 5) + "," + peers_known(0)) + "\n" +
                           GetParam().line + "\n");
     std::ostringstream out, err;
     EXPECT_NE(serve(in, out, err), 0);
@@ -201,8 +207,8 @@
                      R"("wait_time":1})"),
             "field 'ending' is out of range"},
         Malformed{"ListOutOfRange", batch(2, ledger(16, 5)), "field 'ref' is out of range"},
-        Malformed{"ListNeverSent", batch(2, known(7)), "names a list that was never sent"},
-        Malformed{"ListKind", batch(2, known(0, 0)), "field 'kind' is out of range"},
+        Malformed{"ListNeverSent", batch(2, peers_known(7)), "names a list that was never sent"},
+        Malformed{"ListKind", batch(2, peers_known(0, 0)), "field 'kind' is out of range"},
         Malformed{"KeyOutOfRange",
                   batch(2, R"({"t":"ingress","sidecar_id":0,"request_id":"x","priority":0,"valid_until":5,)"
                            R"("key":9007199254740992})"),
@@ -223,14 +229,14 @@
             "ZoneOutOfRange",
             batch(2,
                   R"({"t":"ledger","ref":1,"members_list":[{"endpoint":1,"locality":1,"availability":1}]},)" +
-                      known(1)),
+                      peers_known(1)),
             "'locality' is out of range"},
         Malformed{
             "KindOutOfRange",
             batch(
                 2,
                 R"({"t":"ledger","ref":1,"members_list":[{"endpoint":1,"class_of_host":1,"availability":1}]},)" +
-                    known(1)),
+                    peers_known(1)),
             "'class_of_host' is out of range"},
         Malformed{"AvailabilityOutOfRange",
                   batch(2, R"({"t":"ledger","ref":1,"members_list":[{"endpoint":1,"availability":3}]})"),
@@ -243,33 +249,34 @@
                   R"("cold_from":0.3,"fall_multiple":3.0,"ramp_time":5,"stop_sending_within":5,)"
                   R"("tip_after":2}}})"),
             "round 2, message 'provision': decision library: settings field 'replicas' is zero"},
-        // A good event before the bad one must not show in the reply either.
+        // A valid event before the malformed one must not show in the reply either.
         Malformed{"LateInTheBatch", batch(2, ingress("x") + R"(,{"t":"due","sidecar_id":0})"),
                   "round 2, message 'due': field 'label' is missing"}),
     [](const auto& info) { return info.param.name; });
 
-TEST(Adapter, BatchThatFailsLeavesTheInstanceAsItWas) {
+TEST(Adapter, MalformedBatchChangesNoState) {
     Host host;
-    host.reply(batch(1, provision() + "," + ledger(0, 5) + "," + known(0)));
+    host.reply(batch(1, provision() + "," + ledger(0, 5) + "," + peers_known(0)));
     EXPECT_THROW(host.reply(batch(2, R"({"t":"stop","sidecar_id":0},)" + ledger(0, 6) + "," + ingress("x"))),
                  WireError);
-    const std::string reply = host.reply(batch(3, known(0) + "," + ingress("x")));
+    const std::string reply = host.reply(batch(3, peers_known(0) + "," + ingress("x")));
     EXPECT_NE(reply.find(R"("request_id":"x","endpoint":5)"), std::string::npos) << reply;
 }
 
-TEST(Adapter, TenantOutOfRangeIsRefusedAndMeaninglessWithoutTenants) {
+TEST(Adapter, TenantOutOfRangeIsRejectedAndIgnoredWithoutTenants) {
     Host host;
     EXPECT_NO_THROW(host.reply(batch(1, provision() + "," +
                                             R"({"t":"ingress","sidecar_id":0,"request_id":"x","priority":0,)"
                                             R"("valid_until":2000000000,"party":7})")));
-    const std::string with = provision_with(R"("accounts":[])", R"("accounts":[{"name":"t","share":1}])");
-    EXPECT_THROW(host.reply(batch(2, with + "," +
+    const std::string provision_text =
+        provision_with(R"("accounts":[])", R"("accounts":[{"name":"t","share":1}])");
+    EXPECT_THROW(host.reply(batch(2, provision_text + "," +
                                          R"({"t":"ingress","sidecar_id":0,"request_id":"x",)"
                                          R"("priority":0,"valid_until":2000000000,"party":1})")),
                  WireError);
 }
 
-TEST(Writer, EveryActionHasItsWireForm) {
+TEST(Writer, WritesEveryAction) {
     Writer writer(5);
     writer.write(1, Send{"a", EndpointId{7}, std::chrono::milliseconds(80)});
     writer.write(1, Refuse{"a", std::chrono::milliseconds(250)});
@@ -279,8 +286,8 @@
     writer.write(1, SetTimer{Time{Duration{99}}, 3});
     writer.write(1, Probe{EndpointId{7}});
     writer.write(1, Subscribe{});
-    writer.write(1, ShutIdle{EndpointId{7}});
-    writer.write_broken(2, "bad\n\"index\"");
+    writer.write(1, CloseIdleConnections{EndpointId{7}});
+    writer.write_error(2, "bad\n\"index\"");
     EXPECT_EQ(std::move(writer).finish(),
               R"({"round":5,"cmds":[)"
               R"({"t":"place","sidecar_id":1,"request_id":"a","endpoint":7,"limit":80000000},)"
--- a/tests/consumer/consumer.cpp
+++ b/tests/consumer/consumer.cpp
@@ -1,4 +1,4 @@
-// Builds against the installed package alone and gets one decision out of it.
+// Builds against the installed package only, and gets one decision from the library.
 #include <martenford/decision/balancer.h>
 
 #include <iostream>
@@ -12,9 +12,10 @@
     const martenford::decision::Time now{};
     balancer.start(now, actions);
     auto endpoints = std::make_shared<martenford::decision::EndpointList>(1);
-    balancer.handle(now,
-                    martenford::decision::Discovered{martenford::decision::Discovered::Kind::Full, endpoints},
-                    actions);
+    balancer.handle(
+        now,
+        martenford::decision::DiscoveryUpdate{martenford::decision::DiscoveryUpdate::Kind::Full, endpoints},
+        actions);
     martenford::decision::Request request;
     request.id = "r";
     request.deadline = now + std::chrono::seconds(1);
--- a/tests/membership/membership_test.cpp
+++ b/tests/membership/membership_test.cpp
@@ -10,7 +10,7 @@
 
 using namespace martenford;
 using decision::Availability;
-using decision::Discovered;
+using decision::DiscoveryUpdate;
 
 Target target(const std::string& uid, Availability state = Availability::Ready, std::int64_t boot_ms = 0) {
     Target result;
@@ -108,13 +108,13 @@
 TEST(Membership, DeltasWithoutAListAndOlderOnesAreRejected) {
     Membership membership({});
     auto update = membership.apply_list(list(5, false, fleet(0, 3)), false, kStart, Time{});
-    EXPECT_EQ(update.discovered.kind, Discovered::Kind::Failed);
+    EXPECT_EQ(update.discovered.kind, DiscoveryUpdate::Kind::Failed);
     EXPECT_TRUE(update.need_full_list);
     EXPECT_EQ(membership.size(), 0u);
     membership.apply_list(list(5, true, fleet(0, 3)), false, kStart, Time{});
     // Outdated on arrival, or from a discovery that restarted its revisions.
     update = membership.apply_list(list(4, false, gone(0, 3)), false, kStart, Time{});
-    EXPECT_EQ(update.discovered.kind, Discovered::Kind::Failed);
+    EXPECT_EQ(update.discovered.kind, DiscoveryUpdate::Kind::Failed);
     EXPECT_TRUE(update.need_full_list);
     EXPECT_FALSE(membership.revision());
     EXPECT_EQ(membership.size(), 3u);
@@ -147,9 +147,9 @@
     EXPECT_EQ(membership.pending_removals(), 60u);
     EXPECT_EQ(membership.next_due(), kStart + 1400ms);
     // Not contradicted: applied when the delay ends.
-    EXPECT_EQ(membership.apply_due_removals(kStart + 1399ms).discovered.kind, Discovered::Kind::Failed);
+    EXPECT_EQ(membership.apply_due_removals(kStart + 1399ms).discovered.kind, DiscoveryUpdate::Kind::Failed);
     const auto later = membership.apply_due_removals(kStart + 1400ms);
-    EXPECT_EQ(later.discovered.kind, Discovered::Kind::Delta);
+    EXPECT_EQ(later.discovered.kind, DiscoveryUpdate::Kind::Delta);
     EXPECT_EQ(later.removed.size(), 60u);
     EXPECT_EQ(membership.ready(), 40u);
     EXPECT_FALSE(membership.next_due());
@@ -158,7 +158,7 @@
 TEST_F(MembershipWithRemovalDelay, AnEmptyListIsDelayedUntilASecondConfirmsIt) {
     auto update = membership.apply_list(list(2, true, {}), false, kStart, Time{});
     EXPECT_TRUE(update.need_full_list);
-    EXPECT_EQ(update.discovered.kind, Discovered::Kind::Full);
+    EXPECT_EQ(update.discovered.kind, DiscoveryUpdate::Kind::Full);
     // A full list replaces the decision module's, so it contains the endpoints with pending removals.
     EXPECT_EQ(update.discovered.endpoints->size(), 100u);
     update = membership.apply_list(list(2, true, {}), false, kStart + 20ms, Time{});
@@ -216,8 +216,8 @@
     Time now = kStart;
     std::uint64_t revision = 1;
     const auto apply = [&](const Membership::Update& update) {
-        if (update.discovered.kind == Discovered::Kind::Failed) return;
-        if (update.discovered.kind != Discovered::Kind::Delta) module.clear();
+        if (update.discovered.kind == DiscoveryUpdate::Kind::Failed) return;
+        if (update.discovered.kind != DiscoveryUpdate::Kind::Delta) module.clear();
         for (const auto& e : *update.discovered.endpoints) {
             if (e.availability == Availability::Gone) {
                 module.erase(e.id);
--- a/tests/membership/staleness_test.cpp
+++ b/tests/membership/staleness_test.cpp
@@ -16,10 +16,10 @@
     char letter;
     EndpointId id;
     Status status;
-} kLetters[] = {{'c', kGone, Status::ConnectFailed}, {'t', kGone, Status::Full},
+} kLetters[] = {{'c', kGone, Status::ConnectFailed}, {'t', kGone, Status::Rejected},
                 {'e', kGone, Status::Error},         {'o', kGone, Status::Ok},
                 {'m', kGone, Status::NotSent},       {'O', kSound, Status::Ok},
-                {'T', kSound, Status::Full}};
+                {'T', kSound, Status::Rejected}};
 
 /// Performs one step each 100 ms. c, t: the first endpoint refuses the connection, rejects the request; e, o:
 /// it fails, serves; m: an attempt was never sent; O, T: the other endpoint serves, rejects; '.': nothing; n,
--- a/tests/outlier/outlier_policy_test.cpp
+++ b/tests/outlier/outlier_policy_test.cpp
@@ -23,7 +23,7 @@
         policy.start(now, actions);
         EndpointList list;
         for (std::uint32_t i = 0; i < size; ++i) list.push_back(endpoint(i));
-        tell(Discovered{Discovered::Kind::Full, std::make_shared<EndpointList>(list)});
+        tell(DiscoveryUpdate{DiscoveryUpdate::Kind::Full, std::make_shared<EndpointList>(list)});
     }
     static Endpoint endpoint(std::uint32_t id) {
         Endpoint e;
@@ -35,12 +35,12 @@
         policy.handle(now, event, actions);
     }
     void change(Endpoint e) {
-        tell(Discovered{Discovered::Kind::Delta, std::make_shared<EndpointList>(EndpointList{e})});
+        tell(DiscoveryUpdate{DiscoveryUpdate::Kind::Delta, std::make_shared<EndpointList>(EndpointList{e})});
     }
     void outcome(std::uint32_t id, Status status) {
         tell(Outcome{"r", 0, EndpointId{id}, status, 1ms, true, std::nullopt, true});
     }
-    /// Failures as an endpoint shows them that is asked once a minute.
+    /// Failures of an endpoint that gets one call a minute.
     void fail(std::uint32_t id, int times) {
         for (int i = 0; i < times; ++i) {
             now += 60s;
@@ -55,12 +55,12 @@
     std::vector<Action> actions;
 };
 
-TEST(Outlier, OneThatFailsOnceAMinuteIsEjectedAndComesBack) {
+TEST(Outlier, EndpointThatFailsOncePerMinuteIsEjectedAndReadmitted) {
     Sidecar sidecar;
     sidecar.fail(7, 2);
     EXPECT_EQ(sidecar.seen(7), Availability::Ready);
     sidecar.fail(7, 1);
-    EXPECT_EQ(sidecar.seen(7), Availability::Draining);  // what is out there goes on
+    EXPECT_EQ(sidecar.seen(7), Availability::Draining);  // calls in flight continue
     EXPECT_TRUE(sidecar.policy.ejected(EndpointId{7}));
     sidecar.now += 59s;
     sidecar.tell(TimerFired{1});
@@ -68,7 +68,7 @@
     sidecar.now += 1s;
     sidecar.tell(TimerFired{1});
     EXPECT_EQ(sidecar.seen(7), Availability::Ready);
-    // The first failure after that ejects, for twice as long.
+    // The first failure after the readmission ejects it for twice as long.
     sidecar.fail(7, 1);
     EXPECT_EQ(sidecar.seen(7), Availability::Draining);
     sidecar.now += 119s;
@@ -79,26 +79,26 @@
     EXPECT_EQ(sidecar.seen(7), Availability::Ready);
 }
 
-TEST(Outlier, OneThatOthersEjectedIsOutAtItsFirstFailureAndNotBefore) {
+TEST(Outlier, EndpointThatOthersEjectedIsEjectedAtItsFirstFailure) {
     Sidecar sidecar;
-    std::vector<std::uint32_t> told;
+    std::vector<std::uint32_t> reported;
     sidecar.policy.on_ejected(
-        [&](EndpointId id, std::uint32_t) { told.push_back(static_cast<std::uint32_t>(id)); });
-    sidecar.policy.warn(EndpointId{7});
-    sidecar.policy.warn(EndpointId{99});  // known to nobody here
+        [&](EndpointId id, std::uint32_t) { reported.push_back(static_cast<std::uint32_t>(id)); });
+    sidecar.policy.note_peer_ejection(EndpointId{7});
+    sidecar.policy.note_peer_ejection(EndpointId{99});  // not in the list
     EXPECT_EQ(sidecar.seen(7), Availability::Ready);
     sidecar.outcome(7, Status::Error);
     EXPECT_EQ(sidecar.seen(7), Availability::Draining);
-    EXPECT_EQ(told, std::vector<std::uint32_t>{7});
-    // What it serves here weighs against what others say.
-    sidecar.policy.warn(EndpointId{8});
+    EXPECT_EQ(reported, std::vector<std::uint32_t>{7});
+    // Successes here outweigh reports of others.
+    sidecar.policy.note_peer_ejection(EndpointId{8});
     sidecar.outcome(8, Status::Ok);
     sidecar.outcome(8, Status::Ok);
     sidecar.fail(8, 1);
     EXPECT_EQ(sidecar.seen(8), Availability::Ready);
 }
 
-TEST(Outlier, ABurstOfFailuresIsTheModulesToSeeAndCountsOnce) {
+TEST(Outlier, BurstOfFailuresCountsOnce) {
     Sidecar sidecar;
     for (int i = 0; i < 100; ++i) {
         sidecar.now += 50ms;
@@ -107,7 +107,7 @@
     EXPECT_EQ(sidecar.seen(7), Availability::Ready);
 }
 
-TEST(Outlier, WhatIsServedTakesFailuresOff) {
+TEST(Outlier, SuccessesTakeFailuresOff) {
     Sidecar sidecar;
     for (int i = 0; i < 50; ++i) {
         sidecar.fail(7, 1);
@@ -117,9 +117,9 @@
     EXPECT_EQ(sidecar.seen(7), Availability::Ready);
 }
 
-TEST(Outlier, BeingFullOrGivenUpIsNoFailure) {
+TEST(Outlier, RejectedCancelledAndUnsentCallsAreNoFailures) {
     Sidecar sidecar;
-    for (const Status status : {Status::Full, Status::Cancelled, Status::NotSent}) {
+    for (const Status status : {Status::Rejected, Status::Cancelled, Status::NotSent}) {
         for (int i = 0; i < 10; ++i) {
             sidecar.now += 60s;
             sidecar.outcome(7, status);
@@ -128,7 +128,7 @@
     EXPECT_EQ(sidecar.seen(7), Availability::Ready);
 }
 
-TEST(Outlier, NeverMoreThanTheShareIsOut) {
+TEST(Outlier, EjectedShareIsLimited) {
     Sidecar sidecar({}, 9);
     for (int round = 0; round < 3; ++round) {
         sidecar.now += 11s;
@@ -138,13 +138,13 @@
     std::size_t ready = 0;
     for (std::uint32_t id = 0; id < 9; ++id) ready += sidecar.seen(id) == Availability::Ready ? 1 : 0;
     EXPECT_EQ(ready, 6u);
-    // A tier of one is never without.
+    // The only endpoint of a tier is never ejected.
     Sidecar alone({}, 1);
     alone.fail(0, 20);
     EXPECT_EQ(alone.seen(0), Availability::Ready);
 }
 
-TEST(Outlier, ADrainOfOneThatIsOutIsKeptAndANewStartClears) {
+TEST(Outlier, DrainDuringAnEjectionIsKeptAndARestartClearsIt) {
     Sidecar sidecar;
     sidecar.fail(7, 3);
     Endpoint e = Sidecar::endpoint(7);
@@ -159,7 +159,7 @@
     EXPECT_EQ(sidecar.seen(7), Availability::Ready);
     sidecar.fail(7, 2);
     EXPECT_EQ(sidecar.seen(7), Availability::Ready);
-    // Gone for good while it is out: nothing brings it back.
+    // Removed during an ejection: it is not readmitted.
     sidecar.fail(7, 1);
     ASSERT_TRUE(sidecar.policy.ejected(EndpointId{7}));
     e.availability = Availability::Gone;
@@ -170,20 +170,20 @@
     EXPECT_EQ(sidecar.policy.ejected_now(), 0u);
 }
 
-TEST(Outlier, WrongOptionsAreRefused) {
+TEST(Outlier, InvalidOptionsAreRejected) {
     Options options;
-    options.failures = 0;
+    options.failure_threshold = 0;
     EXPECT_THROW(Sidecar{options}, std::invalid_argument);
-    options.failures = 3;
-    options.most_share = 1.5;
+    options.failure_threshold = 3;
+    options.max_ejected_share = 1.5;
     EXPECT_THROW(Sidecar{options}, std::invalid_argument);
 }
 
-/// Random outcomes, lists and times: the bound on the share holds, drains stay, and no endpoint that is
-/// listed as ready stays out for longer than the most.
-TEST(Outlier, KeepsItsBoundsUnderRandomEvents) {
+/// Random outcomes, lists and times: ejections are shown as draining, listed drains stay, and no endpoint
+/// stays ejected for longer than the maximum.
+TEST(Outlier, KeepsItsLimitsUnderRandomEvents) {
     Options options;
-    options.eject_most = 300s;
+    options.max_ejection_time = 300s;
     Sidecar sidecar(options, 30);
     std::mt19937_64 random(3);
     std::map<std::uint32_t, Endpoint> listed;
@@ -194,7 +194,7 @@
         sidecar.now += std::chrono::seconds(random() % 8);
         const auto id = static_cast<std::uint32_t>(random() % 30);
         const auto what = random() % 20;
-        // Whose time is up comes back first, also where the event that follows sends it out again.
+        // Due readmissions come first, even if the next event ejects the endpoint again.
         sidecar.tell(TimerFired{1});
         std::erase_if(out_since, [&](const auto& o) { return !sidecar.policy.ejected(EndpointId{o.first}); });
         if (what < 16) {
--- a/tests/subset/subset_policy_test.cpp
+++ b/tests/subset/subset_policy_test.cpp
@@ -35,12 +35,13 @@
         actions.clear();
         policy->handle(now, event, actions);
     }
-    void list(Discovered::Kind kind, EndpointList endpoints) {
-        tell(Discovered{kind, std::make_shared<EndpointList>(std::move(endpoints))});
+    void list(DiscoveryUpdate::Kind kind, EndpointList endpoints) {
+        tell(DiscoveryUpdate{kind, std::make_shared<EndpointList>(std::move(endpoints))});
     }
     void outcome(Status status, int times = 1) {
         for (int i = 0; i < times; ++i) {
-            record->next.push_back(Send{"r", policy->used().empty() ? EndpointId{} : policy->used()[0], {}});
+            record->next_actions.push_back(
+                Send{"r", policy->selected().empty() ? EndpointId{} : policy->selected()[0], {}});
             tell(Request{});
             tell(Outcome{"r", 0, EndpointId{}, status, 1ms, true, std::nullopt, true});
         }
@@ -52,9 +53,9 @@
         }
         return result;
     }
-    bool agrees() const {
-        const auto used = policy->used();
-        return ready() == std::set<EndpointId>(used.begin(), used.end());
+    bool module_has_selection() const {
+        const auto selected = policy->selected();
+        return ready() == std::set<EndpointId>(selected.begin(), selected.end());
     }
     Counters counters;
     std::shared_ptr<RecordingPolicy::Record> record;
@@ -77,86 +78,86 @@
     return result;
 }
 
-TEST(SubsetPolicy, ShowsTheModuleItsWidthAndNoMore) {
+TEST(SubsetPolicy, ShowsTheModuleWidthEndpoints) {
     Sidecar sidecar(3, 92, {20, 160});
-    sidecar.list(Discovered::Kind::Full, fleet(1'000));
+    sidecar.list(DiscoveryUpdate::Kind::Full, fleet(1'000));
     EXPECT_EQ(sidecar.record->listed.size(), 20u);
-    EXPECT_TRUE(sidecar.agrees());
+    EXPECT_TRUE(sidecar.module_has_selection());
 }
 
-TEST(SubsetPolicy, AFleetCoversAllEndpointsEvenly) {
+TEST(SubsetPolicy, FleetCoversAllEndpointsEvenly) {
     std::map<EndpointId, int> callers;
     for (std::uint32_t i = 0; i < 100; ++i) {
         Sidecar sidecar(i, 100, {20, 160});
-        sidecar.list(Discovered::Kind::Full, fleet(1'000));
-        for (const EndpointId id : sidecar.policy->used()) ++callers[id];
+        sidecar.list(DiscoveryUpdate::Kind::Full, fleet(1'000));
+        for (const EndpointId id : sidecar.policy->selected()) ++callers[id];
     }
     ASSERT_EQ(callers.size(), 1'000u);
     for (const auto& [id, count] : callers) EXPECT_EQ(count, 2);
 }
 
-TEST(SubsetPolicy, AnEndpointThatGoesIsReplacedByOneChange) {
+TEST(SubsetPolicy, RemovedEndpointIsReplacedByOneOther) {
     Sidecar sidecar(0, 10, {20, 160});
-    sidecar.list(Discovered::Kind::Full, fleet(1'000));
+    sidecar.list(DiscoveryUpdate::Kind::Full, fleet(1'000));
     Endpoint lost = sidecar.record->listed.begin()->second;
     const auto before = sidecar.ready();
     lost.availability = Availability::Gone;
-    sidecar.list(Discovered::Kind::Delta, {lost});
-    EXPECT_TRUE(sidecar.agrees());
+    sidecar.list(DiscoveryUpdate::Kind::Delta, {lost});
+    EXPECT_TRUE(sidecar.module_has_selection());
     const auto after = sidecar.ready();
     EXPECT_EQ(after.size(), 20u);
     std::vector<EndpointId> fresh;
     std::set_difference(after.begin(), after.end(), before.begin(), before.end(), std::back_inserter(fresh));
     EXPECT_EQ(fresh.size(), 1u);
-    EXPECT_LE(sidecar.record->endpoints_told, 3u);
+    EXPECT_LE(sidecar.record->endpoints_in_changes, 3u);
 }
 
-TEST(SubsetPolicy, ADrainReachesTheModuleAndOnesElsewhereDoNot) {
+TEST(SubsetPolicy, OnlyDrainsWithinTheSubsetReachTheModule) {
     Sidecar sidecar(0, 10, {20, 160});
-    sidecar.list(Discovered::Kind::Full, fleet(1'000));
-    const auto used = sidecar.policy->used();
+    sidecar.list(DiscoveryUpdate::Kind::Full, fleet(1'000));
+    const auto selected = sidecar.policy->selected();
     Endpoint mine = sidecar.record->listed.begin()->second;
     mine.availability = Availability::Draining;
-    sidecar.list(Discovered::Kind::Delta, {mine});
+    sidecar.list(DiscoveryUpdate::Kind::Delta, {mine});
     EXPECT_EQ(sidecar.record->listed.at(mine.id).availability, Availability::Draining);
-    EXPECT_TRUE(sidecar.agrees());
-    // An endpoint in the middle of another sidecar's window.
+    EXPECT_TRUE(sidecar.module_has_selection());
+    // Picks an endpoint from the middle of another sidecar's window.
     std::uint32_t number = 0;
     Sidecar other(5, 10, {20, 160});
-    other.list(Discovered::Kind::Full, fleet(1'000));
-    while (endpoint(number).id != other.policy->used()[10]) ++number;
-    const auto told = sidecar.record->endpoints_told;
-    sidecar.list(Discovered::Kind::Delta, {endpoint(number, 0, Availability::Draining)});
-    EXPECT_EQ(sidecar.record->endpoints_told, told);
+    other.list(DiscoveryUpdate::Kind::Full, fleet(1'000));
+    while (endpoint(number).id != other.policy->selected()[10]) ++number;
+    const auto before = sidecar.record->endpoints_in_changes;
+    sidecar.list(DiscoveryUpdate::Kind::Delta, {endpoint(number, 0, Availability::Draining)});
+    EXPECT_EQ(sidecar.record->endpoints_in_changes, before);
     EXPECT_FALSE(sidecar.record->listed.contains(endpoint(number).id));
 }
 
-TEST(SubsetPolicy, WhatIsGivenUpIsGoneForTheModuleAndItsIdleConnectionsAreClosed) {
+TEST(SubsetPolicy, NarrowingRemovesEndpointsAndClosesIdleConnections) {
     Sidecar sidecar(0, 1, {5, 40});
-    sidecar.list(Discovered::Kind::Full, fleet(100));
+    sidecar.list(DiscoveryUpdate::Kind::Full, fleet(100));
     sidecar.outcome(Status::Reset, 10);
     sidecar.now += 1100ms;
     sidecar.tell(TimerFired{1});
     ASSERT_EQ(sidecar.policy->width(), 10u);
-    ASSERT_TRUE(sidecar.agrees());
-    std::size_t shut = 0;
+    ASSERT_TRUE(sidecar.module_has_selection());
+    std::size_t closed = 0;
     for (int i = 0; i < 40; ++i) {
         sidecar.now += 1s;
         sidecar.outcome(Status::Ok, 5);
-        shut += static_cast<std::size_t>(
+        closed += static_cast<std::size_t>(
             std::count_if(sidecar.actions.begin(), sidecar.actions.end(),
-                          [](auto& a) { return std::holds_alternative<ShutIdle>(a); }));
-        // The first event of a second brings the change.
+                          [](auto& a) { return std::holds_alternative<CloseIdleConnections>(a); }));
+        // The first event in a second evaluates the previous one.
         sidecar.tell(TimerFired{1});
     }
     EXPECT_EQ(sidecar.policy->width(), 5u);
-    EXPECT_TRUE(sidecar.agrees());
+    EXPECT_TRUE(sidecar.module_has_selection());
     EXPECT_EQ(sidecar.record->listed.size(), 5u);
 }
 
-TEST(SubsetPolicy, ASubsetWhoseEveryMemberIsBadGrowsUntilOthersAreIn) {
+TEST(SubsetPolicy, FailingSubsetWidensUpToTheMaximum) {
     Sidecar sidecar(0, 10, {5, 40});
-    sidecar.list(Discovered::Kind::Full, fleet(1'000));
+    sidecar.list(DiscoveryUpdate::Kind::Full, fleet(1'000));
     const auto bad = sidecar.ready();
     int seconds = 0;
     while (sidecar.policy->width() < 20 && seconds < 10) {
@@ -167,27 +168,28 @@
     }
     EXPECT_EQ(seconds, 2);
     EXPECT_EQ(sidecar.ready().size(), 20u);
-    // Never past the most, however long it fails.
+    // It never exceeds the maximum width.
     for (int i = 0; i < 10; ++i) {
         sidecar.outcome(Status::ConnectFailed, 10);
         sidecar.now += 1s;
         sidecar.tell(TimerFired{1});
     }
     EXPECT_EQ(sidecar.policy->width(), 40u);
-    EXPECT_TRUE(sidecar.agrees());
+    EXPECT_TRUE(sidecar.module_has_selection());
 }
 
-TEST(SubsetPolicy, AHotSidecarSpreadsOverMore) {
+TEST(SubsetPolicy, BusySidecarWidensItsSubset) {
     Sidecar sidecar(0, 10, {5, 40});
-    sidecar.list(Discovered::Kind::Full, fleet(100));
+    sidecar.list(DiscoveryUpdate::Kind::Full, fleet(100));
     for (int i = 0; i < 9; ++i) {
-        sidecar.record->next.push_back(Send{"r" + std::to_string(i), sidecar.policy->used()[0], {}});
+        sidecar.record->next_actions.push_back(
+            Send{"r" + std::to_string(i), sidecar.policy->selected()[0], {}});
         sidecar.tell(Request{});
     }
     sidecar.now += 1s;
     sidecar.tell(TimerFired{1});
     EXPECT_EQ(sidecar.policy->width(), 10u);
-    // While they are out it does not go back.
+    // It does not shrink while they are in flight.
     sidecar.now += 60s;
     sidecar.tell(TimerFired{1});
     sidecar.now += 1s;
@@ -195,17 +197,17 @@
     EXPECT_EQ(sidecar.policy->width(), 10u);
 }
 
-/// A wider subset may let held calls out at once: they are out like any other.
-TEST(SubsetPolicy, WhatAWiderSubsetLetsOutIsCounted) {
+/// Widening may release held calls at once. They must count as in flight.
+TEST(SubsetPolicy, SendsCausedByWideningAreCounted) {
     Sidecar sidecar(0, 10, {4, 8});
-    sidecar.list(Discovered::Kind::Full, fleet(100));
+    sidecar.list(DiscoveryUpdate::Kind::Full, fleet(100));
     sidecar.outcome(Status::Reset, 10);
     for (int i = 0; i < 9; ++i)
-        sidecar.record->next.push_back(Send{"r" + std::to_string(i), EndpointId{1}, {}});
+        sidecar.record->next_actions.push_back(Send{"r" + std::to_string(i), EndpointId{1}, {}});
     sidecar.now += 1100ms;
-    sidecar.tell(TimerFired{1});  // grows by the failures, and the module sends
+    sidecar.tell(TimerFired{1});  // widens because of the failures, and the module sends
     ASSERT_EQ(sidecar.policy->width(), 8u);
-    // While nine are out at a width of eight it is crowded, and does not go back.
+    // With nine calls in flight at a width of eight it is crowded and does not shrink.
     for (int i = 0; i < 30; ++i) {
         sidecar.now += 1s;
         sidecar.tell(TimerFired{1});
@@ -213,53 +215,54 @@
     EXPECT_EQ(sidecar.policy->width(), 8u);
 }
 
-TEST(SubsetPolicy, OwnZoneFirstAndTheRestWhereItIsShort) {
+TEST(SubsetPolicy, OwnZoneComesFirst) {
     const auto zones = [](const Sidecar& sidecar) {
         std::map<std::uint32_t, int> count;
         for (const auto& [id, e] : sidecar.record->listed) ++count[e.zone];
         return count;
     };
     Sidecar even(3, 30, {12, 96}, 1, 3);
-    even.list(Discovered::Kind::Full, fleet(300, 3));
+    even.list(DiscoveryUpdate::Kind::Full, fleet(300, 3));
     EXPECT_EQ(zones(even), (std::map<std::uint32_t, int>{{1, 12}}));
-    // Its zone holds a sixth of what there is: half of the width, by the stated rule.
+    // Its zone has a sixth of the endpoints but is one of three zones: it gets half of the width.
     EndpointList uneven;
     for (std::uint32_t i = 0; i < 300; ++i) uneven.push_back(endpoint(i, i % 6 == 0 ? 1 : 0));
     Sidecar small(3, 30, {12, 96}, 1, 3);
-    small.list(Discovered::Kind::Full, uneven);
+    small.list(DiscoveryUpdate::Kind::Full, uneven);
     EXPECT_EQ(zones(small)[1], 6);
     EXPECT_EQ(small.record->listed.size(), 12u);
-    // Its zone goes as a whole.
+    // All endpoints of its zone are removed.
     EndpointList gone;
     for (std::uint32_t i = 0; i < 300; ++i) {
         if (i % 3 == 1) gone.push_back(endpoint(i, 1, Availability::Gone));
     }
-    even.list(Discovered::Kind::Delta, gone);
+    even.list(DiscoveryUpdate::Kind::Delta, gone);
     EXPECT_EQ(zones(even).contains(1), false);
     EXPECT_EQ(even.record->listed.size(), 12u);
-    EXPECT_TRUE(even.agrees());
+    EXPECT_TRUE(even.module_has_selection());
 }
 
-TEST(SubsetPolicy, TiersOfOneAndOfNone) {
+TEST(SubsetPolicy, TiersWithOneAndWithNoEndpoint) {
     Sidecar sidecar(7, 92, {20, 160});
-    sidecar.list(Discovered::Kind::Full, {});
+    sidecar.list(DiscoveryUpdate::Kind::Full, {});
     EXPECT_TRUE(sidecar.record->listed.empty());
-    sidecar.list(Discovered::Kind::Delta, fleet(1));
+    sidecar.list(DiscoveryUpdate::Kind::Delta, fleet(1));
     EXPECT_EQ(sidecar.record->listed.size(), 1u);
-    sidecar.list(Discovered::Kind::Delta, {endpoint(0, 0, Availability::Gone)});
+    sidecar.list(DiscoveryUpdate::Kind::Delta, {endpoint(0, 0, Availability::Gone)});
     EXPECT_TRUE(sidecar.record->listed.empty());
-    EXPECT_TRUE(sidecar.agrees());
+    EXPECT_TRUE(sidecar.module_has_selection());
 }
 
-TEST(SubsetPolicy, WrongOptionsAreRefused) {
+TEST(SubsetPolicy, InvalidOptionsAreRejected) {
     EXPECT_THROW(Sidecar(0, 1, {0, 10}), std::invalid_argument);
     EXPECT_THROW(Sidecar(0, 1, {20, 10}), std::invalid_argument);
 }
 
-/// Random changes against the same lists taken in whole: the same choice, and the module knows it.
-TEST(SubsetPolicy, ChangesLeadWhereWholeListsWould) {
+/// Random deltas and the corresponding full lists must lead to the same selection, which the module must
+/// know.
+TEST(SubsetPolicy, DeltasGiveTheSameSubsetAsFullLists) {
     std::mt19937_64 random(5);
-    Sidecar by_changes(3, 7, {12, 96}, 1, 3), by_lists(3, 7, {12, 96}, 1, 3);
+    Sidecar by_deltas(3, 7, {12, 96}, 1, 3), by_lists(3, 7, {12, 96}, 1, 3);
     std::map<std::uint32_t, Endpoint> all;
     for (int step = 0; step < 3'000; ++step) {
         EndpointList changes;
@@ -277,15 +280,15 @@
                 all[number] = e;
             }
         }
-        by_changes.list(Discovered::Kind::Delta, changes);
+        by_deltas.list(DiscoveryUpdate::Kind::Delta, changes);
         EndpointList whole;
         for (const auto& [number, e] : all) whole.push_back(e);
-        by_lists.list(Discovered::Kind::Full, whole);
-        ASSERT_EQ(by_changes.policy->used(), by_lists.policy->used()) << "step " << step;
-        ASSERT_TRUE(by_changes.agrees()) << "step " << step;
-        ASSERT_TRUE(by_lists.agrees()) << "step " << step;
-        // What drains and was used is still known as that: what is out there goes on.
-        for (const auto& [id, e] : by_changes.record->listed) {
+        by_lists.list(DiscoveryUpdate::Kind::Full, whole);
+        ASSERT_EQ(by_deltas.policy->selected(), by_lists.policy->selected()) << "step " << step;
+        ASSERT_TRUE(by_deltas.module_has_selection()) << "step " << step;
+        ASSERT_TRUE(by_lists.module_has_selection()) << "step " << step;
+        // Selected endpoints that drain are still listed as draining, so that calls in flight continue.
+        for (const auto& [id, e] : by_deltas.record->listed) {
             const auto known =
                 std::find_if(all.begin(), all.end(), [&, id = id](auto& a) { return a.second.id == id; });
             ASSERT_NE(known, all.end()) << "step " << step;
