--- a/tests/adapter/adapter_test.cpp
+++ b/tests/adapter/adapter_test.cpp
@@ -193,7 +193,7 @@
         Malformed{"MistypedText", batch(2, R"({"t":"lapsed","sidecar_id":0,"request_id":4})"),
                   "field 'request_id' is not a text"},
         Malformed{"MistypedNumber", batch(2, R"({"t":"due","sidecar_id":0,"label":"7"})"),
-                  "field 'label' is not a whole number"},
+                  "field 'label' is not a non-negative integer"},
         Malformed{"NegativeInstance", batch(2, R"({"t":"due","sidecar_id":-1,"label":7})"),
                   "field 'sidecar_id'"},
         Malformed{"HugeInstance", batch(2, R"({"t":"due","sidecar_id":4294967296,"label":7})"),
