--- a/src/main.cpp
+++ b/src/main.cpp
@@ -72,7 +72,7 @@
     const Config config = read_config();
     Counters counters;
     make_policy(config.settings, config.seed, features, counters);
-    std::cout << "the configuration of " << config.name << " is valid: " << config.settings.classes.size()
+    std::cout << "the configuration of " << config.name << " can be read: " << config.settings.classes.size()
               << " classes, " << (config.known ? config.known->targets.size() : 0) << " known endpoints\n";
     return 0;
 }
